--- a/crates/agent/src/relay/gather.rs
+++ b/crates/agent/src/relay/gather.rs
@@ -76,7 +76,11 @@
     let relay = ask.members[ask.pick.at].side;
     let suspects = {
         let known = shared.watch.suspects.borrow();
-        shared.watch.links.borrow().call(relay, &known, sent)
+        shared
+            .watch
+            .links
+            .borrow()
+            .outgoing_news(relay, &known, sent)
     };
     let call = ViewCall {
         caller: shared.vm.clone(),
@@ -95,7 +99,7 @@
     match result {
         Ok(reply) => {
             shared.marks.hear(&reply.marks, now);
-            hear_suspects(shared, relay, suspects.told, &reply.suspects);
+            hear_suspects(shared, relay, suspects.sent_up_to, &reply.suspects);
             board.heard_centre(&ask, reply, sent, now);
         }
         Err(e) => {
@@ -114,5 +118,5 @@
     let now = shared.timer.now();
     let mut known = shared.watch.suspects.borrow_mut();
     let mut links = shared.watch.links.borrow_mut();
-    links.answered(relay, told, news, &mut known, now);
+    links.handle_reply(relay, told, news, &mut known, now);
 }
--- a/crates/agent/src/trial.rs
+++ b/crates/agent/src/trial.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{SuspectLinks, Suspects, Trials};
+use pumicecleat_policy::{SuspectSync, SuspectTable, Trials};
 use pumicecleat_types::{Millis, SuspectNews, Trial, TrialCall, TrialReply};
 
 use crate::shared::Shared;
@@ -24,9 +24,9 @@
 
 /// What an agent knows of requests under which upstreams end.
 pub(crate) struct Watch {
-    pub(crate) suspects: RefCell<Suspects>,
+    pub(crate) suspects: RefCell<SuspectTable>,
     /// Relays of other data centres that are called.
-    pub(crate) links: RefCell<SuspectLinks>,
+    pub(crate) links: RefCell<SuspectSync>,
     trials: RefCell<Trials>,
     /// Requests on trial at the own engine, and since when.
     running: RefCell<BTreeMap<String, (Trial, Millis)>>,
@@ -36,7 +36,7 @@
     /// Knows of none; `start` tells this start of the process from others.
     pub(crate) fn new(start: u64) -> Self {
         Self {
-            suspects: RefCell::new(Suspects::new(start)),
+            suspects: RefCell::new(SuspectTable::new(start)),
             links: RefCell::default(),
             trials: RefCell::default(),
             running: RefCell::default(),
@@ -46,7 +46,7 @@
     /// Takes in what a caller tells, and gives what is new to it.
     pub(crate) fn exchange(&self, told: &SuspectNews, now: Millis) -> SuspectNews {
         let mut suspects = self.suspects.borrow_mut();
-        suspects.hear(&told.words, now);
+        suspects.merge(&told.words, now);
         suspects.news(told.seen, now)
     }
 
@@ -79,17 +79,25 @@
 /// Decides on permission for one send of a request.
 pub(crate) fn decide(shared: &Shared, call: &TrialCall) -> TrialReply {
     let now = shared.timer.now();
-    let known = shared.watch.suspects.borrow().ends(&call.fingerprint, now);
+    let known = shared
+        .watch
+        .suspects
+        .borrow()
+        .end_count(&call.fingerprint, now);
     let ends = known.max(call.ends.len());
     let mut trials = shared.watch.trials.borrow_mut();
     if call.unused {
         trials.give_back(&call.fingerprint);
         return TrialReply::default();
     }
-    let rest = shared.watch.suspects.borrow().rest(&call.fingerprint, now);
+    let rest = shared
+        .watch
+        .suspects
+        .borrow()
+        .retry_after(&call.fingerprint, now);
     let outcome = match rest {
         Some(rest) => Err(rest),
-        None => trials.ask(call.fingerprint, ends, now),
+        None => trials.try_grant(call.fingerprint, ends, now),
     };
     let retry_ms = outcome.err().unwrap_or_default().0;
     let (entry, fingerprint) = (call.entry.to_string(), call.fingerprint.to_string());
--- a/crates/gateway/src/request/permit.rs
+++ b/crates/gateway/src/request/permit.rs
@@ -1,7 +1,7 @@
 //! Whether a request may be sent, as upstreams may have ended under it.
 
 use pumicecleat_net::Reply;
-use pumicecleat_policy::TRIED_FROM;
+use pumicecleat_policy::TRIAL_MIN_ENDS;
 use pumicecleat_types::{Millis, Trial};
 
 use super::job::Job;
@@ -29,7 +29,7 @@
         let ends = self.ends();
         match self.permit.get() {
             Permit::Trial(_, known) => ends <= known,
-            _ => ends < TRIED_FROM,
+            _ => ends < TRIAL_MIN_ENDS,
         }
     }
 
--- a/crates/gateway/src/side.rs
+++ b/crates/gateway/src/side.rs
@@ -211,7 +211,7 @@
     match &result {
         Ok(reply) => {
             if let (Some(told), Some(news)) = (suspects, &reply.suspects) {
-                suspects::hear(shared, address, told.told, news);
+                suspects::hear(shared, address, told.sent_up_to, news);
             }
             note_heard(shared, upstream, reply, sent);
         }
--- a/crates/gateway/src/suspects/keep.rs
+++ b/crates/gateway/src/suspects/keep.rs
@@ -13,7 +13,7 @@
 use async_channel::{Receiver, Sender};
 use pumicecleat_infra::{AppendError, KeyedLog, KeyedRecord};
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{Suspects, TRIED_FROM};
+use pumicecleat_policy::{SuspectTable, TRIAL_MIN_ENDS};
 use pumicecleat_types::{Fingerprint, Millis, SuspectWord};
 use serde::{Deserialize, Serialize};
 
@@ -138,8 +138,8 @@
     kept.word.age_ms += unix_ms().saturating_sub(kept.at);
     let now = shared.timer.now();
     let fingerprint = kept.word.fingerprint;
-    let new = shared.guard.table.borrow_mut().hear(&[kept.word], now);
-    if shared.guard.ends(&fingerprint, now) < TRIED_FROM {
+    let new = shared.guard.table.borrow_mut().merge(&[kept.word], now);
+    if shared.guard.ends(&fingerprint, now) < TRIAL_MIN_ENDS {
         shared.guard.unkept.add(fingerprint);
     }
     for fingerprint in new {
@@ -163,11 +163,11 @@
 }
 
 /// Value of a request's record; empty if it is not to be kept.
-fn value(suspects: &Suspects, fingerprint: &Fingerprint, now: Millis) -> Vec<u8> {
-    if suspects.ends(fingerprint, now) < TRIED_FROM {
+fn value(suspects: &SuspectTable, fingerprint: &Fingerprint, now: Millis) -> Vec<u8> {
+    if suspects.end_count(fingerprint, now) < TRIAL_MIN_ENDS {
         return Vec::new();
     }
-    let Some(word) = suspects.word(fingerprint, now) else {
+    let Some(word) = suspects.export(fingerprint, now) else {
         return Vec::new();
     };
     let kept = Kept {
--- a/crates/gateway/src/suspects/mod.rs
+++ b/crates/gateway/src/suspects/mod.rs
@@ -19,7 +19,7 @@
 
 use pumicecleat_catalog::Upstream;
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{SuspectLinks, Suspects, TRIED_FROM, Trials, end_key};
+use pumicecleat_policy::{SuspectSync, SuspectTable, TRIAL_MIN_ENDS, Trials, end_key};
 use pumicecleat_types::{Fingerprint, Millis};
 
 use crate::shared::Shared;
@@ -33,8 +33,8 @@
 
 /// What a gateway knows of requests under which upstreams end.
 pub(crate) struct Guard {
-    pub(crate) table: RefCell<Suspects>,
-    links: RefCell<SuspectLinks>,
+    pub(crate) table: RefCell<SuspectTable>,
+    links: RefCell<SuspectSync>,
     breaks: RefCell<Breaks>,
     leavers: RefCell<Leavers>,
     unkept: Unkept,
@@ -47,7 +47,7 @@
     /// Knows of none; `start` tells this start of the process from others.
     pub(crate) fn new(start: u64) -> Self {
         Self {
-            table: RefCell::new(Suspects::new(start)),
+            table: RefCell::new(SuspectTable::new(start)),
             links: RefCell::default(),
             breaks: RefCell::default(),
             leavers: RefCell::default(),
@@ -73,7 +73,7 @@
 
     /// Upstreams that a request may have ended.
     pub(crate) fn ends(&self, fingerprint: &Fingerprint, now: Millis) -> usize {
-        self.table.borrow().ends(fingerprint, now)
+        self.table.borrow().end_count(fingerprint, now)
     }
 }
 
@@ -114,10 +114,10 @@
             .guard
             .table
             .borrow_mut()
-            .ended(*fingerprint, key, *alone, now);
+            .record_end(*fingerprint, key, *alone, now);
         if new {
             tell_suspected(shared, fingerprint, &upstream.instance);
-            if shared.guard.ends(fingerprint, now) >= TRIED_FROM {
+            if shared.guard.ends(fingerprint, now) >= TRIAL_MIN_ENDS {
                 shared.guard.unkept.add(*fingerprint);
             }
         }
@@ -127,7 +127,7 @@
 /// Logs that a request needs permission from now on, if it does.
 fn tell_suspected(shared: &Shared, fingerprint: &Fingerprint, source: &str) {
     let ends = shared.guard.ends(fingerprint, shared.timer.now());
-    if ends < TRIED_FROM {
+    if ends < TRIAL_MIN_ENDS {
         return;
     }
     shared.meters.count_suspect("suspected");
@@ -142,8 +142,8 @@
 
 /// An upstream served the request.
 pub(crate) fn served(shared: &Shared, fingerprint: &Fingerprint) {
-    let ends = shared.guard.table.borrow_mut().served(fingerprint);
-    if ends < TRIED_FROM {
+    let ends = shared.guard.table.borrow_mut().record_served(fingerprint);
+    if ends < TRIAL_MIN_ENDS {
         return;
     }
     shared.guard.unkept.add(*fingerprint);
--- a/crates/gateway/src/suspects/news.rs
+++ b/crates/gateway/src/suspects/news.rs
@@ -2,17 +2,20 @@
 
 use std::net::SocketAddr;
 
-use pumicecleat_policy::CallNews;
+use pumicecleat_policy::OutgoingNews;
 use pumicecleat_types::{Seen, SuspectNews};
 
 use super::tell_suspected;
 use crate::shared::Shared;
 
 /// News for a call to `peer`.
-pub(crate) fn tell(shared: &Shared, peer: SocketAddr) -> CallNews {
+pub(crate) fn tell(shared: &Shared, peer: SocketAddr) -> OutgoingNews {
     let now = shared.timer.now();
     let guard = &shared.guard;
-    guard.links.borrow().call(peer, &guard.table.borrow(), now)
+    guard
+        .links
+        .borrow()
+        .outgoing_news(peer, &guard.table.borrow(), now)
 }
 
 /// `peer` answered a call that told it as far as `told`.
@@ -22,7 +25,7 @@
     let changed = {
         let mut table = guard.table.borrow_mut();
         let mut links = guard.links.borrow_mut();
-        links.answered(peer, told, reply, &mut table, now)
+        links.handle_reply(peer, told, reply, &mut table, now)
     };
     if changed.is_empty() {
         return;
--- a/crates/gateway/src/suspects/trial.rs
+++ b/crates/gateway/src/suspects/trial.rs
@@ -35,7 +35,7 @@
     fingerprint: Fingerprint,
 ) -> Result<Trial, Millis> {
     let now = shared.timer.now();
-    shared.guard.table.borrow_mut().came(&fingerprint, now);
+    shared.guard.table.borrow_mut().touch(&fingerprint, now);
     let call = call(shared, fingerprint, false);
     let answer = match known(shared, &fingerprint, now) {
         Some(left) => Answer::Known(left),
@@ -47,7 +47,7 @@
         Answer::Nobody => Err(UNANSWERED_RETRY),
         Answer::NoAgents => {
             let mut trials = shared.guard.trials.borrow_mut();
-            trials.ask(fingerprint, call.ends.len(), now)
+            trials.try_grant(fingerprint, call.ends.len(), now)
         }
     };
     if let (Err(retry), Answer::By(..)) = (outcome, &answer) {
@@ -83,7 +83,7 @@
 
 /// Time for which a request is refused without asking anybody.
 fn known(shared: &Shared, fingerprint: &Fingerprint, now: Millis) -> Option<Millis> {
-    let rest = shared.guard.table.borrow().rest(fingerprint, now);
+    let rest = shared.guard.table.borrow().retry_after(fingerprint, now);
     let ends = shared.guard.ends(fingerprint, now);
     rest.or_else(|| {
         let denials = shared.guard.denials.borrow();
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -106,7 +106,7 @@
         Ok(reply) => {
             link.answered(pick.key, digest, &reply);
             let known = !reply.unknown;
-            suspects::hear(shared, side, suspects.told, &reply.suspects);
+            suspects::hear(shared, side, suspects.sent_up_to, &reply.suspects);
             take(shared, reply, sent, now);
             known
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -56,4 +56,4 @@
 pub use scheduler::{
     Action, Bid, GiveUp, Job, JobId, LoadEnd, Scheduler, SchedulerOptions, Weights,
 };
-pub use suspects::{CallNews, SuspectLinks, Suspects, TRIED_FROM, Trials, end_key};
+pub use suspects::{OutgoingNews, SuspectSync, SuspectTable, TRIAL_MIN_ENDS, Trials, end_key};
--- a/crates/policy/src/suspects/links.rs
+++ b/crates/policy/src/suspects/links.rs
@@ -5,7 +5,7 @@
 
 use pumicecleat_types::{Fingerprint, Millis, Seen, SuspectNews};
 
-use super::Suspects;
+use super::SuspectTable;
 
 /// Time without an answer after which a process that was called is forgotten.
 const MEMORY: Millis = Millis(60_000);
@@ -22,37 +22,42 @@
 
 /// The processes that one process calls.
 #[derive(Clone, Debug, Default)]
-pub struct SuspectLinks {
+pub struct SuspectSync {
     links: BTreeMap<SocketAddr, Link>,
 }
 
 /// News for a call, and how far they go.
 #[derive(Clone, Debug, Default)]
-pub struct CallNews {
+pub struct OutgoingNews {
     /// What goes into the call.
     pub news: SuspectNews,
     /// What its answer confirms as told.
-    pub told: Seen,
+    pub sent_up_to: Seen,
 }
 
-impl SuspectLinks {
+impl SuspectSync {
     /// News for a call to `peer`.
     #[must_use]
-    pub fn call(&self, peer: SocketAddr, suspects: &Suspects, now: Millis) -> CallNews {
+    pub fn outgoing_news(
+        &self,
+        peer: SocketAddr,
+        suspects: &SuspectTable,
+        now: Millis,
+    ) -> OutgoingNews {
         let link = self.links.get(&peer).copied().unwrap_or_default();
         let mut news = suspects.news(link.told, now);
-        let told = std::mem::replace(&mut news.seen, link.heard);
-        CallNews { news, told }
+        let sent_up_to = std::mem::replace(&mut news.seen, link.heard);
+        OutgoingNews { news, sent_up_to }
     }
 
     /// `peer` answered a call that told it as far as `told`; gives the requests of which it told
     /// something new.
-    pub fn answered(
+    pub fn handle_reply(
         &mut self,
         peer: SocketAddr,
         told: Seen,
         reply: &SuspectNews,
-        suspects: &mut Suspects,
+        suspects: &mut SuspectTable,
         now: Millis,
     ) -> Vec<Fingerprint> {
         let link = self.links.entry(peer).or_default();
@@ -63,6 +68,6 @@
         link.heard = reply.seen;
         link.at = now;
         self.links.retain(|_, l| now.since(l.at) < MEMORY);
-        suspects.hear(&reply.words, now)
+        suspects.merge(&reply.words, now)
     }
 }
--- a/crates/policy/src/suspects/mod.rs
+++ b/crates/policy/src/suspects/mod.rs
@@ -5,12 +5,12 @@
 //! was under way is held to have ended the upstream, until it has been served: a request that is served
 //! was not the cause of any end before.
 //!
-//! - Below [`TRIED_FROM`] ends a request is sent like any other.
+//! - Below [`TRIAL_MIN_ENDS`] ends a request is sent like any other.
 //! - From there on it needs permission ([`Trials`]): it is sent once beside other suspects, and if the upstream
 //!   ends, once where no other suspect is. One that is served is free again; one under which an upstream ends
 //!   though it is alone there is the cause, and is refused.
 //!
-//! Each process keeps [`Suspects`] and passes on what is new to it ([`SuspectLinks`]). What they hold is
+//! Each process keeps [`SuspectTable`] and passes on what is new to it ([`SuspectSync`]). What they hold is
 //! a union over all, in which a cleared end stays cleared, so that the order of words does not matter.
 
 mod case;
@@ -18,10 +18,10 @@
 mod table;
 mod trials;
 
-pub use links::{CallNews, SuspectLinks};
-pub use table::{Suspects, end_key};
+pub use links::{OutgoingNews, SuspectSync};
+pub use table::{SuspectTable, end_key};
 pub use trials::Trials;
 
 /// Ends from which a request needs permission. With a single end nearly all are harmless; with two few
 /// are.
-pub const TRIED_FROM: usize = 2;
+pub const TRIAL_MIN_ENDS: usize = 2;
--- a/crates/policy/src/suspects/table.rs
+++ b/crates/policy/src/suspects/table.rs
@@ -22,7 +22,7 @@
 
 /// Requests under which upstreams ended.
 #[derive(Clone, Debug)]
-pub struct Suspects {
+pub struct SuspectTable {
     /// This start of the process, and its count of changes.
     seen: Seen,
     cases: BTreeMap<Fingerprint, Case>,
@@ -38,7 +38,7 @@
     crate::name_key(&format!("{instance} {born}"))
 }
 
-impl Suspects {
+impl SuspectTable {
     /// Knows of none; `start` tells this start of the process from others.
     #[must_use]
     pub fn new(start: u64) -> Self {
@@ -64,7 +64,7 @@
 
     /// Upstreams that a request may have ended.
     #[must_use]
-    pub fn ends(&self, fingerprint: &Fingerprint, now: Millis) -> usize {
+    pub fn end_count(&self, fingerprint: &Fingerprint, now: Millis) -> usize {
         let case = self.cases.get(fingerprint);
         let case = case.filter(|c| now.since(c.last) < MEMORY);
         case.map_or(0, Case::open)
@@ -72,7 +72,7 @@
 
     /// Time for which a request is refused, if it is the cause of an end.
     #[must_use]
-    pub fn rest(&self, fingerprint: &Fingerprint, now: Millis) -> Option<Millis> {
+    pub fn retry_after(&self, fingerprint: &Fingerprint, now: Millis) -> Option<Millis> {
         let case = self.cases.get(fingerprint)?;
         let left = (case.last + MEMORY).since(now);
         (case.is_proven() && left > Millis(0)).then_some(left)
@@ -89,7 +89,13 @@
 
     /// An upstream ended while the request was under way there, `alone` if no other suspect was; gives
     /// whether that is new.
-    pub fn ended(&mut self, fingerprint: Fingerprint, key: u64, alone: bool, now: Millis) -> bool {
+    pub fn record_end(
+        &mut self,
+        fingerprint: Fingerprint,
+        key: u64,
+        alone: bool,
+        now: Millis,
+    ) -> bool {
         let end = UpstreamEnd {
             key,
             alone,
@@ -99,7 +105,7 @@
     }
 
     /// The request was served; gives the ends that it is cleared of.
-    pub fn served(&mut self, fingerprint: &Fingerprint) -> usize {
+    pub fn record_served(&mut self, fingerprint: &Fingerprint) -> usize {
         let Some(case) = self.cases.get_mut(fingerprint) else {
             return 0;
         };
@@ -111,7 +117,7 @@
     }
 
     /// The request came again: it is remembered from now on.
-    pub fn came(&mut self, fingerprint: &Fingerprint, now: Millis) {
+    pub fn touch(&mut self, fingerprint: &Fingerprint, now: Millis) {
         if let Some(case) = self.cases.get_mut(fingerprint) {
             case.last = now;
         }
@@ -119,7 +125,7 @@
 
     /// What is known of a request.
     #[must_use]
-    pub fn word(&self, fingerprint: &Fingerprint, now: Millis) -> Option<SuspectWord> {
+    pub fn export(&self, fingerprint: &Fingerprint, now: Millis) -> Option<SuspectWord> {
         let case = self.cases.get(fingerprint)?;
         Some(SuspectWord {
             fingerprint: *fingerprint,
@@ -144,7 +150,7 @@
             if news.words.len() == WORDS {
                 break;
             }
-            if let Some(word) = self.word(fingerprint, now) {
+            if let Some(word) = self.export(fingerprint, now) {
                 news.words.push(word);
                 news.seen.count = *changed;
             }
@@ -156,7 +162,7 @@
     }
 
     /// Takes in what another process told; gives the requests of which it told something new.
-    pub fn hear(&mut self, words: &[SuspectWord], now: Millis) -> Vec<Fingerprint> {
+    pub fn merge(&mut self, words: &[SuspectWord], now: Millis) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
         for word in words {
             let at = now - Millis(word.age_ms);
--- a/crates/policy/src/suspects/trials.rs
+++ b/crates/policy/src/suspects/trials.rs
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// When to ask again, if it has none.
-    pub fn ask(
+    pub fn try_grant(
         &mut self,
         fingerprint: Fingerprint,
         ends: usize,
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,6 +1,6 @@
 //! Requests under which upstreams end: what is remembered, passed on, tried and forgotten.
 
-use pumicecleat_policy::{SuspectLinks, Suspects, TRIED_FROM, Trials, end_key};
+use pumicecleat_policy::{SuspectSync, SuspectTable, TRIAL_MIN_ENDS, Trials, end_key};
 use pumicecleat_types::{Fingerprint, Millis, Seen, Trial};
 
 /// Time for which a request is remembered.
@@ -56,14 +56,14 @@
     ];
     for case in cases {
         for order in [[0, 1, 2], [2, 1, 0], [1, 0, 2], [1, 2, 0]] {
-            let mut all: Vec<Suspects> = (1..4).map(Suspects::new).collect();
+            let mut all: Vec<SuspectTable> = (1..4).map(SuspectTable::new).collect();
             for (at, step) in case.steps {
                 match step {
                     Ended(key) => {
-                        all[*at].ended(request(1), *key, false, Millis(5));
+                        all[*at].record_end(request(1), *key, false, Millis(5));
                     }
                     Served => {
-                        all[*at].served(&request(1));
+                        all[*at].record_served(&request(1));
                     }
                 }
             }
@@ -72,12 +72,12 @@
                 for from in order {
                     let news = all[from].news(Seen::default(), Millis(9));
                     for to in &mut all {
-                        to.hear(&news.words, Millis(9));
+                        to.merge(&news.words, Millis(9));
                     }
                 }
             }
             for known in &all {
-                let ends = known.ends(&request(1), Millis(9));
+                let ends = known.end_count(&request(1), Millis(9));
                 assert_eq!(ends, case.ends, "{} {order:?}", case.name);
             }
         }
@@ -86,26 +86,26 @@
 
 #[test]
 fn each_call_tells_only_what_is_new_and_one_that_starts_again_hears_all() {
-    let mut gateway = Suspects::new(1);
-    let mut links = SuspectLinks::default();
+    let mut gateway = SuspectTable::new(1);
+    let mut links = SuspectSync::default();
     let agent = "10.0.0.1:80".parse().unwrap();
     let now = Millis(5);
-    let mut call = |gateway: &mut Suspects, side: &mut Suspects| {
-        let call = links.call(agent, gateway, now);
-        side.hear(&call.news.words, now);
+    let mut call = |gateway: &mut SuspectTable, side: &mut SuspectTable| {
+        let call = links.outgoing_news(agent, gateway, now);
+        side.merge(&call.news.words, now);
         let reply = side.news(call.news.seen, now);
-        links.answered(agent, call.told, &reply, gateway, now);
+        links.handle_reply(agent, call.sent_up_to, &reply, gateway, now);
         call.news.words.len()
     };
-    let mut side = Suspects::new(2);
-    gateway.ended(request(1), 1, false, now);
-    gateway.ended(request(2), 1, false, now);
+    let mut side = SuspectTable::new(2);
+    gateway.record_end(request(1), 1, false, now);
+    gateway.record_end(request(2), 1, false, now);
     assert_eq!(call(&mut gateway, &mut side), 2);
     assert_eq!(call(&mut gateway, &mut side), 0);
-    side.ended(request(3), 2, false, now);
+    side.record_end(request(3), 2, false, now);
     assert_eq!(call(&mut gateway, &mut side), 0);
-    assert_eq!(gateway.ends(&request(3), now), 1);
-    let mut side = Suspects::new(3);
+    assert_eq!(gateway.end_count(&request(3), now), 1);
+    let mut side = SuspectTable::new(3);
     call(&mut gateway, &mut side);
     assert_eq!(call(&mut gateway, &mut side), 3);
     assert_eq!(side.len(), 3);
@@ -113,16 +113,16 @@
 
 #[test]
 fn many_requests_are_told_of_in_several_calls() {
-    let mut gateway = Suspects::new(1);
+    let mut gateway = SuspectTable::new(1);
     for n in 0..300 {
-        gateway.ended(request(n), 1, false, Millis(5));
+        gateway.record_end(request(n), 1, false, Millis(5));
     }
-    let mut side = Suspects::new(2);
+    let mut side = SuspectTable::new(2);
     let mut seen = Seen::default();
     for _ in 0..4 {
         let news = gateway.news(seen, Millis(5));
         assert!(news.words.len() <= 128);
-        side.hear(&news.words, Millis(5));
+        side.merge(&news.words, Millis(5));
         seen = news.seen;
     }
     assert_eq!(side.len(), 300);
@@ -130,32 +130,32 @@
 
 #[test]
 fn a_flood_of_requests_keeps_those_with_more_ends_and_bounded_memory() {
-    let mut known = Suspects::new(1);
+    let mut known = SuspectTable::new(1);
     let (poison, now) = (request(u32::MAX), Millis(5));
-    known.ended(poison, 1, false, now);
-    known.ended(poison, 2, false, now);
+    known.record_end(poison, 1, false, now);
+    known.record_end(poison, 2, false, now);
     for n in 0..6_000 {
-        known.ended(request(n), 3, false, now);
+        known.record_end(request(n), 3, false, now);
     }
     assert!(known.len() <= 4_096);
-    assert_eq!(known.ends(&poison, now), 2);
-    assert_eq!(known.ends(&request(5_999), now), 1);
+    assert_eq!(known.end_count(&poison, now), 2);
+    assert_eq!(known.end_count(&request(5_999), now), 1);
 }
 
 #[test]
 fn a_request_that_comes_is_remembered_and_one_that_rests_is_forgotten_everywhere() {
-    let mut known = Suspects::new(1);
-    known.ended(request(1), 1, false, Millis(0));
-    known.ended(request(2), 1, false, Millis(0));
+    let mut known = SuspectTable::new(1);
+    known.record_end(request(1), 1, false, Millis(0));
+    known.record_end(request(2), 1, false, Millis(0));
     let half = Millis(MEMORY.0 / 2);
-    known.came(&request(1), half);
+    known.touch(&request(1), half);
     let late = MEMORY + Millis(1);
-    assert_eq!(known.ends(&request(1), late), 1);
-    assert_eq!(known.ends(&request(2), late), 0);
-    let mut other = Suspects::new(2);
-    other.hear(&known.news(Seen::default(), late).words, late);
-    assert_eq!(other.ends(&request(1), late), 1);
-    assert_eq!(other.ends(&request(2), late), 0);
+    assert_eq!(known.end_count(&request(1), late), 1);
+    assert_eq!(known.end_count(&request(2), late), 0);
+    let mut other = SuspectTable::new(2);
+    other.merge(&known.news(Seen::default(), late).words, late);
+    assert_eq!(other.end_count(&request(1), late), 1);
+    assert_eq!(other.end_count(&request(2), late), 0);
 }
 
 #[test]
@@ -232,7 +232,7 @@
     for case in cases {
         let mut trials = Trials::default();
         let asks = case.asks.iter();
-        let outcomes = asks.map(|(at, ends)| trials.ask(request(1), *ends, Millis(*at)));
+        let outcomes = asks.map(|(at, ends)| trials.try_grant(request(1), *ends, Millis(*at)));
         let last = outcomes.last().unwrap();
         assert_eq!(last.ok(), case.last, "{}", case.name);
         assert!(
@@ -246,34 +246,40 @@
 #[test]
 fn leave_that_was_not_used_can_be_had_again() {
     let mut trials = Trials::default();
-    assert_eq!(trials.ask(request(1), 2, Millis(0)), Ok(Trial::Shared));
+    assert_eq!(
+        trials.try_grant(request(1), 2, Millis(0)),
+        Ok(Trial::Shared)
+    );
     trials.give_back(&request(1));
-    assert_eq!(trials.ask(request(1), 2, Millis(1)), Ok(Trial::Shared));
-    assert_eq!(trials.ask(request(1), 3, Millis(2)), Ok(Trial::Alone));
+    assert_eq!(
+        trials.try_grant(request(1), 2, Millis(1)),
+        Ok(Trial::Shared)
+    );
+    assert_eq!(trials.try_grant(request(1), 3, Millis(2)), Ok(Trial::Alone));
     trials.give_back(&request(1));
-    assert_eq!(trials.ask(request(1), 3, Millis(3)), Ok(Trial::Alone));
+    assert_eq!(trials.try_grant(request(1), 3, Millis(3)), Ok(Trial::Alone));
 }
 
 /// Whether a request may be sent, and by which trial if it needs one.
 fn ask(
-    known: &Suspects,
+    known: &SuspectTable,
     trials: &mut Trials,
     request: Fingerprint,
     now: Millis,
 ) -> Result<Option<Trial>, Millis> {
-    let ends = known.ends(&request, now);
-    if ends < TRIED_FROM {
+    let ends = known.end_count(&request, now);
+    if ends < TRIAL_MIN_ENDS {
         return Ok(None);
     }
-    if let Some(rest) = known.rest(&request, now) {
+    if let Some(rest) = known.retry_after(&request, now) {
         return Err(rest);
     }
-    trials.ask(request, ends, now).map(Some)
+    trials.try_grant(request, ends, now).map(Some)
 }
 
 /// Plays a poison request among harmless ones: all of an engine's are there when it ends, and come again.
 fn play(harmless: u32, engines: usize) -> (usize, u32) {
-    let mut known = Suspects::new(1);
+    let mut known = SuspectTable::new(1);
     let mut trials = Trials::default();
     let poison = request(0);
     let mut ended = 0;
@@ -295,13 +301,13 @@
             if strikes && n % engines == 0 && !apart {
                 there.push(id);
             } else {
-                known.served(&request(id));
+                known.record_served(&request(id));
             }
         }
         if strikes {
             ended += 1;
             for id in there.iter().chain([&0]) {
-                known.ended(request(*id), round, alone && *id == 0, now);
+                known.record_end(request(*id), round, alone && *id == 0, now);
             }
         }
         waiting = there;
