--- a/crates/entry/src/directory/vms.rs
+++ b/crates/entry/src/directory/vms.rs
@@ -60,7 +60,7 @@
         }
     }
     for up in &change.gone {
-        shared.order.borrow_mut().forget(*up);
+        shared.order.borrow_mut().remove_side(*up);
     }
 }
 
--- a/crates/entry/src/peer/load.rs
+++ b/crates/entry/src/peer/load.rs
@@ -30,7 +30,7 @@
 /// Calls the side that should bid now; true if it does not, so that another should be called.
 async fn call_next(shared: &Shared) -> bool {
     let now = shared.timer.now();
-    let Some(up) = shared.order.borrow_mut().call(now) else {
+    let Some(up) = shared.order.borrow_mut().side_to_call(now) else {
         return false;
     };
     let address = shared.directory.borrow().address(up);
@@ -43,7 +43,7 @@
     };
     let bids = reply.is_some_and(|called: LoadCalled| called.bids);
     if !bids {
-        shared.order.borrow_mut().uncalled(up);
+        shared.order.borrow_mut().remove_bid(up);
     }
     !bids
 }
@@ -59,7 +59,7 @@
     });
     let before = shared.order.borrow().holder();
     let turn = shared.order.borrow_mut().bid(up, wanted.as_ref(), now);
-    let load = shared.order.borrow().load();
+    let load = shared.order.borrow().load_time();
     shared.directory.borrow_mut().set_load(load);
     if let LoadTurn::Go { .. } = turn {
         note(shared, bid, before, up);
--- a/crates/entry/src/start/dump.rs
+++ b/crates/entry/src/start/dump.rs
@@ -90,9 +90,9 @@
         let order = self.shared.order.borrow();
         OrderDump {
             store: self.shared.options.store.clone(),
-            waiting: order.waiting(),
+            waiting: order.waiting_sides(),
             held: order.holder().is_some(),
-            load_ms: order.load().0,
+            load_ms: order.load_time().0,
         }
     }
 }
--- a/crates/policy/src/load_order/mod.rs
+++ b/crates/policy/src/load_order/mod.rs
@@ -47,7 +47,7 @@
             bids: Bids::default(),
             holder: None,
             free: Millis(0),
-            pace: Pace::new(options.load),
+            pace: Pace::new(options.initial_load_time),
         }
     }
 
@@ -66,7 +66,7 @@
             self.end(side, now);
         }
         self.bids.put(side, *bid, now);
-        let soon = now + self.options.longest;
+        let soon = now + self.options.max_rebid_delay;
         let first = self.holder.is_none() && self.bids.first(now, soon) == Some(side);
         if first {
             self.bids.remove(side);
@@ -77,34 +77,34 @@
 
     /// Side to call, as the store stands idle: those that were to come back first have not, and the
     /// most urgent of the others may have been told to come back much later.
-    pub fn call(&mut self, now: Millis) -> Option<UpstreamIx> {
+    pub fn side_to_call(&mut self, now: Millis) -> Option<UpstreamIx> {
         self.drop_stale(now);
-        let idle = self.holder.is_none() && now.since(self.free) > self.options.longest;
+        let idle = self.holder.is_none() && now.since(self.free) > self.options.max_rebid_delay;
         let side = idle.then(|| self.bids.most_urgent(now)).flatten()?;
         self.bids.expect(side, now);
         Some(side)
     }
 
     /// A side that was called wants no turn, or does not answer: its bid ends.
-    pub fn uncalled(&mut self, side: UpstreamIx) {
+    pub fn remove_bid(&mut self, side: UpstreamIx) {
         self.bids.remove(side);
     }
 
     /// A side is gone: its turn and its bid end.
-    pub fn forget(&mut self, side: UpstreamIx) {
+    pub fn remove_side(&mut self, side: UpstreamIx) {
         self.bids.remove(side);
         self.holder = self.holder.filter(|h| h.side != side);
     }
 
     /// Expected time of a load, as seen by the turns.
     #[must_use]
-    pub fn load(&self) -> Millis {
+    pub fn load_time(&self) -> Millis {
         self.pace.load()
     }
 
     /// Sides that have a fresh bid, with the one that holds the turn.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_sides(&self) -> usize {
         self.bids.len()
     }
 
@@ -135,7 +135,7 @@
     }
 
     fn drop_stale(&mut self, now: Millis) {
-        self.bids.drop_stale(now.since(self.options.fresh));
+        self.bids.drop_stale(now.since(self.options.bid_grace));
         if let Some(holder) = self.holder.filter(|h| h.until <= now) {
             self.pace.took(now.since(holder.since));
             self.holder = None;
@@ -159,10 +159,10 @@
     fn wait(&mut self, side: UpstreamIx, now: Millis) -> LoadTurn {
         let end = self.holder.map(|h| h.since + self.pace.load());
         let left = end.map_or(Millis(0), |at| at.since(now));
-        let next = left.clamp(self.options.shortest, self.options.longest);
+        let next = left.clamp(self.options.min_rebid_delay, self.options.max_rebid_delay);
         let before = self.bids.before(side, now);
         let load = self.pace.load().0;
-        let queue = Millis(load * before / 2).min(self.options.queue);
+        let queue = Millis(load * before / 2).min(self.options.max_queue_delay);
         let again = next + queue;
         self.bids.expect(side, now + again);
         LoadTurn::Wait {
--- a/crates/policy/tests/load_order_cases.rs
+++ b/crates/policy/tests/load_order_cases.rs
@@ -167,9 +167,9 @@
         order.bid(side, Some(&bid((lora, 1, 0))), now);
         now = now + Millis(2_000);
     }
-    let load = order.load();
+    let load = order.load_time();
     assert!(load > Millis(1_800), "{load:?}");
-    order.forget(side);
+    order.remove_side(side);
     assert_eq!(order.holder(), None);
 }
 
@@ -190,15 +190,19 @@
         panic!("the turn is held");
     };
     assert!(again_ms > 10_000, "{again_ms}");
-    assert_eq!(order.call(Millis(400)), None, "the turn is held");
+    assert_eq!(order.side_to_call(Millis(400)), None, "the turn is held");
     order.bid(UpstreamIx(0), None, Millis(500));
-    assert_eq!(order.call(Millis(700)), None, "those in front may come yet");
+    assert_eq!(
+        order.side_to_call(Millis(700)),
+        None,
+        "those in front may come yet"
+    );
     for side in 1..80 {
-        assert_eq!(order.call(Millis(701)), Some(UpstreamIx(side)));
-        order.uncalled(UpstreamIx(side));
+        assert_eq!(order.side_to_call(Millis(701)), Some(UpstreamIx(side)));
+        order.remove_bid(UpstreamIx(side));
     }
-    assert_eq!(order.call(Millis(702)), Some(UpstreamIx(80)));
-    assert_eq!(order.call(Millis(802)), Some(UpstreamIx(80)));
+    assert_eq!(order.side_to_call(Millis(702)), Some(UpstreamIx(80)));
+    assert_eq!(order.side_to_call(Millis(802)), Some(UpstreamIx(80)));
     assert!(matches!(ask(&mut order, 80, 810), LoadTurn::Go { .. }));
-    assert_eq!(order.call(Millis(1_000)), None, "the turn is held");
+    assert_eq!(order.side_to_call(Millis(1_000)), None, "the turn is held");
 }
