--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -86,7 +86,7 @@
         self.note(&call, now);
         if let Some(limit) = call.limit {
             let mut limits = self.shared.limits.borrow_mut();
-            limits.hear(&call.instance, limit, now);
+            limits.apply_news(&call.instance, limit, now);
         }
         // Also without an ask: entries that take the engine for another than we do ask nothing of it.
         let meant = self.shared.is_meant(&call.instance);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -251,7 +251,7 @@
             } => self.guard.note_leaving(instance, true, self.timer.now()),
             Applied::Gone { instance } => {
                 self.guard.note_leaving(instance, false, self.timer.now());
-                self.limits.borrow_mut().forget(instance);
+                self.limits.borrow_mut().remove(instance);
                 self.meters.set_rate_limit(instance, None);
                 self.table.forget(instance);
             }
--- a/crates/policy/src/limits/named.rs
+++ b/crates/policy/src/limits/named.rs
@@ -143,7 +143,7 @@
     }
 
     /// Applies news of the limit of `instance` from another process, unless a later response is known.
-    pub fn hear(&mut self, instance: &str, news: LimitNews, now: Millis) {
+    pub fn apply_news(&mut self, instance: &str, news: LimitNews, now: Millis) {
         let at = Millis(now.0.saturating_sub(news.age_ms));
         let known = self.limits.get(instance).map(|l| l.updated_at);
         let known = known.max(self.ended.get(instance).copied());
@@ -237,7 +237,7 @@
     }
 
     /// Removes all state of an upstream that no longer exists.
-    pub fn forget(&mut self, instance: &str) {
+    pub fn remove(&mut self, instance: &str) {
         self.limits.remove(instance);
         self.ended.remove(instance);
         self.exhausted_until.remove(instance);
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -251,7 +251,7 @@
                 rate: *rate,
                 age_ms: *age_ms,
             };
-            limits.hear("i-1", news, Millis(*now));
+            limits.apply_news("i-1", news, Millis(*now));
         }
         assert_eq!(limits.rate("i-1", None), case.rate, "{}", case.name);
     }
