--- a/crates/policy/src/suspects/links.rs
+++ b/crates/policy/src/suspects/links.rs
@@ -1,4 +1,4 @@
-//! How far each process that is called has heard of suspects, and was heard.
+//! Exchange of suspects with the processes that this process calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,36 +7,36 @@
 
 use super::SuspectTable;
 
-/// Time without an answer after which a process that was called is forgotten.
-const MEMORY: Millis = Millis(60_000);
+/// Time since its last reply after which the state of a peer is removed.
+const PEER_TTL: Millis = Millis(60_000);
 
-/// What is known of one process that is called.
+/// State of the exchange with one peer.
 #[derive(Clone, Copy, Debug, Default)]
-struct Link {
-    /// Last reply heard from it.
-    heard: Seen,
-    /// What it was told.
-    told: Seen,
-    at: Millis,
+struct Peer {
+    /// Position in the peer's changes up to which they were received.
+    received: Seen,
+    /// Position in the own changes up to which the peer has them.
+    acked: Seen,
+    replied_at: Millis,
 }
 
-/// The processes that one process calls.
+/// State of the exchange with each peer.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectSync {
-    links: BTreeMap<SocketAddr, Link>,
+    peers: BTreeMap<SocketAddr, Peer>,
 }
 
-/// News for a call, and how far they go.
+/// News to send with a call.
 #[derive(Clone, Debug, Default)]
 pub struct OutgoingNews {
-    /// What goes into the call.
+    /// Content of the call.
     pub news: SuspectNews,
-    /// What its answer confirms as told.
+    /// Position in the own changes up to which the peer has them once it replies.
     pub sent_up_to: Seen,
 }
 
 impl SuspectSync {
-    /// News for a call to `peer`.
+    /// Returns the news for a call to `peer`.
     #[must_use]
     pub fn outgoing_news(
         &self,
@@ -44,30 +44,34 @@
         suspects: &SuspectTable,
         now: Millis,
     ) -> OutgoingNews {
-        let link = self.links.get(&peer).copied().unwrap_or_default();
-        let mut news = suspects.news(link.told, now);
-        let sent_up_to = std::mem::replace(&mut news.seen, link.heard);
+        let state = self.peers.get(&peer).copied().unwrap_or_default();
+        let mut news = suspects.news(state.acked, now);
+        let sent_up_to = std::mem::replace(&mut news.seen, state.received);
         OutgoingNews { news, sent_up_to }
     }
 
-    /// `peer` answered a call that told it as far as `told`; gives the requests of which it told
-    /// something new.
+    /// Applies the reply of `peer` to a call that carried the changes up to `sent_up_to`; returns the requests
+    /// for which it contained something new.
     pub fn handle_reply(
         &mut self,
         peer: SocketAddr,
-        told: Seen,
+        sent_up_to: Seen,
         reply: &SuspectNews,
         suspects: &mut SuspectTable,
         now: Millis,
     ) -> Vec<Fingerprint> {
-        let link = self.links.entry(peer).or_default();
-        let again = link.heard.start != reply.seen.start;
-        // One that started again has heard nothing but this call.
-        let first = again && link.heard != Seen::default();
-        link.told = if first { Seen::default() } else { told };
-        link.heard = reply.seen;
-        link.at = now;
-        self.links.retain(|_, l| now.since(l.at) < MEMORY);
+        let state = self.peers.entry(peer).or_default();
+        let start_changed = state.received.start != reply.seen.start;
+        // A peer that has restarted knows only what this call carried.
+        let restarted = start_changed && state.received != Seen::default();
+        state.acked = if restarted {
+            Seen::default()
+        } else {
+            sent_up_to
+        };
+        state.received = reply.seen;
+        state.replied_at = now;
+        self.peers.retain(|_, p| now.since(p.replied_at) < PEER_TTL);
         suspects.merge(&reply.words, now)
     }
 }
--- a/crates/policy/src/suspects/mod.rs
+++ b/crates/policy/src/suspects/mod.rs
@@ -1,20 +1,20 @@
-//! Requests under which upstreams end.
+//! Detection of requests that terminate upstreams.
 //!
-//! Some request ends each upstream that begins to run it, and its caller sends it again. Many others
-//! run beside it when an upstream ends, and upstreams end for other reasons too. So each request that
-//! was under way is held to have ended the upstream, until it has been served: a request that is served
-//! was not the cause of any end before.
+//! A request may terminate every upstream that starts to run it, and its caller sends it again. Many other
+//! requests are in progress at an upstream when it ends, and upstreams also end for other reasons. Each request
+//! that was in progress is therefore suspected of having caused the end until it has been served: a request that
+//! is served did not cause any earlier end.
 //!
-//! - Below [`TRIAL_MIN_ENDS`] ends a request is sent like any other.
-//! - From there on it needs permission ([`Trials`]): it is sent once beside other suspects, and if the upstream
-//!   ends, once where no other suspect is. One that is served is free again; one under which an upstream ends
-//!   though it is alone there is the cause, and is refused.
+//! - With fewer than [`TRIAL_MIN_ENDS`] ends, a request is sent like any other.
+//! - From then on it needs permission ([`Trials`]): it is sent once together with other suspects and, if the
+//!   upstream ends, once to an upstream that runs no other suspect. A request that is served is no longer
+//!   suspected. A request that was the only suspect at an upstream that ended is the cause, and is refused.
 //!
-//! Each process keeps [`SuspectTable`] and passes on what is new to it ([`SuspectSync`]). What they hold is
-//! a union over all, in which a cleared end stays cleared, so that the order of words does not matter.
+//! Each process has a [`SuspectTable`] and sends its changes to others ([`SuspectSync`]). Tables are merged by
+//! union, and a cleared end stays cleared, so the order of messages does not matter.
 
-mod case;
 mod links;
+mod suspect;
 mod table;
 mod trials;
 
@@ -22,6 +22,6 @@
 pub use table::{SuspectTable, end_key};
 pub use trials::Trials;
 
-/// Ends from which a request needs permission. With a single end nearly all are harmless; with two few
-/// are.
+/// Number of ends from which a request needs permission. Nearly all requests with a single end are harmless;
+/// few of those with two are.
 pub const TRIAL_MIN_ENDS: usize = 2;
--- a/crates/policy/src/suspects/table.rs
+++ b/crates/policy/src/suspects/table.rs
@@ -1,37 +1,37 @@
-//! All requests under which upstreams ended, as far as one process knows.
+//! Requests that one process knows to have been in progress when upstreams ended.
 
 use std::collections::BTreeMap;
 
 use pumicecleat_types::{Fingerprint, Millis, Seen, SuspectNews, SuspectWord, UpstreamEnd};
 
-use super::case::Case;
+use super::suspect::Suspect;
 
-/// Time after its last end, and after it last came, for which a request is remembered: longer than
-/// callers go on with one, and than a release of all upstreams takes.
-const MEMORY: Millis = Millis(600_000);
+/// Time for which a request is stored after its last end or arrival. Longer than callers retry a request, and
+/// than a rollout to all upstreams takes.
+const SUSPECT_TTL: Millis = Millis(600_000);
 
-/// Most requests remembered: some 250 bytes each, a megabyte in all. Those with the fewest ends go
-/// first, the oldest of them before the others.
-const CASES: usize = 4_096;
+/// Maximum number of requests stored, at about 250 bytes each and 1 MB in total. Requests with the fewest ends
+/// are evicted first, and among these the least recently changed.
+const MAX_SUSPECTS: usize = 4_096;
 
-/// Requests told of in one message.
-const WORDS: usize = 128;
+/// Maximum number of requests in a message.
+const MAX_MESSAGE_RECORDS: usize = 128;
 
-/// Pause between two looks for what may be forgotten.
-const LOOK: Millis = Millis(10_000);
+/// Minimum interval between removals of expired requests.
+const PRUNE_INTERVAL: Millis = Millis(10_000);
 
-/// Requests under which upstreams ended.
+/// Requests that were in progress when upstreams ended.
 #[derive(Clone, Debug)]
 pub struct SuspectTable {
-    /// This start of the process, and its count of changes.
-    seen: Seen,
-    cases: BTreeMap<Fingerprint, Case>,
-    /// Requests by the change at which they last changed.
-    changes: BTreeMap<u64, Fingerprint>,
-    looked: Millis,
+    /// ID of this start of the process, and number of changes since.
+    revision: Seen,
+    suspects: BTreeMap<Fingerprint, Suspect>,
+    /// Requests by the number of their last change.
+    by_last_change: BTreeMap<u64, Fingerprint>,
+    pruned_at: Millis,
 }
 
-/// Key of one start of an upstream.
+/// Key of an upstream instance that was started at `born`.
 #[must_use]
 pub fn end_key(instance: &str, born: Option<u64>) -> u64 {
     let born = born.unwrap_or_default();
@@ -39,56 +39,56 @@
 }
 
 impl SuspectTable {
-    /// Knows of none; `start` tells this start of the process from others.
+    /// Creates an empty table; `start` identifies this start of the process.
     #[must_use]
     pub fn new(start: u64) -> Self {
         Self {
-            seen: Seen { start, count: 0 },
-            cases: BTreeMap::new(),
-            changes: BTreeMap::new(),
-            looked: Millis(0),
+            revision: Seen { start, count: 0 },
+            suspects: BTreeMap::new(),
+            by_last_change: BTreeMap::new(),
+            pruned_at: Millis(0),
         }
     }
 
-    /// Requests known of.
+    /// Number of requests stored.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.cases.len()
+        self.suspects.len()
     }
 
-    /// Whether none is known of.
+    /// Whether no request is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.suspects.is_empty()
     }
 
-    /// Upstreams that a request may have ended.
+    /// Number of ends that a request may have caused.
     #[must_use]
     pub fn end_count(&self, fingerprint: &Fingerprint, now: Millis) -> usize {
-        let case = self.cases.get(fingerprint);
-        let case = case.filter(|c| now.since(c.last) < MEMORY);
-        case.map_or(0, Case::open)
+        let suspect = self.suspects.get(fingerprint);
+        let suspect = suspect.filter(|s| now.since(s.last_activity) < SUSPECT_TTL);
+        suspect.map_or(0, Suspect::open_ends)
     }
 
-    /// Time for which a request is refused, if it is the cause of an end.
+    /// Time until a request may be retried, if it is known to have caused an end.
     #[must_use]
     pub fn retry_after(&self, fingerprint: &Fingerprint, now: Millis) -> Option<Millis> {
-        let case = self.cases.get(fingerprint)?;
-        let left = (case.last + MEMORY).since(now);
-        (case.is_proven() && left > Millis(0)).then_some(left)
+        let suspect = self.suspects.get(fingerprint)?;
+        let remaining = (suspect.last_activity + SUSPECT_TTL).since(now);
+        (suspect.is_proven() && remaining > Millis(0)).then_some(remaining)
     }
 
-    /// Their keys.
+    /// Keys of the ends that a request may have caused.
     #[must_use]
     pub fn end_keys(&self, fingerprint: &Fingerprint) -> Vec<u64> {
-        self.cases
+        self.suspects
             .get(fingerprint)
-            .map(Case::keys)
+            .map(Suspect::open_end_keys)
             .unwrap_or_default()
     }
 
-    /// An upstream ended while the request was under way there, `alone` if no other suspect was; gives
-    /// whether that is new.
+    /// Records that an upstream ended while the request was in progress there, `alone` if no other suspect was;
+    /// returns whether this is new.
     pub fn record_end(
         &mut self,
         fingerprint: Fingerprint,
@@ -101,126 +101,131 @@
             alone,
             cleared: false,
         };
-        self.take(fingerprint, &[end], now, now)
+        self.merge_ends(fingerprint, &[end], now, now)
     }
 
-    /// The request was served; gives the ends that it is cleared of.
+    /// Clears a request that was served; returns the number of ends that this clears.
     pub fn record_served(&mut self, fingerprint: &Fingerprint) -> usize {
-        let Some(case) = self.cases.get_mut(fingerprint) else {
+        let Some(suspect) = self.suspects.get_mut(fingerprint) else {
             return 0;
         };
-        let open = case.open();
-        if case.clear() {
-            self.note_change(*fingerprint);
+        let open = suspect.open_ends();
+        if suspect.clear() {
+            self.record_change(*fingerprint);
         }
         open
     }
 
-    /// The request came again: it is remembered from now on.
+    /// Records that the request arrived again, so that it stays stored.
     pub fn touch(&mut self, fingerprint: &Fingerprint, now: Millis) {
-        if let Some(case) = self.cases.get_mut(fingerprint) {
-            case.last = now;
+        if let Some(suspect) = self.suspects.get_mut(fingerprint) {
+            suspect.last_activity = now;
         }
     }
 
-    /// What is known of a request.
+    /// State of a request, in the form in which it is sent and stored.
     #[must_use]
     pub fn export(&self, fingerprint: &Fingerprint, now: Millis) -> Option<SuspectWord> {
-        let case = self.cases.get(fingerprint)?;
+        let suspect = self.suspects.get(fingerprint)?;
         Some(SuspectWord {
             fingerprint: *fingerprint,
-            ends: case.words(),
-            age_ms: now.since(case.last).0,
+            ends: suspect.all_ends(),
+            age_ms: now.since(suspect.last_activity).0,
         })
     }
 
-    /// What is new since `seen`, and how far that goes.
+    /// Changes since `seen`, or all if it is of another start of the process, up to the maximum for a message; and
+    /// the position up to which they go.
     #[must_use]
     pub fn news(&self, seen: Seen, now: Millis) -> SuspectNews {
-        let since = if seen.start == self.seen.start {
+        let since = if seen.start == self.revision.start {
             seen.count
         } else {
             0
         };
         let mut news = SuspectNews {
-            seen: self.seen,
+            seen: self.revision,
             words: Vec::new(),
         };
-        for (changed, fingerprint) in self.changes.range(since + 1..) {
-            if news.words.len() == WORDS {
+        for (change, fingerprint) in self.by_last_change.range(since + 1..) {
+            if news.words.len() == MAX_MESSAGE_RECORDS {
                 break;
             }
-            if let Some(word) = self.export(fingerprint, now) {
-                news.words.push(word);
-                news.seen.count = *changed;
+            if let Some(record) = self.export(fingerprint, now) {
+                news.words.push(record);
+                news.seen.count = *change;
             }
         }
-        if news.words.len() < WORDS {
-            news.seen.count = self.seen.count;
+        if news.words.len() < MAX_MESSAGE_RECORDS {
+            news.seen.count = self.revision.count;
         }
         news
     }
 
-    /// Takes in what another process told; gives the requests of which it told something new.
-    pub fn merge(&mut self, words: &[SuspectWord], now: Millis) -> Vec<Fingerprint> {
+    /// Merges records that a process sent or stored; returns the requests for which they contained something new.
+    pub fn merge(&mut self, records: &[SuspectWord], now: Millis) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
-        for word in words {
-            let at = now - Millis(word.age_ms);
-            if word.age_ms < MEMORY.0 && self.take(word.fingerprint, &word.ends, at, now) {
-                changed.push(word.fingerprint);
+        for record in records {
+            let at = now - Millis(record.age_ms);
+            if record.age_ms < SUSPECT_TTL.0
+                && self.merge_ends(record.fingerprint, &record.ends, at, now)
+            {
+                changed.push(record.fingerprint);
             }
         }
         changed
     }
 
-    fn take(
+    fn merge_ends(
         &mut self,
         fingerprint: Fingerprint,
         ends: &[UpstreamEnd],
         at: Millis,
         now: Millis,
     ) -> bool {
-        self.forget(now);
-        let case = self.cases.entry(fingerprint).or_default();
-        case.last = case.last.max(at);
-        let new = ends.iter().filter(|end| case.take(**end)).count();
-        if new > 0 {
-            self.note_change(fingerprint);
+        self.prune(now);
+        let suspect = self.suspects.entry(fingerprint).or_default();
+        suspect.last_activity = suspect.last_activity.max(at);
+        let new_ends = ends.iter().filter(|end| suspect.merge_end(**end)).count();
+        if new_ends > 0 {
+            self.record_change(fingerprint);
         }
-        new > 0
+        new_ends > 0
     }
 
-    fn note_change(&mut self, fingerprint: Fingerprint) {
-        self.seen.count += 1;
-        let count = self.seen.count;
-        if let Some(case) = self.cases.get_mut(&fingerprint) {
-            self.changes.remove(&case.changed);
-            case.changed = count;
-            self.changes.insert(count, fingerprint);
+    fn record_change(&mut self, fingerprint: Fingerprint) {
+        self.revision.count += 1;
+        let count = self.revision.count;
+        if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
+            self.by_last_change.remove(&suspect.last_change);
+            suspect.last_change = count;
+            self.by_last_change.insert(count, fingerprint);
         }
     }
 
-    /// Makes room, and forgets what is over.
-    fn forget(&mut self, now: Millis) {
-        if now.since(self.looked) >= LOOK {
-            self.looked = now;
-            self.cases.retain(|_, c| now.since(c.last) < MEMORY);
-            let cases = &self.cases;
-            self.changes.retain(|_, f| cases.contains_key(f));
+    /// Removes expired requests and, if the table is full, evicts others.
+    fn prune(&mut self, now: Millis) {
+        if now.since(self.pruned_at) >= PRUNE_INTERVAL {
+            self.pruned_at = now;
+            self.suspects
+                .retain(|_, s| now.since(s.last_activity) < SUSPECT_TTL);
+            let suspects = &self.suspects;
+            self.by_last_change.retain(|_, f| suspects.contains_key(f));
         }
-        if self.cases.len() >= CASES {
-            self.make_room();
+        if self.suspects.len() >= MAX_SUSPECTS {
+            self.evict();
         }
     }
 
-    /// Drops an eighth: those with the fewest ends, the oldest of them first.
-    fn make_room(&mut self) {
-        let rank = |(f, c): (&Fingerprint, &Case)| (c.open(), c.changed, *f);
-        let mut ranked: Vec<_> = self.cases.iter().map(rank).collect();
+    /// Evicts one eighth of the capacity: the requests with the fewest ends, and among these the least recently
+    /// changed.
+    fn evict(&mut self) {
+        let rank = |(f, s): (&Fingerprint, &Suspect)| (s.open_ends(), s.last_change, *f);
+        let mut ranked: Vec<_> = self.suspects.iter().map(rank).collect();
         ranked.sort_unstable();
-        for (_, changed, fingerprint) in ranked.into_iter().take(CASES / 8) {
-            self.cases.remove(&fingerprint);
-            self.changes.remove(&changed);
+        for (_, change, fingerprint) in ranked.into_iter().take(MAX_SUSPECTS / 8) {
+            self.suspects.remove(&fingerprint);
+            self.by_last_change.remove(&change);
         }
     }
 }
--- a/crates/policy/src/suspects/trials.rs
+++ b/crates/policy/src/suspects/trials.rs
@@ -1,115 +1,126 @@
-//! Permission to send a suspect once more, given by one process for all.
+//! Permission to send a suspect again, granted by one process for all.
 //!
-//! The first time a suspect is sent beside others that are on trial: nearly all are harmless, and are
-//! cleared at once. If the upstream ends under them too, each is sent once more, at an upstream where no
-//! other is on trial. What ends that as well is the cause.
+//! In its first trial a suspect is sent together with other suspects on trial: nearly all of them are harmless
+//! and are cleared immediately. If the upstream ends during the trial, each of them is sent once more, to an
+//! upstream where no other suspect is on trial. A request during which that upstream ends as well is the cause.
 
 use std::collections::BTreeMap;
 
 use pumicecleat_types::{Fingerprint, Millis, Trial};
 
-/// Time for an upstream's end to be known to all: a trial without one by then, as when its caller leaves or
-/// its stream is long, keeps others waiting no longer. It doubles with each such trial.
-const OUTCOME: Millis = Millis(3_000);
+/// Timeout of a trial, in which the end of an upstream becomes known to all processes. A trial without an outcome
+/// by then, such as one whose caller disconnected or whose stream is long, no longer delays the next trial of the
+/// request. The timeout doubles with each such trial.
+const OUTCOME_TIMEOUT: Millis = Millis(3_000);
 
-/// Longest such time.
-const OUTCOME_MOST: Millis = Millis(96_000);
+/// Maximum timeout of a trial.
+const MAX_OUTCOME_TIMEOUT: Millis = Millis(96_000);
 
-/// Time after which a trial has no say any more.
-const REST: Millis = Millis(600_000);
+/// Time after which a trial is no longer taken into account.
+const GRANT_TTL: Millis = Millis(600_000);
 
-/// Longest time to come back that is told while a trial has no outcome: most have one by then.
-const RETRY_MOST: Millis = Millis(2_000);
+/// Maximum retry time returned while a trial has no outcome: most trials have one within this time.
+const MAX_RETRY_AFTER: Millis = Millis(2_000);
 
-/// Most requests kept; the one tried longest ago goes first.
-const KEPT: usize = 4_096;
+/// Maximum number of requests stored; the request with the oldest trial is evicted first.
+const MAX_GRANTS: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
-struct Given {
-    at: Millis,
+struct Grant {
+    granted_at: Millis,
     trial: Trial,
-    /// Upstreams that the request may have ended before.
+    /// Number of ends that the request may have caused before the trial.
     ends: usize,
-    /// Time for its outcome.
-    wait: Millis,
+    outcome_timeout: Millis,
 }
 
-/// Trials that were permitted.
+/// Trials that were granted.
 #[derive(Clone, Debug, Default)]
 pub struct Trials {
-    given: BTreeMap<Fingerprint, Given>,
+    grants: BTreeMap<Fingerprint, Grant>,
 }
 
 impl Trials {
-    /// Asks for permission for a request under which `ends` upstreams ended.
+    /// Grants a trial to a request that may have caused `ends` ends, unless it must wait for the outcome of an
+    /// earlier one.
     ///
     /// # Errors
-    /// When to ask again, if it has none.
+    /// Returns the time after which to ask again.
     pub fn try_grant(
         &mut self,
         fingerprint: Fingerprint,
         ends: usize,
         now: Millis,
     ) -> Result<Trial, Millis> {
-        let before = self.given.get(&fingerprint);
-        let before = before.filter(|given| now.since(given.at) < REST);
-        let given = match before {
-            Some(before) => before.next(ends, now)?,
-            None => Given {
-                at: now,
+        let previous = self.grants.get(&fingerprint);
+        let previous = previous.filter(|grant| now.since(grant.granted_at) < GRANT_TTL);
+        let grant = match previous {
+            Some(previous) => previous.next(ends, now)?,
+            None => Grant {
+                granted_at: now,
                 trial: Trial::Shared,
                 ends,
-                wait: OUTCOME,
+                outcome_timeout: OUTCOME_TIMEOUT,
             },
         };
-        self.make_room(&fingerprint);
-        self.given.insert(fingerprint, given);
-        Ok(given.trial)
+        self.evict_oldest(&fingerprint);
+        self.grants.insert(fingerprint, grant);
+        Ok(grant.trial)
     }
 
-    /// Permission that was given is not used.
+    /// Gives back a trial that was granted but not used.
     pub fn give_back(&mut self, fingerprint: &Fingerprint) {
-        let Some(given) = self.given.remove(fingerprint) else {
+        let Some(grant) = self.grants.remove(fingerprint) else {
             return;
         };
-        if given.trial == Trial::Alone {
-            // The shared one before it was used, and an upstream ended under it.
-            let (trial, ends) = (Trial::Shared, given.ends.saturating_sub(1));
-            let before = Given {
+        if grant.trial == Trial::Alone {
+            // The shared trial before it was used, and an upstream ended during it.
+            let (trial, ends) = (Trial::Shared, grant.ends.saturating_sub(1));
+            let previous = Grant {
                 trial,
                 ends,
-                ..given
+                ..grant
             };
-            self.given.insert(*fingerprint, before);
+            self.grants.insert(*fingerprint, previous);
         }
     }
 
-    fn make_room(&mut self, fingerprint: &Fingerprint) {
-        if self.given.len() < KEPT || self.given.contains_key(fingerprint) {
+    /// Evicts the oldest grant if there is no capacity for `fingerprint`.
+    fn evict_oldest(&mut self, fingerprint: &Fingerprint) {
+        if self.grants.len() < MAX_GRANTS || self.grants.contains_key(fingerprint) {
             return;
         }
-        let oldest = self.given.iter().min_by_key(|(_, g)| g.at).map(|(f, _)| *f);
+        let oldest = self
+            .grants
+            .iter()
+            .min_by_key(|(_, g)| g.granted_at)
+            .map(|(f, _)| *f);
         if let Some(oldest) = oldest {
-            self.given.remove(&oldest);
+            self.grants.remove(&oldest);
         }
     }
 }
 
-impl Given {
-    /// Trial that follows at `now`, when `ends` upstreams have ended.
+impl Grant {
+    /// Next trial of the request, which may have caused `ends` ends by now.
     fn next(&self, ends: usize, now: Millis) -> Result<Self, Millis> {
-        // Under a request that is alone an upstream's end is proof; another end may be of any other try.
+        // The end of an upstream where the request is the only suspect proves that it is the cause. Any other
+        // further end may come from another attempt of the request.
         let shared_failed = self.trial == Trial::Shared && ends > self.ends;
-        let left = (self.at + self.wait).since(now);
-        if !shared_failed && left > Millis(0) {
-            return Err(left.min(RETRY_MOST));
+        let remaining = (self.granted_at + self.outcome_timeout).since(now);
+        if !shared_failed && remaining > Millis(0) {
+            return Err(remaining.min(MAX_RETRY_AFTER));
         }
-        let doubled = Millis(self.wait.0 * 2).min(OUTCOME_MOST);
+        let doubled = Millis(self.outcome_timeout.0 * 2).min(MAX_OUTCOME_TIMEOUT);
         Ok(Self {
-            at: now,
+            granted_at: now,
             trial: Trial::Alone,
             ends,
-            wait: if shared_failed { OUTCOME } else { doubled },
+            outcome_timeout: if shared_failed {
+                OUTCOME_TIMEOUT
+            } else {
+                doubled
+            },
         })
     }
 }
