--- a/crates/policy/src/suspects/mod.rs
+++ b/crates/policy/src/suspects/mod.rs
@@ -13,12 +13,12 @@
 //! Each process has a [`SuspectTable`] and sends its changes to others ([`SuspectSync`]). Tables are merged by
 //! union, and a cleared end stays cleared, so the order of messages does not matter.
 
-mod links;
 mod suspect;
+mod sync;
 mod table;
 mod trials;
 
-pub use links::{OutgoingNews, SuspectSync};
+pub use sync::{OutgoingNews, SuspectSync};
 pub use table::{SuspectTable, end_key};
 pub use trials::Trials;
 
