--- a/crates/policy/src/load_order/mod.rs
+++ b/crates/policy/src/load_order/mod.rs
@@ -1,9 +1,9 @@
-//! Who loads next from one weight store: soft state of the entry that ranks first for the store.
+//! Order of loads from one weight store: soft state of the entry that ranks first for the store.
 //!
-//! Sides bid; the most urgent fresh bid gets the turn, one at a time, and a turn that isn't kept
-//! lapses. Nothing here makes a load safe: a wrong answer, a lost order or two entries that both
-//! think they rank first only let two loads run at once, and each is slower for it. A side that no
-//! entry answers waits for a random span and loads without a turn; see
+//! Sides bid for a turn. The most urgent current bid is granted it, one turn is held at a time, and a turn that is
+//! not renewed expires. Correctness does not depend on this: after a wrong reply or the loss of this state, or while
+//! two entries both consider themselves first, two loads may run at once, and only take longer. A side that gets no
+//! reply from any entry waits for a random time and loads without a turn; see
 //! [`Scheduler::no_turn`](crate::Scheduler::no_turn).
 
 mod bids;
@@ -14,161 +14,175 @@
 
 use crate::{Bid, LoraIx, UpstreamIx};
 use bids::Bids;
-use pace::Pace;
+use pace::LoadTimeEstimate;
 
 pub use options::LoadOrderOptions;
 
-/// The turn held.
+/// Turn that a side holds.
 #[derive(Clone, Copy, Debug)]
-struct Holder {
+struct HeldTurn {
     side: UpstreamIx,
     lora: LoraIx,
-    since: Millis,
-    until: Millis,
+    granted_at: Millis,
+    expires_at: Millis,
 }
 
-/// Order of loads from one store.
+/// Order of loads from one weight store.
 #[derive(Clone, Debug)]
 pub struct LoadOrder {
     options: LoadOrderOptions,
     bids: Bids,
-    holder: Option<Holder>,
-    /// When the last turn ended.
-    free: Millis,
-    pace: Pace,
+    held: Option<HeldTurn>,
+    /// End of the last turn.
+    free_since: Millis,
+    estimate: LoadTimeEstimate,
 }
 
 impl LoadOrder {
-    /// Order without bids.
+    /// Creates an order without bids.
     #[must_use]
     pub fn new_ext(options: LoadOrderOptions) -> Self {
         Self {
             options,
             bids: Bids::default(),
-            holder: None,
-            free: Millis(0),
-            pace: Pace::new(options.initial_load_time),
+            held: None,
+            free_since: Millis(0),
+            estimate: LoadTimeEstimate::new(options.initial_load_time),
         }
     }
 
-    /// A side bids, or gives its turn back with `None`.
+    /// Handles a bid of a side, or with `None` the return of its turn.
     pub fn bid(&mut self, side: UpstreamIx, bid: Option<&Bid>, now: Millis) -> LoadTurn {
         let Some(bid) = bid else {
             self.bids.remove(side);
-            self.end(side, now);
-            return self.wait(side, now);
+            self.end_turn(side, now);
+            return self.defer(side, now);
         };
-        self.drop_stale(now);
-        if let Some(holder) = self.holder.filter(|h| h.side == side) {
-            if holder.lora == bid.lora {
-                return self.grant(side, bid.lora, holder.since, now);
+        self.expire(now);
+        if let Some(held) = self.held.filter(|h| h.side == side) {
+            if held.lora == bid.lora {
+                return self.grant(side, bid.lora, held.granted_at, now);
             }
-            self.end(side, now);
+            self.end_turn(side, now);
         }
         self.bids.put(side, *bid, now);
-        let soon = now + self.options.max_rebid_delay;
-        let first = self.holder.is_none() && self.bids.first(now, soon) == Some(side);
-        if first {
+        let latest_due = now + self.options.max_rebid_delay;
+        let is_next =
+            self.held.is_none() && self.bids.most_urgent_due(now, latest_due) == Some(side);
+        if is_next {
             self.bids.remove(side);
             return self.grant(side, bid.lora, now, now);
         }
-        self.wait(side, now)
+        self.defer(side, now)
     }
 
-    /// Side to call, as the store stands idle: those that were to come back first have not, and the
-    /// most urgent of the others may have been told to come back much later.
+    /// Side to call while the store is idle: the sides that were due first have not bid again, and the most urgent
+    /// of the others may be due much later.
     pub fn side_to_call(&mut self, now: Millis) -> Option<UpstreamIx> {
-        self.drop_stale(now);
-        let idle = self.holder.is_none() && now.since(self.free) > self.options.max_rebid_delay;
+        self.expire(now);
+        let idle = self.held.is_none() && now.since(self.free_since) > self.options.max_rebid_delay;
         let side = idle.then(|| self.bids.most_urgent(now)).flatten()?;
-        self.bids.expect(side, now);
+        self.bids.set_due(side, now);
         Some(side)
     }
 
-    /// A side that was called wants no turn, or does not answer: its bid ends.
+    /// Removes the bid of a side that was called and wants no turn or does not reply.
     pub fn remove_bid(&mut self, side: UpstreamIx) {
         self.bids.remove(side);
     }
 
-    /// A side is gone: its turn and its bid end.
+    /// Removes the turn and the bid of a side that no longer exists.
     pub fn remove_side(&mut self, side: UpstreamIx) {
         self.bids.remove(side);
-        self.holder = self.holder.filter(|h| h.side != side);
+        self.held = self.held.filter(|h| h.side != side);
     }
 
-    /// Expected time of a load, as seen by the turns.
+    /// Expected time of a load, estimated from the duration of turns.
     #[must_use]
     pub fn load_time(&self) -> Millis {
-        self.pace.load()
+        self.estimate.load_time()
     }
 
-    /// Sides that have a fresh bid, with the one that holds the turn.
+    /// Number of sides that have a bid; the side that holds the turn has none.
     #[must_use]
     pub fn waiting_sides(&self) -> usize {
         self.bids.len()
     }
 
-    /// Side that holds the turn, and the adapter it loads.
+    /// Side that holds the turn, and the adapter that it loads.
     #[must_use]
     pub fn holder(&self) -> Option<(UpstreamIx, LoraIx)> {
-        self.holder.map(|h| (h.side, h.lora))
+        self.held.map(|h| (h.side, h.lora))
     }
 
-    fn grant(&mut self, side: UpstreamIx, lora: LoraIx, since: Millis, now: Millis) -> LoadTurn {
-        let ttl = self.pace.ttl();
-        self.holder = Some(Holder {
+    fn grant(
+        &mut self,
+        side: UpstreamIx,
+        lora: LoraIx,
+        granted_at: Millis,
+        now: Millis,
+    ) -> LoadTurn {
+        let ttl = self.estimate.ttl();
+        self.held = Some(HeldTurn {
             side,
             lora,
-            since,
-            until: now + ttl,
+            granted_at,
+            expires_at: now + ttl,
         });
         LoadTurn::Go { ttl_ms: ttl.0 }
     }
 
-    /// Ends the side's turn, if it holds it.
-    fn end(&mut self, side: UpstreamIx, now: Millis) {
-        if let Some(holder) = self.holder.filter(|h| h.side == side) {
-            self.pace.took(now.since(holder.since));
-            self.holder = None;
-            self.free = now;
+    /// Ends the turn if the side holds it.
+    fn end_turn(&mut self, side: UpstreamIx, now: Millis) {
+        if let Some(held) = self.held.filter(|h| h.side == side) {
+            self.estimate.add(now.since(held.granted_at));
+            self.held = None;
+            self.free_since = now;
         }
     }
 
-    fn drop_stale(&mut self, now: Millis) {
+    /// Removes stale bids, and the turn if it has expired.
+    fn expire(&mut self, now: Millis) {
         self.bids.drop_stale(now.since(self.options.bid_grace));
-        if let Some(holder) = self.holder.filter(|h| h.until <= now) {
-            self.pace.took(now.since(holder.since));
-            self.holder = None;
-            self.free = now;
+        if let Some(held) = self.held.filter(|h| h.expires_at <= now) {
+            self.estimate.add(now.since(held.granted_at));
+            self.held = None;
+            self.free_since = now;
         }
     }
 
-    /// Rest of the load that holds the turn: one that takes longer than expected may take as long again.
-    fn rest(&self, now: Millis) -> Millis {
-        let Some(holder) = self.holder else {
+    /// Expected remaining time of the load that holds the turn. A load that has already taken longer than expected
+    /// is assumed to take as long again.
+    fn remaining(&self, now: Millis) -> Millis {
+        let Some(held) = self.held else {
             return Millis(0);
         };
-        let held = now.since(holder.since);
-        let load = self.pace.load();
-        if held > load { held } else { load.since(held) }
+        let elapsed = now.since(held.granted_at);
+        let load_time = self.estimate.load_time();
+        if elapsed > load_time {
+            elapsed
+        } else {
+            load_time.since(elapsed)
+        }
     }
 
-    /// When to bid again: at the end of the turn that holds, and later by half the loads that go
-    /// before. So a side comes back a few times until its turn, and all together bid at a rate
-    /// that grows little with their number. One that is needed earlier is called.
-    fn wait(&mut self, side: UpstreamIx, now: Millis) -> LoadTurn {
-        let end = self.holder.map(|h| h.since + self.pace.load());
-        let left = end.map_or(Millis(0), |at| at.since(now));
-        let next = left.clamp(self.options.min_rebid_delay, self.options.max_rebid_delay);
-        let before = self.bids.before(side, now);
-        let load = self.pace.load().0;
-        let queue = Millis(load * before / 2).min(self.options.max_queue_delay);
-        let again = next + queue;
-        self.bids.expect(side, now + again);
+    /// Tells the side when to bid again: at the expected end of the current turn, plus half the expected time of the
+    /// loads ahead of it. A side thus bids a few times until its turn, and the total rate of bids grows little with
+    /// the number of sides. A side that is needed earlier is called.
+    fn defer(&mut self, side: UpstreamIx, now: Millis) -> LoadTurn {
+        let turn_end = self.held.map(|h| h.granted_at + self.estimate.load_time());
+        let until_end = turn_end.map_or(Millis(0), |at| at.since(now));
+        let turn_delay =
+            until_end.clamp(self.options.min_rebid_delay, self.options.max_rebid_delay);
+        let ahead = self.bids.count_ahead(side, now);
+        let load_ms = self.estimate.load_time().0;
+        let queue_delay = Millis(load_ms * ahead / 2).min(self.options.max_queue_delay);
+        let rebid_delay = turn_delay + queue_delay;
+        self.bids.set_due(side, now + rebid_delay);
         LoadTurn::Wait {
-            again_ms: again.0,
-            turn_ms: self.rest(now).0 + load * before,
-            round_ms: load * self.bids.len() as u64,
+            again_ms: rebid_delay.0,
+            turn_ms: self.remaining(now).0 + load_ms * ahead,
+            round_ms: load_ms * self.bids.len() as u64,
         }
     }
 }
--- a/crates/policy/src/load_order/options.rs
+++ b/crates/policy/src/load_order/options.rs
@@ -5,15 +5,15 @@
 /// Options of a [`LoadOrder`](crate::LoadOrder).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadOrderOptions {
-    /// Time of a load at full speed, until some have been seen.
+    /// Expected time of a load before any has been measured: that of a load at full speed.
     pub initial_load_time: Millis,
-    /// Span after which a bid that was due again is dropped.
+    /// Time after which a bid is dropped if its side was due to bid again and did not.
     pub bid_grace: Millis,
-    /// Shortest span before a side bids again.
+    /// Minimum delay before a side bids again.
     pub min_rebid_delay: Millis,
-    /// Longest span before the side that is next bids again.
+    /// Maximum delay before the side that is next bids again.
     pub max_rebid_delay: Millis,
-    /// Longest span added for the loads that go before.
+    /// Maximum delay added for the loads that are ahead of a side.
     pub max_queue_delay: Millis,
 }
 
--- a/crates/policy/src/load_order/pace.rs
+++ b/crates/policy/src/load_order/pace.rs
@@ -1,45 +1,45 @@
-//! How long turns take: a slow store shows in them.
+//! Estimate of the time of a load, measured by the duration of turns.
 
 use pumicecleat_types::Millis;
 
-/// Weight of the newest turn, as one over.
-const NEW: u64 = 4;
+/// Inverse of the weight of the latest turn in the moving average.
+const AVERAGE_DIVISOR: u64 = 4;
 
-/// A turn lapses after this many expected loads.
-const LAPSE: u64 = 4;
+/// Number of expected load times after which a turn expires.
+const TTL_LOADS: u64 = 4;
 
-/// Shortest time of a load that is believed.
-const SHORTEST: Millis = Millis(20);
+/// Minimum duration of a load; shorter measurements are raised to it.
+const MIN_LOAD_TIME: Millis = Millis(20);
 
-/// Longest time of a load that is believed.
-const LONGEST: Millis = Millis(30_000);
+/// Maximum duration of a load; longer measurements are lowered to it.
+const MAX_LOAD_TIME: Millis = Millis(30_000);
 
-/// Learned time of a load.
+/// Moving average of the time of a load. It rises when the store is slow.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pace {
-    load: Millis,
+pub(super) struct LoadTimeEstimate {
+    load_time: Millis,
 }
 
-impl Pace {
-    pub(super) fn new(load: Millis) -> Self {
-        Self { load }
+impl LoadTimeEstimate {
+    pub(super) fn new(load_time: Millis) -> Self {
+        Self { load_time }
     }
 
-    /// A turn took `took`. One that stood still in an outage tells little of the next: none counts for
-    /// more than the time in which a turn lapses.
-    pub(super) fn took(&mut self, took: Millis) {
-        let took = took.min(self.ttl()).clamp(SHORTEST, LONGEST);
-        let kept = self.load.0 * (NEW - 1);
-        self.load = Millis((kept + took.0) / NEW);
+    /// Adds the duration of a turn. A turn that stalled in an outage says little about the next one, so none counts
+    /// for more than the time after which a turn expires.
+    pub(super) fn add(&mut self, duration: Millis) {
+        let duration = duration.min(self.ttl()).clamp(MIN_LOAD_TIME, MAX_LOAD_TIME);
+        let kept = self.load_time.0 * (AVERAGE_DIVISOR - 1);
+        self.load_time = Millis((kept + duration.0) / AVERAGE_DIVISOR);
     }
 
     /// Expected time of a load.
-    pub(super) fn load(self) -> Millis {
-        self.load
+    pub(super) fn load_time(self) -> Millis {
+        self.load_time
     }
 
-    /// Span after which a turn lapses.
+    /// Time after which a turn expires.
     pub(super) fn ttl(self) -> Millis {
-        Millis(self.load.0 * LAPSE)
+        Millis(self.load_time.0 * TTL_LOADS)
     }
 }
