--- a/crates/policy/src/load_order/mod.rs
+++ b/crates/policy/src/load_order/mod.rs
@@ -7,14 +7,14 @@
 //! [`Scheduler::no_turn`](crate::Scheduler::no_turn).
 
 mod bids;
+mod load_time;
 mod options;
-mod pace;
 
 use pumicecleat_types::{LoadTurn, Millis};
 
 use crate::{Bid, LoraIx, UpstreamIx};
 use bids::Bids;
-use pace::LoadTimeEstimate;
+use load_time::LoadTimeEstimate;
 
 pub use options::LoadOrderOptions;
 
