--- a/crates/policy/src/index.rs
+++ b/crates/policy/src/index.rs
@@ -1,4 +1,4 @@
-//! Indices in place of names, so that a decision compares and copies numbers only.
+//! Numeric indices that replace names, so that decisions compare and copy only numbers.
 
 macro_rules! index {
     ($(#[$doc:meta])* $name:ident) => {
@@ -9,11 +9,11 @@
 }
 
 index!(
-    /// One version of one adapter on its base model.
+    /// Version of an adapter on its base model.
     LoraIx
 );
 index!(
-    /// Upstream, with its side.
+    /// Upstream and its side.
     UpstreamIx
 );
 index!(
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions: choice of upstream, residency, load order, queueing and shares.
+//! Decision logic: choice of upstream, adapter residency, load order, queueing and shares.
 //!
-//! Pure, synchronous code: time and randomness are passed in. The daemons and the measurements
-//! drive the same code. A side drives a [`Scheduler`]; the entry that keeps the order of loads from
-//! a weight store drives a [`LoadOrder`].
+//! The code is synchronous and performs no I/O; time and randomness are passed in. The daemons and the measurements
+//! use the same code. A side runs a [`Scheduler`]; the entry that orders the loads from a weight store runs a
+//! [`LoadOrder`].
 //!
 //! ```
 //! use pumicecleat_policy::{
@@ -29,8 +29,8 @@
 //! assert_eq!(side.poll(Millis(4)), [Action::Load(lora)]);
 //!
 //! side.loaded(lora, LoadEnd::Done, Millis(504));
-//! let orders = side.poll(Millis(504));
-//! assert_eq!(orders, [Action::Send(JobId(1)), Action::GiveBack]);
+//! let actions = side.poll(Millis(504));
+//! assert_eq!(actions, [Action::Send(JobId(1)), Action::GiveBack]);
 //! ```
 
 mod index;
--- a/crates/policy/tests/load_order_cases.rs
+++ b/crates/policy/tests/load_order_cases.rs
@@ -1,28 +1,33 @@
-//! Cases of the load order: who asks, and who gets the turn.
+//! Bids for a turn to load, and which of them are granted it.
 
 use pumicecleat_policy::{Bid, LoadOrder, LoadOrderOptions, LoraIx, UpstreamIx};
 use pumicecleat_types::{LoadTurn, Millis};
 
-/// A bid at a time, and whether it gets the turn.
+/// Bid at a time, and whether the side is granted the turn.
 struct Step {
     at: u64,
     side: u32,
-    /// Adapter, requests waiting and longest wait; `None` gives the turn back.
+    /// Adapter, number of waiting requests, and longest wait in milliseconds; `None` gives the turn back.
     bid: Option<(u32, u32, u64)>,
-    go: bool,
+    granted: bool,
 }
 
-const fn asks(at: u64, side: u32, bid: (u32, u32, u64), go: bool) -> Step {
+const fn bids(at: u64, side: u32, bid: (u32, u32, u64), granted: bool) -> Step {
     let bid = Some(bid);
-    Step { at, side, bid, go }
+    Step {
+        at,
+        side,
+        bid,
+        granted,
+    }
 }
 
-const fn gives(at: u64, side: u32) -> Step {
+const fn gives_back(at: u64, side: u32) -> Step {
     Step {
         at,
         side,
         bid: None,
-        go: false,
+        granted: false,
     }
 }
 
@@ -33,84 +38,84 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "the first bid goes",
-        steps: &[asks(0, 1, (7, 1, 0), true)],
+        name: "the first bid is granted the turn",
+        steps: &[bids(0, 1, (7, 1, 0), true)],
     },
     Case {
-        name: "one at a time",
-        steps: &[asks(0, 1, (7, 1, 0), true), asks(1, 2, (8, 9, 0), false)],
+        name: "one turn is held at a time",
+        steps: &[bids(0, 1, (7, 1, 0), true), bids(1, 2, (8, 9, 0), false)],
     },
     Case {
-        name: "given back, the most requests go first",
+        name: "after the turn is given back, the side with the most requests is next",
         steps: &[
-            asks(0, 1, (7, 1, 0), true),
-            asks(10, 2, (8, 1, 300), false),
-            asks(20, 3, (9, 4, 0), false),
-            gives(500, 1),
-            asks(501, 2, (8, 1, 800), false),
-            asks(502, 3, (9, 4, 480), true),
+            bids(0, 1, (7, 1, 0), true),
+            bids(10, 2, (8, 1, 300), false),
+            bids(20, 3, (9, 4, 0), false),
+            gives_back(500, 1),
+            bids(501, 2, (8, 1, 800), false),
+            bids(502, 3, (9, 4, 480), true),
         ],
     },
     Case {
-        name: "among equals the longest wait goes first",
+        name: "of sides with equally many requests, the one with the longest wait is next",
         steps: &[
-            asks(0, 1, (7, 1, 0), true),
-            asks(10, 2, (8, 2, 0), false),
-            asks(20, 3, (9, 2, 100), false),
-            gives(500, 1),
-            asks(501, 2, (8, 2, 490), false),
-            asks(502, 3, (9, 2, 580), true),
+            bids(0, 1, (7, 1, 0), true),
+            bids(10, 2, (8, 2, 0), false),
+            bids(20, 3, (9, 2, 100), false),
+            gives_back(500, 1),
+            bids(501, 2, (8, 2, 490), false),
+            bids(502, 3, (9, 2, 580), true),
         ],
     },
     Case {
-        name: "the holder keeps its turn by bidding for the same adapter",
+        name: "the holder renews its turn by bidding for the same adapter",
         steps: &[
-            asks(0, 1, (7, 1, 0), true),
-            asks(1_500, 1, (7, 1, 0), true),
-            asks(2_500, 2, (8, 9, 0), false),
+            bids(0, 1, (7, 1, 0), true),
+            bids(1_500, 1, (7, 1, 0), true),
+            bids(2_500, 2, (8, 9, 0), false),
         ],
     },
     Case {
         name: "a bid for another adapter ends the turn",
         steps: &[
-            asks(0, 1, (7, 1, 0), true),
-            asks(400, 2, (8, 2, 0), false),
-            asks(500, 1, (9, 1, 0), false),
-            asks(501, 2, (8, 2, 100), true),
+            bids(0, 1, (7, 1, 0), true),
+            bids(400, 2, (8, 2, 0), false),
+            bids(500, 1, (9, 1, 0), false),
+            bids(501, 2, (8, 2, 100), true),
         ],
     },
     Case {
-        name: "a turn that isn't kept lapses",
+        name: "a turn that is not renewed expires",
         steps: &[
-            asks(0, 1, (7, 1, 0), true),
-            asks(1_900, 2, (8, 1, 0), false),
-            asks(2_000, 2, (8, 1, 100), true),
+            bids(0, 1, (7, 1, 0), true),
+            bids(1_900, 2, (8, 1, 0), false),
+            bids(2_000, 2, (8, 1, 100), true),
         ],
     },
     Case {
-        name: "a bid that isn't repeated counts no more",
+        name: "a bid that is not repeated is dropped",
         steps: &[
-            asks(0, 1, (7, 1, 0), true),
-            asks(10, 3, (9, 50, 0), false),
-            asks(400, 2, (8, 1, 0), false),
-            // It was due again at 210, and counts for a second more.
-            gives(1_100, 1),
-            asks(1_101, 2, (8, 1, 700), false),
-            asks(1_211, 2, (8, 1, 810), true),
+            bids(0, 1, (7, 1, 0), true),
+            bids(10, 3, (9, 50, 0), false),
+            bids(400, 2, (8, 1, 0), false),
+            // Side 3 was due to bid again at 210 ms; its bid is dropped 1 s later.
+            gives_back(1_100, 1),
+            bids(1_101, 2, (8, 1, 700), false),
+            bids(1_211, 2, (8, 1, 810), true),
         ],
     },
     Case {
-        name: "giving back a turn that another holds changes nothing",
+        name: "giving back a turn that another side holds has no effect",
         steps: &[
-            asks(0, 1, (7, 1, 0), true),
-            gives(10, 2),
-            asks(20, 3, (9, 5, 0), false),
+            bids(0, 1, (7, 1, 0), true),
+            gives_back(10, 2),
+            bids(20, 3, (9, 5, 0), false),
         ],
     },
 ];
 
-fn bid(of: (u32, u32, u64)) -> Bid {
-    let (lora, waiting, waited) = of;
+fn bid(fields: (u32, u32, u64)) -> Bid {
+    let (lora, waiting, waited) = fields;
     Bid {
         lora: LoraIx(lora),
         waiting,
@@ -119,22 +124,23 @@
     }
 }
 
+/// Guards against two turns at once, and against a turn for a side that is not next.
 #[test]
-fn turns() {
+fn turns_are_granted_in_order() {
     for case in CASES {
         let mut order = LoadOrder::new_ext(LoadOrderOptions::default());
         for step in case.steps {
             let bid = step.bid.map(bid);
             let turn = order.bid(UpstreamIx(step.side), bid.as_ref(), Millis(step.at));
-            let go = matches!(turn, LoadTurn::Go { .. });
-            assert_eq!(go, step.go, "{} at {}", case.name, step.at);
+            let granted = matches!(turn, LoadTurn::Go { .. });
+            assert_eq!(granted, step.granted, "{} at {}", case.name, step.at);
         }
     }
 }
 
-/// Sides wait the longer the more loads come before theirs.
+/// Guards against wait times that ignore the loads ahead of a side.
 #[test]
-fn waits_by_rank() {
+fn wait_times_grow_with_the_number_of_loads_ahead() {
     let mut order = LoadOrder::new_ext(LoadOrderOptions::default());
     let mut waits = |side, waiting, at| match order.bid(
         UpstreamIx(side),
@@ -150,16 +156,16 @@
     };
     assert_eq!(waits(1, 1, 0), [0, 0, 0]);
     assert_eq!(waits(2, 5, 450), [50, 50, 500]);
-    // The turn that holds has 50 ms left, and half of the one load before counts.
+    // The current turn has 50 ms left, and half of the one load ahead is added.
     assert_eq!(waits(3, 1, 450), [300, 550, 1_000]);
     assert_eq!(waits(2, 5, 499), [5, 1, 1_000]);
-    // A load that takes longer than expected may take as long again.
+    // A load that has taken longer than expected is assumed to take as long again.
     assert_eq!(waits(2, 5, 1_400), [5, 1_400, 1_000]);
 }
 
-/// A slow store shows in the turns, and they lapse the later for it.
+/// Guards against turns that expire during each load when the store is slow.
 #[test]
-fn learns_a_slow_store() {
+fn the_expected_load_time_follows_a_slow_store() {
     let mut order = LoadOrder::new_ext(LoadOrderOptions::default());
     let side = UpstreamIx(1);
     let mut now = Millis(0);
@@ -167,26 +173,30 @@
         order.bid(side, Some(&bid((lora, 1, 0))), now);
         now = now + Millis(2_000);
     }
-    let load = order.load_time();
-    assert!(load > Millis(1_800), "{load:?}");
+    let load_time = order.load_time();
+    assert!(load_time > Millis(1_800), "{load_time:?}");
     order.remove_side(side);
     assert_eq!(order.holder(), None);
 }
 
-/// Of many that wait, those in front vanish; one that was told to come back much later is called
-/// once the store has stood idle for a moment, and again until it bids or is given up.
+/// Guards against an idle store while sides wait: if the sides that are next in order do not bid again, one that was
+/// told to bid much later is called once the store has been idle for a short time, and again until it bids or its bid
+/// is removed.
 #[test]
-fn calls_while_the_store_stands_idle() {
+fn a_waiting_side_is_called_while_the_store_is_idle() {
     let mut order = LoadOrder::new_ext(LoadOrderOptions::default());
-    let ask = |order: &mut LoadOrder, side: u32, at: u64| {
+    let place_bid = |order: &mut LoadOrder, side: u32, at: u64| {
         let wanted = bid((side, 100 - side, 0));
         order.bid(UpstreamIx(side), Some(&wanted), Millis(at))
     };
-    assert!(matches!(ask(&mut order, 0, 0), LoadTurn::Go { .. }));
+    assert!(matches!(place_bid(&mut order, 0, 0), LoadTurn::Go { .. }));
     for side in 1..=80 {
-        assert!(matches!(ask(&mut order, side, 10), LoadTurn::Wait { .. }));
+        assert!(matches!(
+            place_bid(&mut order, side, 10),
+            LoadTurn::Wait { .. }
+        ));
     }
-    let LoadTurn::Wait { again_ms, .. } = ask(&mut order, 80, 20) else {
+    let LoadTurn::Wait { again_ms, .. } = place_bid(&mut order, 80, 20) else {
         panic!("the turn is held");
     };
     assert!(again_ms > 10_000, "{again_ms}");
@@ -195,7 +205,7 @@
     assert_eq!(
         order.side_to_call(Millis(700)),
         None,
-        "those in front may come yet"
+        "the sides ahead may still bid"
     );
     for side in 1..80 {
         assert_eq!(order.side_to_call(Millis(701)), Some(UpstreamIx(side)));
@@ -203,6 +213,9 @@
     }
     assert_eq!(order.side_to_call(Millis(702)), Some(UpstreamIx(80)));
     assert_eq!(order.side_to_call(Millis(802)), Some(UpstreamIx(80)));
-    assert!(matches!(ask(&mut order, 80, 810), LoadTurn::Go { .. }));
+    assert!(matches!(
+        place_bid(&mut order, 80, 810),
+        LoadTurn::Go { .. }
+    ));
     assert_eq!(order.side_to_call(Millis(1_000)), None, "the turn is held");
 }
