--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,10 +1,10 @@
-//! Requests under which upstreams end: what is remembered, passed on, tried and forgotten.
+//! Requests in progress when upstreams end: storage, exchange between processes, trials and expiry.
 
 use pumicecleat_policy::{SuspectSync, SuspectTable, TRIAL_MIN_ENDS, Trials, end_key};
 use pumicecleat_types::{Fingerprint, Millis, Seen, Trial};
 
-/// Time for which a request is remembered.
-const MEMORY: Millis = Millis(600_000);
+/// Time for which a request is stored.
+const SUSPECT_TTL: Millis = Millis(600_000);
 
 fn request(n: u32) -> Fingerprint {
     let mut bytes = [0; 16];
@@ -12,10 +12,10 @@
     Fingerprint(bytes)
 }
 
-/// What becomes known to a process.
+/// Event that a process observes.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An upstream ended.
+    /// The upstream with this key ended.
     Ended(u64),
     /// The request was served.
     Served,
@@ -23,28 +23,29 @@
 
 struct EndCase {
     name: &'static str,
-    /// What three processes see, in this order, before they tell each other all.
+    /// Events that each of three processes observes, in this order, before they exchange everything.
     steps: &'static [(usize, Step)],
-    /// Ends that count afterwards.
+    /// Number of ends that the request may have caused afterwards.
     ends: usize,
 }
 
+/// Guards against counts that depend on the order of messages.
 #[test]
 fn ends_are_counted_once_and_a_served_request_is_cleared_whoever_tells_first() {
     use Step::{Ended, Served};
     let cases = [
         EndCase {
-            name: "one end that all see",
+            name: "one end that all observe",
             steps: &[(0, Ended(1)), (1, Ended(1)), (2, Ended(1))],
             ends: 1,
         },
         EndCase {
-            name: "an end each",
+            name: "one end observed by each",
             steps: &[(0, Ended(1)), (1, Ended(2)), (2, Ended(3))],
             ends: 3,
         },
         EndCase {
-            name: "served where the end was seen",
+            name: "served by a process that observed the end",
             steps: &[(0, Ended(1)), (1, Ended(1)), (0, Served)],
             ends: 0,
         },
@@ -56,45 +57,46 @@
     ];
     for case in cases {
         for order in [[0, 1, 2], [2, 1, 0], [1, 0, 2], [1, 2, 0]] {
-            let mut all: Vec<SuspectTable> = (1..4).map(SuspectTable::new).collect();
-            for (at, step) in case.steps {
+            let mut processes: Vec<SuspectTable> = (1..4).map(SuspectTable::new).collect();
+            for (process, step) in case.steps {
                 match step {
                     Ended(key) => {
-                        all[*at].record_end(request(1), *key, false, Millis(5));
+                        processes[*process].record_end(request(1), *key, false, Millis(5));
                     }
                     Served => {
-                        all[*at].record_served(&request(1));
+                        processes[*process].record_served(&request(1));
                     }
                 }
             }
-            // Twice, so that old words come after new ones.
+            // Twice, so that older records arrive after newer ones.
             for _ in 0..2 {
                 for from in order {
-                    let news = all[from].news(Seen::default(), Millis(9));
-                    for to in &mut all {
+                    let news = processes[from].news(Seen::default(), Millis(9));
+                    for to in &mut processes {
                         to.merge(&news.words, Millis(9));
                     }
                 }
             }
-            for known in &all {
-                let ends = known.end_count(&request(1), Millis(9));
+            for table in &processes {
+                let ends = table.end_count(&request(1), Millis(9));
                 assert_eq!(ends, case.ends, "{} {order:?}", case.name);
             }
         }
     }
 }
 
+/// Guards against calls that repeat what the peer has, and against a restarted peer that is never sent older changes.
 #[test]
-fn each_call_tells_only_what_is_new_and_one_that_starts_again_hears_all() {
+fn each_call_carries_only_new_changes_and_a_restarted_peer_gets_all() {
     let mut gateway = SuspectTable::new(1);
-    let mut links = SuspectSync::default();
+    let mut sync = SuspectSync::default();
     let agent = "10.0.0.1:80".parse().unwrap();
     let now = Millis(5);
     let mut call = |gateway: &mut SuspectTable, side: &mut SuspectTable| {
-        let call = links.outgoing_news(agent, gateway, now);
+        let call = sync.outgoing_news(agent, gateway, now);
         side.merge(&call.news.words, now);
         let reply = side.news(call.news.seen, now);
-        links.handle_reply(agent, call.sent_up_to, &reply, gateway, now);
+        sync.handle_reply(agent, call.sent_up_to, &reply, gateway, now);
         call.news.words.len()
     };
     let mut side = SuspectTable::new(2);
@@ -111,8 +113,9 @@
     assert_eq!(side.len(), 3);
 }
 
+/// Guards against messages of unbounded size, and against losing the requests that do not fit in one.
 #[test]
-fn many_requests_are_told_of_in_several_calls() {
+fn many_requests_are_sent_in_several_calls() {
     let mut gateway = SuspectTable::new(1);
     for n in 0..300 {
         gateway.record_end(request(n), 1, false, Millis(5));
@@ -128,38 +131,42 @@
     assert_eq!(side.len(), 300);
 }
 
+/// Guards against a flood of requests that evicts a poison request or fills the memory.
 #[test]
 fn a_flood_of_requests_keeps_those_with_more_ends_and_bounded_memory() {
-    let mut known = SuspectTable::new(1);
+    let mut table = SuspectTable::new(1);
     let (poison, now) = (request(u32::MAX), Millis(5));
-    known.record_end(poison, 1, false, now);
-    known.record_end(poison, 2, false, now);
+    table.record_end(poison, 1, false, now);
+    table.record_end(poison, 2, false, now);
     for n in 0..6_000 {
-        known.record_end(request(n), 3, false, now);
+        table.record_end(request(n), 3, false, now);
     }
-    assert!(known.len() <= 4_096);
-    assert_eq!(known.end_count(&poison, now), 2);
-    assert_eq!(known.end_count(&request(5_999), now), 1);
+    assert!(table.len() <= 4_096);
+    assert_eq!(table.end_count(&poison, now), 2);
+    assert_eq!(table.end_count(&request(5_999), now), 1);
 }
 
+/// Guards against a request that expires although its caller still sends it, and against one that never expires
+/// because processes send it to each other.
 #[test]
-fn a_request_that_comes_is_remembered_and_one_that_rests_is_forgotten_everywhere() {
-    let mut known = SuspectTable::new(1);
-    known.record_end(request(1), 1, false, Millis(0));
-    known.record_end(request(2), 1, false, Millis(0));
-    let half = Millis(MEMORY.0 / 2);
-    known.touch(&request(1), half);
-    let late = MEMORY + Millis(1);
-    assert_eq!(known.end_count(&request(1), late), 1);
-    assert_eq!(known.end_count(&request(2), late), 0);
+fn a_request_that_arrives_again_is_kept_and_one_that_does_not_expires_everywhere() {
+    let mut table = SuspectTable::new(1);
+    table.record_end(request(1), 1, false, Millis(0));
+    table.record_end(request(2), 1, false, Millis(0));
+    let half = Millis(SUSPECT_TTL.0 / 2);
+    table.touch(&request(1), half);
+    let late = SUSPECT_TTL + Millis(1);
+    assert_eq!(table.end_count(&request(1), late), 1);
+    assert_eq!(table.end_count(&request(2), late), 0);
     let mut other = SuspectTable::new(2);
-    other.merge(&known.news(Seen::default(), late).words, late);
+    other.merge(&table.news(Seen::default(), late).words, late);
     assert_eq!(other.end_count(&request(1), late), 1);
     assert_eq!(other.end_count(&request(2), late), 0);
 }
 
+/// Guards against counting the ends of an instance and of its successor of the same name as one.
 #[test]
-fn another_start_of_an_upstream_under_its_name_is_another_end() {
+fn each_start_of_an_upstream_has_its_own_end_key() {
     let keys = [
         end_key("i-1", None),
         end_key("i-1", Some(7)),
@@ -173,66 +180,68 @@
 
 struct TrialCase {
     name: &'static str,
-    /// Time of an ask, ms, and ends known then.
-    asks: &'static [(u64, usize)],
-    /// What the last of them gets.
+    /// Time of each attempt to get a trial, in milliseconds, and number of ends by then.
+    attempts: &'static [(u64, usize)],
+    /// Trial granted to the last of them.
     last: Option<Trial>,
 }
 
+/// Guards against a suspect that is sent again while its trial has no outcome, and against one that stays blocked after
+/// a trial without an outcome.
 #[test]
-fn a_suspect_is_sent_twice_more_at_most() {
+fn a_suspect_gets_one_shared_trial_and_then_trials_alone() {
     use Trial::{Alone, Shared};
     let cases = [
         TrialCase {
-            name: "first",
-            asks: &[(0, 2)],
+            name: "first attempt",
+            attempts: &[(0, 2)],
             last: Some(Shared),
         },
         TrialCase {
-            name: "while the first has no outcome",
-            asks: &[(0, 2), (300, 2)],
+            name: "while the first trial has no outcome",
+            attempts: &[(0, 2), (300, 2)],
             last: None,
         },
         TrialCase {
-            name: "after the first ended an upstream",
-            asks: &[(0, 2), (300, 3)],
+            name: "after an upstream ended during the first trial",
+            attempts: &[(0, 2), (300, 3)],
             last: Some(Alone),
         },
         TrialCase {
-            name: "after the first had no outcome",
-            asks: &[(0, 2), (3_000, 2)],
+            name: "after the first trial timed out",
+            attempts: &[(0, 2), (3_000, 2)],
             last: Some(Alone),
         },
         TrialCase {
-            name: "after both",
-            asks: &[(0, 2), (300, 3), (600, 4)],
+            name: "after an upstream ended during both trials",
+            attempts: &[(0, 2), (300, 3), (600, 4)],
             last: None,
         },
         TrialCase {
-            name: "after both without an outcome",
-            asks: &[(0, 2), (3_000, 2), (8_000, 2)],
+            name: "before the second trial has timed out",
+            attempts: &[(0, 2), (3_000, 2), (8_000, 2)],
             last: None,
         },
         TrialCase {
-            name: "all upstreams ended at once",
-            asks: &[(0, 9)],
+            name: "first attempt after all upstreams ended at once",
+            attempts: &[(0, 9)],
             last: Some(Shared),
         },
         TrialCase {
-            name: "long after both without an outcome",
-            asks: &[(0, 2), (3_000, 2), (9_000, 2)],
+            name: "after both trials timed out",
+            attempts: &[(0, 2), (3_000, 2), (9_000, 2)],
             last: Some(Alone),
         },
         TrialCase {
-            name: "rested",
-            asks: &[(0, 2), (300, 3), (700_000, 2)],
+            name: "after the trials have expired",
+            attempts: &[(0, 2), (300, 3), (700_000, 2)],
             last: Some(Shared),
         },
     ];
     for case in cases {
         let mut trials = Trials::default();
-        let asks = case.asks.iter();
-        let outcomes = asks.map(|(at, ends)| trials.try_grant(request(1), *ends, Millis(*at)));
+        let attempts = case.attempts.iter();
+        let outcomes = attempts.map(|(at, ends)| trials.try_grant(request(1), *ends, Millis(*at)));
         let last = outcomes.last().unwrap();
         assert_eq!(last.ok(), case.last, "{}", case.name);
         assert!(
@@ -243,8 +252,9 @@
     }
 }
 
+/// Guards against losing a trial whose request is not sent.
 #[test]
-fn leave_that_was_not_used_can_be_had_again() {
+fn a_trial_that_is_given_back_is_granted_again() {
     let mut trials = Trials::default();
     assert_eq!(
         trials.try_grant(request(1), 2, Millis(0)),
@@ -260,93 +270,96 @@
     assert_eq!(trials.try_grant(request(1), 3, Millis(3)), Ok(Trial::Alone));
 }
 
-/// Whether a request may be sent, and by which trial if it needs one.
-fn ask(
-    known: &SuspectTable,
+/// Decides whether a request may be sent, and in which trial if it needs one.
+fn try_send(
+    table: &SuspectTable,
     trials: &mut Trials,
     request: Fingerprint,
     now: Millis,
 ) -> Result<Option<Trial>, Millis> {
-    let ends = known.end_count(&request, now);
+    let ends = table.end_count(&request, now);
     if ends < TRIAL_MIN_ENDS {
         return Ok(None);
     }
-    if let Some(rest) = known.retry_after(&request, now) {
-        return Err(rest);
+    if let Some(retry_after) = table.retry_after(&request, now) {
+        return Err(retry_after);
     }
     trials.try_grant(request, ends, now).map(Some)
 }
 
-/// Plays a poison request among harmless ones: all of an engine's are there when it ends, and come again.
-fn play(harmless: u32, engines: usize) -> (usize, u32) {
-    let mut known = SuspectTable::new(1);
+/// Simulates a poison request among harmless ones: the requests in progress at an engine that ends are sent again.
+/// Returns the number of ends and of requests not served.
+fn simulate(harmless: u32, engines: usize) -> (usize, u32) {
+    let mut table = SuspectTable::new(1);
     let mut trials = Trials::default();
     let poison = request(0);
     let mut ended = 0;
     let mut waiting: Vec<u32> = (1..=harmless).collect();
     for round in 0..20_u64 {
         let now = Millis(round * 1_000);
-        // The poison request is at the first engine, beside each one that goes there.
-        let mut there = Vec::new();
+        // The poison request is sent to the first engine, where it runs together with all others sent there.
+        let mut interrupted = Vec::new();
         let mut refused = Vec::new();
-        let permit = ask(&known, &mut trials, poison, now);
-        let strikes = permit.is_ok();
+        let permit = try_send(&table, &mut trials, poison, now);
+        let poison_sent = permit.is_ok();
         let alone = permit == Ok(Some(Trial::Alone));
         for (n, id) in waiting.drain(..).enumerate() {
-            let Ok(own) = ask(&known, &mut trials, request(id), now) else {
+            let Ok(own) = try_send(&table, &mut trials, request(id), now) else {
                 refused.push(id);
                 continue;
             };
-            let apart = own.is_some() && (alone || own == Some(Trial::Alone));
-            if strikes && n % engines == 0 && !apart {
-                there.push(id);
+            let separate = own.is_some() && (alone || own == Some(Trial::Alone));
+            if poison_sent && n % engines == 0 && !separate {
+                interrupted.push(id);
             } else {
-                known.record_served(&request(id));
+                table.record_served(&request(id));
             }
         }
-        if strikes {
+        if poison_sent {
             ended += 1;
-            for id in there.iter().chain([&0]) {
-                known.record_end(request(*id), round, alone && *id == 0, now);
+            for id in interrupted.iter().chain([&0]) {
+                table.record_end(request(*id), round, alone && *id == 0, now);
             }
         }
-        waiting = there;
+        waiting = interrupted;
         waiting.append(&mut refused);
     }
     (ended, u32::try_from(waiting.len()).unwrap())
 }
 
-struct SideBySide {
+struct Mix {
     harmless: u32,
     engines: usize,
 }
 
+/// Guards against harmless requests that stay refused after they ran together with a poison request, and against a
+/// poison request that ends further engines.
 #[test]
 fn those_who_ran_beside_a_poison_request_are_all_served_and_four_engines_end() {
     let cases = [
-        SideBySide {
+        Mix {
             harmless: 1,
             engines: 1,
         },
-        SideBySide {
+        Mix {
             harmless: 8,
             engines: 1,
         },
-        SideBySide {
+        Mix {
             harmless: 64,
             engines: 1,
         },
-        SideBySide {
+        Mix {
             harmless: 64,
             engines: 8,
         },
     ];
     for case in cases {
-        let (ended, left) = play(case.harmless, case.engines);
+        let (ended, unserved) = simulate(case.harmless, case.engines);
         assert_eq!(
-            (ended, left),
+            (ended, unserved),
             (4, 0),
-            "{} at {}",
+            "{} on {}",
             case.harmless,
             case.engines
         );
