--- a/crates/policy/src/limits/mod.rs
+++ b/crates/policy/src/limits/mod.rs
@@ -6,8 +6,8 @@
 //! request was not sent before the limit was last updated. A limit also ends when a later start of its
 //! upstream is known or the upstream is removed.
 
-mod named;
 mod pace;
+mod rate_limits;
 
-pub use named::{Admission, LimitChange, LimitSource, RateLimits};
 pub use pace::Slot;
+pub use rate_limits::{Admission, LimitChange, LimitSource, RateLimits};
