--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::future::select;
-use pumicecleat_catalog::{Base, Engine};
+use pumicecleat_catalog::{BaseModel, Engine};
 use pumicecleat_ops::{events, field};
 use pumicecleat_policy::{BaseLoads, EngineOrder, EngineState, OrderEnd, TurnAction, TurnOptions};
 use pumicecleat_types::{BaseId, Millis, Turn};
@@ -82,7 +82,7 @@
         if due {
             self.shared.turns.borrow_mut().retune(TurnOptions {
                 places: places(&engine, &base),
-                batch: engine.batch,
+                batch: engine.max_batch_size,
                 base: base_loads(&base),
             });
             let report = self.shared.port.report(&base.name, REPORT_SPAN).await;
@@ -92,10 +92,10 @@
     }
 
     /// The engine's base model and figures, if the configuration tells them.
-    fn engine(&self) -> Option<(Base, Engine)> {
+    fn engine(&self) -> Option<(BaseModel, Engine)> {
         let catalog = self.shared.catalog.borrow();
         let engine = catalog.layout()?.engine(&self.shared.service)?;
-        Some((engine.bases.first()?.clone(), engine.clone()))
+        Some((engine.base_models.first()?.clone(), engine.clone()))
     }
 
     fn take(&mut self, report: Result<EngineState, PortError>) {
@@ -254,24 +254,24 @@
     clippy::cast_sign_loss,
     reason = "a float's cast saturates"
 )]
-fn places(engine: &Engine, base: &Base) -> u32 {
-    if base.adapter_mb <= 0.0 {
-        return engine.places;
+fn places(engine: &Engine, base: &BaseModel) -> u32 {
+    if base.adapter_size_mb <= 0.0 {
+        return engine.max_adapters;
     }
-    let fitting = ((engine.space_mb - base.size_mb) / base.adapter_mb).floor();
-    engine.places.min(fitting.max(0.0) as u32)
+    let fitting = ((engine.weight_memory_mb - base.weights_mb) / base.adapter_size_mb).floor();
+    engine.max_adapters.min(fitting.max(0.0) as u32)
 }
 
 /// Times of a load of the base model; where one is not told, that of the next slower way.
-fn base_loads(base: &Base) -> BaseLoads {
+fn base_loads(base: &BaseModel) -> BaseLoads {
     let known = |own: f64, slower: f64| if own > 0.0 { own } else { slower };
-    let disk = known(base.disk_s, base.load_s);
+    let disk = known(base.disk_load_s, base.store_load_s);
     // A configuration's figure may be anything; none that makes sense is refused here.
     let span = |s: f64| millis(Duration::try_from_secs_f64(s).unwrap_or_default());
     BaseLoads {
-        memory: span(known(base.warm_s, disk)),
+        memory: span(known(base.memory_load_s, disk)),
         disk: span(disk),
-        store: span(base.load_s),
+        store: span(base.store_load_s),
     }
 }
 
--- a/crates/catalog/src/layout.rs
+++ b/crates/catalog/src/layout.rs
@@ -25,11 +25,11 @@
     /// Host that the request names.
     pub host: String,
     /// Start of the path, with a slash at both ends.
-    pub prefix: String,
+    pub path_prefix: String,
     /// Services by weight.
-    pub shares: Vec<Share>,
+    pub services: Vec<WeightedService>,
     /// What may be sent again.
-    pub repeat: Repeat,
+    pub retry: RetryMode,
     /// Answer is a stream of numbered events.
     pub stream: bool,
     /// Longest wait for an answer, ms.
@@ -39,12 +39,12 @@
     /// Rank, 0 before all others.
     pub priority: u8,
     /// Upstreams that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// Part of a route's requests that a service gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct WeightedService {
     /// Service.
     pub service: ServiceId,
     /// Weight against the other parts.
@@ -53,7 +53,7 @@
 
 /// What may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryMode {
     /// Nothing.
     #[default]
     Never,
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
     /// Connections that one upstream takes from all callers together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Model engine's figures; `None` for a plain service.
     pub engine: Option<Engine>,
 }
@@ -76,85 +76,85 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
     /// Requests in one batch.
-    pub batch: u32,
+    pub max_batch_size: u32,
     /// Tokens that fit into memory.
-    pub tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Adapters that fit.
-    pub places: u32,
+    pub max_adapters: u32,
     /// Space for weights, base models and adapters together, MB.
-    pub space_mb: f64,
+    pub weight_memory_mb: f64,
     /// Base models.
-    pub bases: Vec<Base>,
+    pub base_models: Vec<BaseModel>,
 }
 
 /// A base model.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Base {
+pub struct BaseModel {
     /// Name.
     pub name: BaseId,
     /// Size of its weights, MB.
-    pub size_mb: f64,
+    pub weights_mb: f64,
     /// Size of one of its adapters, MB.
-    pub adapter_mb: f64,
+    pub adapter_size_mb: f64,
     /// Time of a load from the weight store, s.
-    pub load_s: f64,
+    pub store_load_s: f64,
     /// Time of a load from the engine's disk, s; as from the store, if 0.
-    pub disk_s: f64,
+    pub disk_load_s: f64,
     /// Time of a load from the memory of the engine's host, s; as from its disk, if 0.
-    pub warm_s: f64,
+    pub memory_load_s: f64,
 }
 
 /// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest head, bytes.
-    pub head: usize,
+    pub max_header_bytes: usize,
     /// Longest body, bytes.
-    pub body: u64,
+    pub max_body_bytes: u64,
     /// Time for a head to arrive, ms.
-    pub head_ms: u64,
+    pub header_timeout_ms: u64,
     /// Time that a connection may stay idle, ms.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 << 20,
-            head_ms: 3_000,
-            idle_ms: 15_000,
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 4 << 20,
+            header_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
         }
     }
 }
 
 impl Route {
-    /// Route without shares that repeats nothing.
+    /// Route without services, which repeats nothing.
     #[must_use]
-    pub fn new(name: &str, host: &str, prefix: &str) -> Self {
+    pub fn new(name: &str, host: &str, path_prefix: &str) -> Self {
         Self {
             name: name.to_owned(),
             host: host.to_owned(),
-            prefix: prefix.to_owned(),
-            shares: Vec::new(),
-            repeat: Repeat::Never,
+            path_prefix: path_prefix.to_owned(),
+            services: Vec::new(),
+            retry: RetryMode::Never,
             stream: false,
             timeout_ms: 30_000,
             objective_ms: 1_000,
             priority: 0,
-            attempts: 1,
+            max_attempts: 1,
         }
     }
 
     /// Service for a request; `roll` is a random number.
     #[must_use]
-    pub fn pick(&self, roll: u64) -> Option<&ServiceId> {
-        let sum: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
+    pub fn pick_service(&self, roll: u64) -> Option<&ServiceId> {
+        let sum: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
         let mut at = roll.checked_rem(sum)?;
-        for share in &self.shares {
-            let weight = u64::from(share.weight);
+        for candidate in &self.services {
+            let weight = u64::from(candidate.weight);
             if at < weight {
-                return Some(&share.service);
+                return Some(&candidate.service);
             }
             at -= weight;
         }
@@ -166,9 +166,10 @@
     /// Route of a request: of those of its host, the one with the longest prefix of the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
-        let fits = |r: &&Route| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix);
+        let fits =
+            |r: &&Route| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.path_prefix);
         let fitting = self.routes.iter().filter(fits);
-        fitting.max_by_key(|r| r.prefix.len())
+        fitting.max_by_key(|r| r.path_prefix.len())
     }
 
     /// Engine figures of a service.
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -38,7 +38,7 @@
 pub use change::{Change, Dialect, Topic, Unreadable};
 pub use expire::expire;
 pub use follow::{Follow, FollowParts, FollowSettings, Shared, follow};
-pub use layout::{Base, Engine, Layout, Limits, Repeat, Route, Service, Share};
+pub use layout::{BaseModel, Engine, Layout, Limits, RetryMode, Route, Service, WeightedService};
 pub use marks::Marks;
 pub use state::{Applied, Catalog};
 pub use unreadable::UnreadableKeys;
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -85,13 +85,20 @@
         return own_failure(&trail, 404, "no_route");
     };
     let trail = Trail::new(shared, &attributes, &route.name, layout.number, arrived);
-    let body = match read_all(&mut body, layout.limits.body, BODY_SPAN, &shared.timer).await {
+    let body = match read_all(
+        &mut body,
+        layout.limits.max_body_bytes,
+        BODY_SPAN,
+        &shared.timer,
+    )
+    .await
+    {
         Ok(body) => body,
         Err(e) => return own_failure(&trail, e.status(), "body"),
     };
     trail.set_fingerprint(fingerprint(&head, &body));
     let roll = shared.rng.borrow_mut().next_u64();
-    let Some(service) = route.pick(roll).cloned() else {
+    let Some(service) = route.pick_service(roll).cloned() else {
         return Refusal::no_upstream().reply(&trail);
     };
     let engine = layout.engine(&service).is_some();
--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pumicecleat_catalog::{Catalog, Repeat, Upstream};
+use pumicecleat_catalog::{Catalog, RetryMode, Upstream};
 use pumicecleat_net::{Reply, Response};
 use pumicecleat_policy::{AdapterHold, Admission, EngineChoice, EngineView, TurnSearch};
 use pumicecleat_types::{Millis, Turn, TurnAsk, TurnRefusal};
@@ -51,7 +51,7 @@
                     response,
                     under_way,
                 } = *answered;
-                let stream = response.status() == 200 && job.route.repeat == Repeat::Resume;
+                let stream = response.status() == 200 && job.route.retry == RetryMode::Resume;
                 if stream {
                     return resume::pass(response, job, progress, under_way);
                 }
@@ -66,7 +66,7 @@
 /// Goes on with a stream that broke off, at another engine; `None` if there is none.
 pub(super) async fn go_on(job: &mut Job, progress: &mut Progress) -> Option<Box<Answered>> {
     progress.search.renew();
-    while progress.sent < job.route.attempts {
+    while progress.sent < job.route.max_attempts {
         job.clear().await.ok()?;
         let turn = find_turn(job, progress).await.ok()?;
         match run(job, &turn, progress).await {
@@ -336,7 +336,7 @@
     under_way: UnderWay,
     progress: &mut Progress,
 ) -> Ran {
-    let again = job.route.repeat != Repeat::Never && progress.sent < job.route.attempts;
+    let again = job.route.retry != RetryMode::Never && progress.sent < job.route.max_attempts;
     match attempt {
         Attempt::Answer(response) => {
             if response.status() >= 500 {
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pumicecleat_catalog::{Repeat, Upstream};
+use pumicecleat_catalog::{RetryMode, Upstream};
 use pumicecleat_net::Reply;
 use pumicecleat_policy::Admission;
 use pumicecleat_types::Millis;
@@ -128,7 +128,7 @@
 /// Time for one attempt: what is left, unless another attempt may follow.
 fn patience(job: &Job, sent: u32) -> Duration {
     let left = job.left();
-    let another = job.route.repeat == Repeat::Whole && sent < job.route.attempts;
+    let another = job.route.retry == RetryMode::Whole && sent < job.route.max_attempts;
     let others = job.candidates().len() > 1;
     if !another || !others {
         return Duration::from_millis(left.0);
@@ -177,7 +177,7 @@
 /// Whether another attempt may follow one that may have run, or did not. Takes it from the bound on
 /// repeats if so.
 fn may_go_on(job: &Job, progress: &Progress, ran: bool) -> bool {
-    let repeatable = job.route.repeat == Repeat::Whole && progress.sent < job.route.attempts;
+    let repeatable = job.route.retry == RetryMode::Whole && progress.sent < job.route.max_attempts;
     let open = (!ran || repeatable) && progress.sent < SENDS;
     let left = job.left().0 > LEAST_LEFT && !job.candidates().is_empty();
     open && left && job.shared.may_repeat(&job.service)
