--- a/crates/agent/src/instance.rs
+++ b/crates/agent/src/instance.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_catalog::{Change, Dialect, Standing, Topic, UnreadableKeys, Upstream};
+use pumicecleat_catalog::{Change, RecordDecoder, Standing, Topic, UnreadableKeys, Upstream};
 use pumicecleat_infra::KeyedLog;
 use pumicecleat_ops::{events, field};
 
@@ -26,20 +26,20 @@
 pub(crate) async fn find_instance(
     shared: Rc<Shared>,
     store: Rc<dyn KeyedLog>,
-    dialect: Rc<dyn Dialect>,
+    decoder: Rc<dyn RecordDecoder>,
 ) {
     let unreadable = RefCell::new(UnreadableKeys::default());
     loop {
         // Whether somebody named one or the time is over, it is looked for.
         let _ = shared.timer.within(UNNAMED, shared.naming.rung()).await;
         if shared.in_doubt() {
-            match store.newest(dialect.stream(Topic::Upstreams)).await {
+            match store.newest(decoder.stream(Topic::Upstreams)).await {
                 Ok(newest) => {
-                    let read = |r| match dialect.read(Topic::Upstreams, r) {
+                    let read = |r| match decoder.decode(Topic::Upstreams, r) {
                         Ok(Change::Upstream(upstream)) => Some(upstream),
                         Ok(_) => None,
                         Err(e) => {
-                            unreadable.borrow_mut().tell(&e, &shared.log);
+                            unreadable.borrow_mut().log_once(&e, &shared.log);
                             None
                         }
                     };
@@ -55,7 +55,7 @@
                     }
                 }
                 Err(e) => {
-                    let stream = dialect.stream(Topic::Upstreams);
+                    let stream = decoder.stream(Topic::Upstreams);
                     let fields = [field("stream", stream), field("error", &e)];
                     shared.log.emit(&events::STORE_LOST, &fields);
                 }
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -7,7 +7,7 @@
 
 use crate::entries::Entries;
 use async_channel::{Receiver, Sender};
-use pumicecleat_catalog::{Applied, Follow, Marks, Shared as Catalog, Upstream};
+use pumicecleat_catalog::{Applied, CatalogListener, Marks, SharedCatalog, Upstream};
 use pumicecleat_net::{Client, Timer};
 use pumicecleat_ops::{Log, Readiness, events, field};
 use pumicecleat_policy::{RateLimits, TurnId, Turns};
@@ -34,7 +34,7 @@
     /// Address of the engine, by which the list names its instance.
     pub(crate) engine: SocketAddr,
     pub(crate) port: Rc<dyn EnginePort>,
-    pub(crate) catalog: Catalog,
+    pub(crate) catalog: SharedCatalog,
     pub(crate) marks: Rc<Marks>,
     pub(crate) turns: RefCell<Turns>,
     /// Rate limit of the engine.
@@ -196,8 +196,8 @@
     }
 }
 
-impl Follow for Shared {
-    fn applied(&self, applied: &Applied) {
+impl CatalogListener for Shared {
+    fn on_applied(&self, applied: &Applied) {
         if let Applied::Version { adapter, version } = applied {
             // Requests name an adapter behind its base model and a slash.
             let name = adapter.split_once('/').map_or(adapter.as_str(), |p| p.1);
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_catalog::{Dialect, FollowParts, FollowSettings, Shared as Catalog, Topic, follow};
+use pumicecleat_catalog::{
+    FollowContext, FollowSettings, RecordDecoder, SharedCatalog, Topic, follow,
+};
 use pumicecleat_infra::KeyedLog;
 use pumicecleat_net::{Client, ClientOptions, Server, ServerOptions, Timer};
 use pumicecleat_ops::{Admin, Dump, ListenError, Log, Metrics, Readiness, Stop, events, listen};
@@ -48,7 +50,7 @@
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
     /// Form of its records.
-    pub dialect: Rc<dyn Dialect>,
+    pub decoder: Rc<dyn RecordDecoder>,
     /// Engine.
     pub port: Rc<dyn EnginePort>,
 }
@@ -147,7 +149,7 @@
         service: settings.service.clone(),
         engine: settings.engine,
         port: Rc::clone(&parts.port),
-        catalog: Catalog::default(),
+        catalog: SharedCatalog::default(),
         marks: Rc::default(),
         turns: RefCell::new(Turns::new_ext(unknown)),
         limits: RefCell::new(RateLimits::new_ext(FIRST_SLOT_PHASE)),
@@ -177,16 +179,16 @@
         detection_span: None,
         answer_timeout: None,
         pace: READ_PAUSE,
-        fresh: Duration::ZERO,
-        hurry: READ_PAUSE,
-        hurry_most: READ_PAUSE,
-        longest: LONGEST_PAUSE,
+        max_list_age: Duration::ZERO,
+        hint_interval: READ_PAUSE,
+        max_hint_interval: READ_PAUSE,
+        max_backoff: LONGEST_PAUSE,
         seed: pumicecleat_policy::upstream_key(&settings.common.vm),
     };
-    let sources = FollowParts {
+    let sources = FollowContext {
         catalog: Rc::clone(&shared.catalog),
         store: Rc::clone(&parts.store),
-        dialect: Rc::clone(&parts.dialect),
+        decoder: Rc::clone(&parts.decoder),
         listener: shared.clone(),
         timer: shared.timer.clone(),
         log: shared.log.clone(),
@@ -196,7 +198,7 @@
     monoio::spawn(find_instance(
         Rc::clone(shared),
         Rc::clone(&parts.store),
-        Rc::clone(&parts.dialect),
+        Rc::clone(&parts.decoder),
     ));
     monoio::spawn(drive(Rc::clone(shared), settings.report_pause.0));
     monoio::spawn(gather(Rc::clone(shared)));
--- a/crates/catalog/src/age.rs
+++ b/crates/catalog/src/age.rs
@@ -5,33 +5,33 @@
 use pumicecleat_infra::as_millis;
 use pumicecleat_ops::{events, field};
 
-use crate::FollowParts;
+use crate::FollowContext;
 
 /// Interval between two checks of the age.
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// Reports the age of the list of upstreams to the listener and logs each time it exceeds `bound` or
 /// falls back within it. Never returns.
-pub async fn watch_list_age(parts: FollowParts, bound: Duration) {
+pub async fn watch_list_age(context: FollowContext, bound: Duration) {
     let mut old_since = None;
     loop {
-        parts.timer.sleep(PAUSE).await;
-        let now = parts.timer.now();
-        let Some(age) = parts.marks.list_age(now) else {
+        context.timer.sleep(PAUSE).await;
+        let now = context.timer.now();
+        let Some(age) = context.marks.list_age(now) else {
             continue;
         };
-        parts.listener.report_list_age(age);
+        context.listener.report_list_age(age);
         let is_old = age > as_millis(bound);
         match (old_since, is_old) {
             (None, true) => {
                 old_since = Some(now);
                 let fields = [field("age_ms", age.0)];
-                parts.log.emit(&events::LIST_OLD, &fields);
+                context.log.emit(&events::LIST_OLD, &fields);
             }
             (Some(since), false) => {
                 old_since = None;
                 let fields = [field("old_ms", now.since(since).0)];
-                parts.log.emit(&events::LIST_CURRENT, &fields);
+                context.log.emit(&events::LIST_CURRENT, &fields);
             }
             _ => {}
         }
--- a/crates/catalog/src/change.rs
+++ b/crates/catalog/src/change.rs
@@ -45,7 +45,7 @@
 /// A record that can't be read.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub), display("step read record {key}: {detail}"))]
-pub struct Unreadable {
+pub struct DecodeError {
     /// Key of the record.
     pub key: String,
     /// What is wrong.
@@ -53,13 +53,13 @@
 }
 
 /// Names and forms of the records.
-pub trait Dialect {
+pub trait RecordDecoder {
     /// Stream that holds a topic.
     fn stream(&self, topic: Topic) -> &'static str;
 
     /// What a record of a topic says.
     ///
     /// # Errors
-    /// [`Unreadable`] if the record is not in the form expected.
-    fn read(&self, topic: Topic, record: &KeyedRecord) -> Result<Change, Unreadable>;
+    /// [`DecodeError`] if the record is not in the form expected.
+    fn decode(&self, topic: Topic, record: &KeyedRecord) -> Result<Change, DecodeError>;
 }
--- a/crates/catalog/src/expire.rs
+++ b/crates/catalog/src/expire.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
-use crate::FollowParts;
+use crate::FollowContext;
 use crate::tell::tell;
 
 /// Pause between two looks for upstreams that did not come back.
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// Forgets upstreams whose entries did not come back in time, for good.
-pub async fn expire(parts: FollowParts) {
+pub async fn expire_lapsed(context: FollowContext) {
     loop {
-        parts.timer.sleep(PAUSE).await;
-        let now = parts.timer.now();
-        let gone = parts.catalog.borrow_mut().expire(now);
+        context.timer.sleep(PAUSE).await;
+        let now = context.timer.now();
+        let gone = context.catalog.borrow_mut().expire(now);
         for applied in &gone {
-            tell(applied, &*parts.listener, &parts.log);
+            tell(applied, &*context.listener, &context.log);
         }
     }
 }
--- a/crates/catalog/src/follow.rs
+++ b/crates/catalog/src/follow.rs
@@ -14,24 +14,24 @@
 
 use crate::share::{believed, staggered_wait};
 use crate::tell::tell;
-use crate::{Applied, Catalog, Change, Dialect, Marks, Topic, UnreadableKeys};
+use crate::{Applied, Catalog, Change, Marks, RecordDecoder, Topic, UnreadableKeys};
 
 /// Catalog that the parts of a process share.
-pub type Shared = Rc<RefCell<Catalog>>;
+pub type SharedCatalog = Rc<RefCell<Catalog>>;
 
 /// What is told of each change that took effect.
-pub trait Follow {
+pub trait CatalogListener {
     /// `applied` took effect.
-    fn applied(&self, applied: &Applied);
+    fn on_applied(&self, applied: &Applied);
 
     /// The log has come back from an older copy: what this process wrote there may be lost.
-    fn store_renewed(&self) {}
+    fn on_store_renewed(&self) {}
 
     /// Called periodically with the age of the list of upstreams known to this process.
     fn report_list_age(&self, _: Millis) {}
 
     /// Processes that follow the same, as far as is known.
-    fn followers(&self) -> u32 {
+    fn follower_count(&self) -> u32 {
         1
     }
 }
@@ -51,24 +51,24 @@
     /// Least time between two reads that give records.
     pub pace: Duration,
     /// Age up to which the list of upstreams may be believed, whoever read it.
-    pub fresh: Duration,
+    pub max_list_age: Duration,
     /// Least time between two reads that another process's word brings on, for each process that hears
     /// it: so many read at the same pace as few.
-    pub hurry: Duration,
+    pub hint_interval: Duration,
     /// Longest such time, however many there are.
-    pub hurry_most: Duration,
+    pub max_hint_interval: Duration,
     /// Longest pause between two attempts while the log does not answer.
-    pub longest: Duration,
+    pub max_backoff: Duration,
     /// Seed of the pauses; processes should differ in it.
     pub seed: u64,
 }
 
 struct Following<'a> {
     marks: &'a Marks,
-    catalog: &'a Shared,
+    catalog: &'a SharedCatalog,
     topic: Topic,
-    dialect: &'a dyn Dialect,
-    listener: &'a dyn Follow,
+    decoder: &'a dyn RecordDecoder,
+    listener: &'a dyn CatalogListener,
     timer: &'a Timer,
     log: &'a Log,
     /// Start of the present outage.
@@ -99,15 +99,15 @@
 
 /// What a follower works with.
 #[derive(Clone)]
-pub struct FollowParts {
+pub struct FollowContext {
     /// Where changes go.
-    pub catalog: Shared,
+    pub catalog: SharedCatalog,
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
     /// Form of its records.
-    pub dialect: Rc<dyn Dialect>,
+    pub decoder: Rc<dyn RecordDecoder>,
     /// Who is told of each change.
-    pub listener: Rc<dyn Follow>,
+    pub listener: Rc<dyn CatalogListener>,
     /// Timer service.
     pub timer: Timer,
     /// Log of this process.
@@ -122,7 +122,7 @@
         answer_timeout: settings.answer_timeout,
         pace: settings.pace,
         backoff: BackoffOptions {
-            max: settings.longest,
+            max: settings.max_backoff,
             seed: settings.seed,
             ..BackoffOptions::default()
         },
@@ -131,24 +131,24 @@
 }
 
 /// Follows `topic` for good.
-pub async fn follow(topic: Topic, parts: FollowParts, settings: FollowSettings) {
-    let FollowParts {
+pub async fn follow(topic: Topic, context: FollowContext, settings: FollowSettings) {
+    let FollowContext {
         catalog,
         store,
-        dialect,
+        decoder,
         listener,
         timer,
         log,
         marks,
-    } = parts;
+    } = context;
     let options = follow_options(&settings);
-    let stream = dialect.stream(topic);
+    let stream = decoder.stream(topic);
     let mut follower = KeyedFollower::new_ext(store, &timer, stream, options);
     let following = Following {
         marks: &marks,
         catalog: &catalog,
         topic,
-        dialect: &*dialect,
+        decoder: &*decoder,
         listener: &*listener,
         timer: &timer,
         log: &log,
@@ -170,8 +170,8 @@
             following.follow(event, &mut follower);
             continue;
         }
-        let rest = settings.hurry * listener.followers();
-        let rest = as_millis(rest.min(settings.hurry_most));
+        let rest = settings.hint_interval * listener.follower_count();
+        let rest = as_millis(rest.min(settings.max_hint_interval));
         timer.sleep_until(hurried + rest).await;
         hurried = timer.now();
         follower.hurry();
@@ -190,13 +190,13 @@
     async fn next(&self, follower: &mut KeyedFollower, settings: &FollowSettings) -> KeyedEvent {
         let up = follower.position().is_some() && self.down.get().is_none();
         if self.topic == Topic::Upstreams && up && self.busy.get() {
-            let followers = self.listener.followers();
-            let span = believed(settings.fresh, settings.seed, followers);
+            let followers = self.listener.follower_count();
+            let span = believed(settings.max_list_age, settings.seed, followers);
             self.marks.unlisted(span, self.timer).await;
             follower.hurry();
         }
         if let Some(span) = settings.detection_span {
-            let followers = self.listener.followers();
+            let followers = self.listener.follower_count();
             let n = self.reads.get();
             self.reads.set(n + 1);
             let wait = staggered_wait(span, settings.seed, n, followers);
@@ -211,7 +211,7 @@
         self.busy.set(matches!(event, KeyedEvent::Changes(_)));
         let changed = self.take(event);
         if follower.has_odd_era() {
-            let fields = [field("stream", self.dialect.stream(self.topic))];
+            let fields = [field("stream", self.decoder.stream(self.topic))];
             self.log.emit(&events::ERA_UNCLEAR, &fields);
         }
         let (Some(position), Some(asked)) = (follower.position(), follower.asked()) else {
@@ -248,14 +248,14 @@
                 false
             }
             KeyedEvent::Unanswered => {
-                let fields = [field("stream", self.dialect.stream(self.topic))];
+                let fields = [field("stream", self.decoder.stream(self.topic))];
                 self.log.emit(&events::READ_UNANSWERED, &fields);
                 self.marks.doubt(self.topic);
                 false
             }
             KeyedEvent::Outage { detail } => {
                 let fields = [
-                    field("stream", self.dialect.stream(self.topic)),
+                    field("stream", self.decoder.stream(self.topic)),
                     field("error", detail.as_str()),
                 ];
                 self.log.emit(&events::STORE_LOST, &fields);
@@ -272,7 +272,7 @@
     /// written again, or has had the time for that.
     fn renew(&self, before: Position, now: u64) {
         let fields = [
-            field("stream", self.dialect.stream(self.topic)),
+            field("stream", self.decoder.stream(self.topic)),
             field("era_before", before.era),
             field("offset_before", before.offset),
             field("era", now),
@@ -280,7 +280,7 @@
         self.log.emit(&events::STORE_RENEWED, &fields);
         let began = self.marks.era_began(now, self.timer.now());
         self.catalog.borrow_mut().renewed(began);
-        self.listener.store_renewed();
+        self.listener.on_store_renewed();
     }
 
     /// Removes what the records just read show to be gone for good, before any request goes there.
@@ -294,7 +294,7 @@
     fn back(&self, now: Millis) {
         if let Some(down) = self.down.take() {
             let fields = [
-                field("stream", self.dialect.stream(self.topic)),
+                field("stream", self.decoder.stream(self.topic)),
                 field("down_ms", now.since(down).0),
             ];
             self.log.emit(&events::STORE_BACK, &fields);
@@ -308,7 +308,7 @@
 
     fn replace(&self, records: &[KeyedRecord], now: Millis) -> bool {
         let fields = [
-            field("stream", self.dialect.stream(self.topic)),
+            field("stream", self.decoder.stream(self.topic)),
             field("records", records.len()),
         ];
         self.log.emit(&events::STORE_READ, &fields);
@@ -352,13 +352,13 @@
     }
 
     fn read(&self, record: &KeyedRecord) -> Option<Change> {
-        match self.dialect.read(self.topic, record) {
+        match self.decoder.decode(self.topic, record) {
             Ok(change) => {
-                self.unreadable.borrow_mut().read(&record.key);
+                self.unreadable.borrow_mut().clear(&record.key);
                 Some(change)
             }
             Err(e) => {
-                self.unreadable.borrow_mut().tell(&e, self.log);
+                self.unreadable.borrow_mut().log_once(&e, self.log);
                 let instance = record.key.clone();
                 (self.topic == Topic::Upstreams).then_some(Change::Unusable { instance })
             }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -35,9 +35,9 @@
 mod upstream;
 
 pub use age::watch_list_age;
-pub use change::{Change, Dialect, Topic, Unreadable};
-pub use expire::expire;
-pub use follow::{Follow, FollowParts, FollowSettings, Shared, follow};
+pub use change::{Change, DecodeError, RecordDecoder, Topic};
+pub use expire::expire_lapsed;
+pub use follow::{CatalogListener, FollowContext, FollowSettings, SharedCatalog, follow};
 pub use layout::{BaseModel, Engine, Layout, Limits, RetryMode, Route, Service, WeightedService};
 pub use marks::Marks;
 pub use state::{Applied, Catalog};
--- a/crates/catalog/src/tell.rs
+++ b/crates/catalog/src/tell.rs
@@ -2,14 +2,14 @@
 
 use pumicecleat_ops::{Event, Log, events, field};
 
-use crate::{Applied, Follow, Standing};
+use crate::{Applied, CatalogListener, Standing};
 
 /// Tells of what was applied; gives whether it changed anything.
-pub(crate) fn tell(applied: &Applied, listener: &dyn Follow, log: &Log) -> bool {
+pub(crate) fn tell(applied: &Applied, listener: &dyn CatalogListener, log: &Log) -> bool {
     log_applied(log, applied);
     let changed = applied.is_change();
     if changed {
-        listener.applied(applied);
+        listener.on_applied(applied);
     }
     changed
 }
--- a/crates/catalog/src/unreadable.rs
+++ b/crates/catalog/src/unreadable.rs
@@ -7,7 +7,7 @@
 
 use pumicecleat_ops::{Log, events, field};
 
-use crate::Unreadable;
+use crate::DecodeError;
 
 /// Keys remembered; beyond them a record may be told of again.
 const KEYS: usize = 1_024;
@@ -20,7 +20,7 @@
 
 impl UnreadableKeys {
     /// Tells of a record that can't be read, unless it was told of since it last could be.
-    pub fn tell(&mut self, error: &Unreadable, log: &Log) {
+    pub fn log_once(&mut self, error: &DecodeError, log: &Log) {
         if self.keys.len() >= KEYS {
             self.keys.clear();
         }
@@ -30,7 +30,7 @@
     }
 
     /// The record of `key` can be read.
-    pub fn read(&mut self, key: &str) {
+    pub fn clear(&mut self, key: &str) {
         self.keys.remove(key);
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pumicecleat_catalog::{Applied, Follow, Marks, Shared as Catalog, Standing, Topic, Upstream};
+use pumicecleat_catalog::{
+    Applied, CatalogListener, Marks, SharedCatalog, Standing, Topic, Upstream,
+};
 use pumicecleat_net::{Client, Timer};
 use pumicecleat_ops::{Drain, Log, Readiness, events, field};
 use pumicecleat_policy::{
@@ -47,7 +49,7 @@
     pub(crate) centre: DataCentre,
     pub(crate) agent_port: u16,
     pub(crate) wire: Rc<dyn Wire>,
-    pub(crate) catalog: Catalog,
+    pub(crate) catalog: SharedCatalog,
     pub(crate) marks: Rc<Marks>,
     pub(crate) table: Rc<Table>,
     /// Client for upstreams.
@@ -241,8 +243,8 @@
     }
 }
 
-impl Follow for Shared {
-    fn applied(&self, applied: &Applied) {
+impl CatalogListener for Shared {
+    fn on_applied(&self, applied: &Applied) {
         match applied {
             Applied::Layout { .. } => self.readiness.hold(LAYOUT),
             Applied::Upstream {
@@ -260,7 +262,7 @@
         }
     }
 
-    fn store_renewed(&self) {
+    fn on_store_renewed(&self) {
         self.guard.keep_again();
     }
 
@@ -269,7 +271,7 @@
         self.meters.list_age.set(age);
     }
 
-    fn followers(&self) -> u32 {
+    fn follower_count(&self) -> u32 {
         self.gateways.borrow().count()
     }
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use pumicecleat_catalog::{
-    Dialect, FollowParts, FollowSettings, Marks, Topic, expire, follow, watch_list_age,
+    FollowContext, FollowSettings, Marks, RecordDecoder, Topic, expire_lapsed, follow,
+    watch_list_age,
 };
 use pumicecleat_infra::KeyedLog;
 use pumicecleat_net::{Client, ClientOptions, Server, ServerOptions, Timer};
@@ -64,7 +65,7 @@
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
     /// Form of its records.
-    pub dialect: Rc<dyn Dialect>,
+    pub decoder: Rc<dyn RecordDecoder>,
     /// Form of heads.
     pub wire: Rc<dyn Wire>,
 }
@@ -229,10 +230,10 @@
 }
 
 fn spawn_loops(shared: &Rc<Shared>, settings: &GatewaySettings, parts: &GatewayParts) {
-    let sources = FollowParts {
+    let sources = FollowContext {
         catalog: Rc::clone(&shared.catalog),
         store: Rc::clone(&parts.store),
-        dialect: Rc::clone(&parts.dialect),
+        decoder: Rc::clone(&parts.decoder),
         listener: shared.clone(),
         timer: shared.timer.clone(),
         log: shared.log.clone(),
@@ -249,10 +250,10 @@
             detection_span,
             answer_timeout: Some(budget.answer_timeout),
             pace: Duration::ZERO,
-            fresh: budget.fresh,
-            hurry: HURRY,
-            hurry_most: settings.leave_span.0.mul_f64(HURRY_PART),
-            longest: LONGEST_PAUSE,
+            max_list_age: budget.fresh,
+            hint_interval: HURRY,
+            max_hint_interval: settings.leave_span.0.mul_f64(HURRY_PART),
+            max_backoff: LONGEST_PAUSE,
             seed: pumicecleat_policy::upstream_key(&settings.common.vm),
         };
         monoio::spawn(follow(topic, sources.clone(), options));
@@ -261,5 +262,5 @@
     monoio::spawn(side::sync(Rc::clone(shared)));
     monoio::spawn(view::watch(Rc::clone(shared)));
     monoio::spawn(watch_list_age(sources.clone(), settings.leave_span.0));
-    monoio::spawn(expire(sources));
+    monoio::spawn(expire_lapsed(sources));
 }
