--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -78,7 +78,7 @@
     async fn exchange(&self, call: TurnCall) -> Reply {
         let timer = &self.shared.timer;
         let now = timer.now();
-        self.shared.marks.hear(&call.marks, now);
+        self.shared.marks.merge(&call.marks, now);
         self.shared.entries.borrow_mut().heard(&call.entry, now);
         self.shared.turns.borrow_mut().hint(&call.peers);
         let told = call.suspects.as_ref();
@@ -105,7 +105,7 @@
             figures,
             kept,
             entries: self.shared.entries.borrow().count(timer.now()),
-            marks: self.shared.marks.known(timer.now()),
+            marks: self.shared.marks.to_message(timer.now()),
             suspects,
         })
     }
--- a/crates/agent/src/relay/gather.rs
+++ b/crates/agent/src/relay/gather.rs
@@ -45,7 +45,7 @@
     let call = FiguresCall {
         instance: member.instance.clone(),
         kept,
-        marks: shared.marks.known(sent),
+        marks: shared.marks.to_message(sent),
     };
     let peer = member.side.to_string();
     let result: Result<FiguresReply, NetError> =
@@ -55,7 +55,7 @@
     let mut board = shared.board.borrow_mut();
     match result {
         Ok(reply) => {
-            shared.marks.hear(&reply.marks, now);
+            shared.marks.merge(&reply.marks, now);
             if let Some(since) = board.heard(instance, reply, sent, now) {
                 let silent = field("silent_ms", now.since(since).0);
                 let fields = [field("side", instance), silent];
@@ -81,7 +81,7 @@
     let call = ViewCall {
         caller: shared.vm.clone(),
         viewer: Viewer::Relay,
-        marks: shared.marks.known(sent),
+        marks: shared.marks.to_message(sent),
         digest: ask.digest,
         members: ask.pick.tell.then(|| ask.members.clone()),
         seen: ask.pick.seen,
@@ -94,7 +94,7 @@
     let mut board = shared.board.borrow_mut();
     match result {
         Ok(reply) => {
-            shared.marks.hear(&reply.marks, now);
+            shared.marks.merge(&reply.marks, now);
             hear_suspects(shared, relay, suspects.told, &reply.suspects);
             board.heard_centre(&ask, reply, sent, now);
         }
--- a/crates/agent/src/relay/mod.rs
+++ b/crates/agent/src/relay/mod.rs
@@ -23,7 +23,7 @@
 /// Answers an ask for a view.
 pub(crate) fn view(shared: &Shared, call: ViewCall) -> ViewReply {
     let now = shared.timer.now();
-    shared.marks.hear(&call.marks, now);
+    shared.marks.merge(&call.marks, now);
     let suspects = shared.watch.exchange(&call.suspects, now);
     let figures = shared.figures();
     let kept = shared.turns.borrow().kept();
@@ -34,7 +34,7 @@
     if idle {
         shared.viewed.ring();
     }
-    reply.marks = shared.marks.known(now);
+    reply.marks = shared.marks.to_message(now);
     reply.suspects = suspects;
     reply
 }
@@ -42,12 +42,12 @@
 /// Answers an ask for the own engine's figures.
 pub(crate) fn figures(shared: &Shared, call: &FiguresCall) -> FiguresReply {
     let now = shared.timer.now();
-    shared.marks.hear(&call.marks, now);
+    shared.marks.merge(&call.marks, now);
     // The instance named tells an agent that took another for its engine's.
     shared.is_meant(&call.instance);
     FiguresReply {
         figures: shared.figures(),
         kept: shared.kept(call.kept),
-        marks: shared.marks.known(now),
+        marks: shared.marks.to_message(now),
     }
 }
--- a/crates/catalog/src/follow.rs
+++ b/crates/catalog/src/follow.rs
@@ -279,7 +279,7 @@
         ];
         self.log.emit(&events::STORE_RENEWED, &fields);
         let began = self.marks.era_began(now, self.timer.now());
-        self.catalog.borrow_mut().renewed(began);
+        self.catalog.borrow_mut().note_store_renewal(began);
         self.listener.on_store_renewed();
     }
 
@@ -302,7 +302,7 @@
         }
         if let (Topic::Upstreams, Some(outage)) = (self.topic, self.outage.get()) {
             let end = outage.end(self.marks, now);
-            self.catalog.borrow_mut().returned(end);
+            self.catalog.borrow_mut().note_list_recovery(end);
         }
     }
 
--- a/crates/catalog/src/marks.rs
+++ b/crates/catalog/src/marks.rs
@@ -98,7 +98,7 @@
 
     /// What other processes are to be told.
     #[must_use]
-    pub fn known(&self, now: Millis) -> StreamMarks {
+    pub fn to_message(&self, now: Millis) -> StreamMarks {
         StreamMarks {
             operators: self.operators.position.get(),
             upstreams: self.upstreams.position.get(),
@@ -107,7 +107,7 @@
     }
 
     /// Another process knows this much.
-    pub fn hear(&self, marks: &StreamMarks, now: Millis) {
+    pub fn merge(&self, marks: &StreamMarks, now: Millis) {
         let read = marks.listed.map(|read| read.end).unwrap_or_default();
         let latest = read.max(marks.operators).max(marks.upstreams);
         self.note_era(latest.era, now);
--- a/crates/catalog/src/state.rs
+++ b/crates/catalog/src/state.rs
@@ -67,12 +67,12 @@
         /// Instance.
         instance: String,
     },
-    /// An upstream's entry lapsed in an outage; it stays until the time for its return is over.
+    /// An upstream's entry lapsed in an outage; it is kept until the time for its return is over.
     Lapsed {
         /// Instance.
         instance: String,
-        /// Time for which it stays.
-        stays: Millis,
+        /// Time for which it is kept.
+        retained_for: Millis,
     },
     /// An entry is older than one that was read before, and was not taken.
     Outdated {
@@ -80,14 +80,14 @@
         instance: String,
     },
     /// Nothing changed.
-    Same,
+    Unchanged,
 }
 
 impl Applied {
     /// Whether anything changed by it.
     #[must_use]
     pub fn is_change(&self) -> bool {
-        !matches!(self, Self::Same | Self::Outdated { .. })
+        !matches!(self, Self::Unchanged | Self::Outdated { .. })
     }
 }
 
@@ -116,7 +116,10 @@
     }
 
     /// Upstreams of a service that take requests.
-    pub fn ready<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Upstream> {
+    pub fn ready_upstreams<'a>(
+        &'a self,
+        service: &'a ServiceId,
+    ) -> impl Iterator<Item = &'a Upstream> {
         let ready = |u: &&Upstream| u.service == *service && u.standing == Standing::Ready;
         self.upstreams.values().filter(ready)
     }
@@ -133,7 +136,7 @@
             }
             Change::Gone { instance } => self.remove(instance, now),
             Change::Unusable { instance } => self.drop_unusable(instance),
-            Change::Other => Applied::Same,
+            Change::Other => Applied::Unchanged,
         }
     }
 
@@ -151,13 +154,13 @@
     }
 
     /// The list answers again, since `at`: entries of upstreams that live may have lapsed meanwhile.
-    pub fn returned(&mut self, at: Millis) {
+    pub fn note_list_recovery(&mut self, at: Millis) {
         self.returned = Some(at);
     }
 
     /// The list has come back from an older copy, at `at`: entries of upstreams that live may be missing
     /// until they write again.
-    pub fn renewed(&mut self, at: Millis) {
+    pub fn note_store_renewal(&mut self, at: Millis) {
         self.renewed = self.renewed.max(Some(at));
     }
 
@@ -172,7 +175,7 @@
         let number = layout.number;
         match &self.layout {
             Some(held) if held.number > number => Applied::Stale { number },
-            Some(held) if held.number == number => Applied::Same,
+            Some(held) if held.number == number => Applied::Unchanged,
             _ => {
                 self.layout = Some(Rc::new(layout));
                 Applied::Layout { number }
@@ -183,7 +186,7 @@
     fn apply_version(&mut self, adapter: String, version: u64) -> Applied {
         let known = self.versions.entry(adapter.clone()).or_default();
         if *known >= version {
-            return Applied::Same;
+            return Applied::Unchanged;
         }
         *known = version;
         Applied::Version { adapter, version }
@@ -200,7 +203,7 @@
             // Each start tells its time: this was written by somebody else.
             (Some(_), None) => return self.forget(instance),
             // Written by a start before the one that is known.
-            (Some(known), Some(born)) if born < known => return Applied::Same,
+            (Some(known), Some(born)) if born < known => return Applied::Unchanged,
             _ => {}
         }
         self.lapsed.remove(&instance);
@@ -209,7 +212,7 @@
             Some(before) if before.born.is_some() && before.born < born => {
                 Applied::Restarted { instance, standing }
             }
-            Some(before) if before.standing == standing => Applied::Same,
+            Some(before) if before.standing == standing => Applied::Unchanged,
             _ => Applied::Upstream { instance, standing },
         }
     }
@@ -217,19 +220,19 @@
     /// An entry that can't be read is not kept over an outage either: its writer was here.
     fn drop_unusable(&mut self, instance: String) -> Applied {
         if !self.upstreams.contains_key(&instance) {
-            return Applied::Same;
+            return Applied::Unchanged;
         }
         self.forget(instance)
     }
 
     fn remove(&mut self, instance: String, now: Millis) -> Applied {
         if !self.upstreams.contains_key(&instance) {
-            return Applied::Same;
+            return Applied::Unchanged;
         }
         match self.returned.max(self.renewed) {
             Some(at) if now.since(at) < RETURN_SPAN => {
-                let stays = (at + RETURN_SPAN).since(now);
-                self.lapse(instance, now, stays)
+                let retained_for = (at + RETURN_SPAN).since(now);
+                self.lapse(instance, now, retained_for)
             }
             _ => self.leave(instance, now),
         }
@@ -240,9 +243,12 @@
         self.forget(instance)
     }
 
-    fn lapse(&mut self, instance: String, now: Millis, stays: Millis) -> Applied {
-        self.lapsed.add(&instance, now + stays);
-        Applied::Lapsed { instance, stays }
+    fn lapse(&mut self, instance: String, now: Millis, retained_for: Millis) -> Applied {
+        self.lapsed.add(&instance, now + retained_for);
+        Applied::Lapsed {
+            instance,
+            retained_for,
+        }
     }
 
     fn forget(&mut self, instance: String) -> Applied {
--- a/crates/catalog/src/tell.rs
+++ b/crates/catalog/src/tell.rs
@@ -37,10 +37,13 @@
                 &[field("instance", instance.as_str())],
             );
         }
-        Applied::Lapsed { instance, stays } => {
+        Applied::Lapsed {
+            instance,
+            retained_for,
+        } => {
             let fields = [
                 field("instance", instance.as_str()),
-                field("stays_ms", stays.0),
+                field("stays_ms", retained_for.0),
             ];
             log.emit(&events::UPSTREAM_LAPSED, &fields);
         }
@@ -48,7 +51,7 @@
             let fields = [field("instance", instance.as_str())];
             log.emit(&events::ENTRY_OUTDATED, &fields);
         }
-        Applied::Same => {}
+        Applied::Unchanged => {}
     }
 }
 
--- a/crates/catalog/tests/lapse.rs
+++ b/crates/catalog/tests/lapse.rs
@@ -80,7 +80,7 @@
         for instance in ["a", "b", "c", "d", "x"] {
             catalog.apply(entry(instance), Millis(0));
         }
-        catalog.returned(BACK);
+        catalog.note_list_recovery(BACK);
         let instance = "x".to_owned();
         catalog.apply(Change::Gone { instance }, BACK);
         for writer in case.writes {
--- a/crates/catalog/tests/marks.rs
+++ b/crates/catalog/tests/marks.rs
@@ -85,9 +85,9 @@
                 listed,
                 ..StreamMarks::default()
             };
-            marks.hear(&told, Millis(word.arrives));
+            marks.merge(&told, Millis(word.arrives));
         }
-        let told = marks.known(Millis(3_000)).listed;
+        let told = marks.to_message(Millis(3_000)).listed;
         let told = told.map(|read| (read.end.offset, read.age_ms));
         assert_eq!(told, case.told, "{}", case.name);
     }
@@ -104,14 +104,19 @@
         }),
         ..StreamMarks::default()
     };
-    near.hear(&read, Millis(1_000));
+    near.merge(&read, Millis(1_000));
     let way = Millis(150);
     for sent in (1_000..4_000).step_by(10).map(Millis) {
-        let (there, back) = (near.known(sent), far.known(sent));
-        far.hear(&there, sent + way);
-        near.hear(&back, sent + way);
+        let (there, back) = (near.to_message(sent), far.to_message(sent));
+        far.merge(&there, sent + way);
+        near.merge(&back, sent + way);
     }
-    let age = |marks: &Marks| marks.known(Millis(4_000)).listed.map(|read| read.age_ms);
+    let age = |marks: &Marks| {
+        marks
+            .to_message(Millis(4_000))
+            .listed
+            .map(|read| read.age_ms)
+    };
     assert_eq!(age(&near), Some(3_000));
     assert_eq!(age(&far), Some(2_850));
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -42,7 +42,7 @@
             .with(instance, |r| r.figures.as_ref().map(|f| f.0.traits))
     };
     let traits: Vec<EngineTraits> = catalog
-        .ready(service)
+        .ready_upstreams(service)
         .filter_map(|u| figures(&u.instance))
         .collect();
     EngineTraits::middle(traits.into_iter())
--- a/crates/gateway/src/request/job.rs
+++ b/crates/gateway/src/request/job.rs
@@ -87,7 +87,7 @@
         &'a self,
         catalog: &'a Catalog,
     ) -> impl Iterator<Item = &'a Upstream> {
-        let ready = catalog.ready(&self.service);
+        let ready = catalog.ready_upstreams(&self.service);
         let fresh = ready.filter(|u| !self.tried.contains(&u.instance));
         fresh.filter(|u| self.shared.takes(u))
     }
@@ -103,7 +103,7 @@
     /// word.
     pub(super) fn resting(&self) -> Option<Millis> {
         let catalog = self.shared.catalog.borrow();
-        let ready = catalog.ready(&self.service);
+        let ready = catalog.ready_upstreams(&self.service);
         let rests: Option<Vec<Millis>> = ready
             .filter(|u| self.shared.stays(u))
             .map(|u| self.shared.rest_left(u))
--- a/crates/gateway/src/side.rs
+++ b/crates/gateway/src/side.rs
@@ -102,7 +102,7 @@
         entry: shared.vm.clone(),
         instance: upstream.instance.clone(),
         news: news.clone(),
-        marks: shared.marks.known(shared.timer.now()),
+        marks: shared.marks.to_message(shared.timer.now()),
         kept: known(shared, upstream),
         peers: peers(shared, &upstream.service),
         suspects: None,
@@ -154,7 +154,7 @@
         entry: shared.vm.clone(),
         instance: upstream.instance.clone(),
         news,
-        marks: shared.marks.known(now),
+        marks: shared.marks.to_message(now),
         kept: known(shared, upstream),
         peers: peers(shared, &upstream.service),
         suspects: None,
@@ -236,7 +236,7 @@
         ];
         shared.log.emit(&events::SIDE_BACK, &fields);
     }
-    shared.marks.hear(&reply.marks, now);
+    shared.marks.merge(&reply.marks, now);
     shared.gateways.borrow_mut().told(reply.entries, now);
     let named = &reply.figures.instance;
     let own = *named == upstream.instance;
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -92,7 +92,7 @@
     let call = ViewCall {
         caller: shared.vm.clone(),
         viewer: Viewer::Entry,
-        marks: shared.marks.known(sent),
+        marks: shared.marks.to_message(sent),
         digest,
         members: pick.tell.then(|| members.to_vec()),
         seen: pick.seen,
@@ -124,7 +124,7 @@
 }
 
 fn take(shared: &Shared, reply: ViewReply, sent: Millis, now: Millis) {
-    shared.marks.hear(&reply.marks, now);
+    shared.marks.merge(&reply.marks, now);
     shared.gateways.borrow_mut().told(reply.entries, now);
     let way = now.since(sent);
     for mut row in reply.rows {
