--- a/crates/catalog/src/answers.rs
+++ b/crates/catalog/src/availability.rs
@@ -5,7 +5,7 @@
 
 use pumicecleat_types::Millis;
 
-use crate::listed::Listed;
+use crate::complete_read::Listed;
 
 /// Reads of the list to its end, by this process and others.
 #[derive(Clone, Copy, Debug)]
--- a/crates/catalog/src/expire.rs
+++ b/crates/catalog/src/expire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::FollowContext;
-use crate::tell::tell;
+use crate::report::tell;
 
 /// Pause between two looks for upstreams that did not come back.
 const PAUSE: Duration = Duration::from_millis(100);
--- a/crates/catalog/src/follow.rs
+++ b/crates/catalog/src/follow.rs
@@ -12,8 +12,8 @@
 use pumicecleat_ops::{Log, events, field};
 use pumicecleat_types::{Millis, Position};
 
-use crate::share::{believed, staggered_wait};
-use crate::tell::tell;
+use crate::read_schedule::{believed, staggered_wait};
+use crate::report::tell;
 use crate::{Applied, Catalog, Change, Marks, RecordDecoder, Topic, UnreadableKeys};
 
 /// Catalog that the parts of a process share.
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -19,18 +19,18 @@
 //! ```
 
 mod age;
-mod answers;
+mod availability;
 mod change;
+mod complete_read;
 mod expire;
 mod follow;
 mod lapsed;
 mod layout;
-mod listed;
 mod marks;
-mod newest;
-mod share;
+mod newest_entries;
+mod read_schedule;
+mod report;
 mod state;
-mod tell;
 mod unreadable;
 mod upstream;
 
--- a/crates/catalog/src/marks.rs
+++ b/crates/catalog/src/marks.rs
@@ -20,8 +20,8 @@
 use pumicecleat_types::{Millis, Position, StreamMarks};
 
 use crate::Topic;
-use crate::answers::Answers;
-use crate::listed::Listed;
+use crate::availability::Answers;
+use crate::complete_read::Listed;
 
 /// How far the streams are known to reach; of none at first.
 #[derive(Debug, Default)]
--- a/crates/catalog/src/state.rs
+++ b/crates/catalog/src/state.rs
@@ -6,7 +6,7 @@
 use pumicecleat_types::{Millis, ServiceId};
 
 use crate::lapsed::Lapsed;
-use crate::newest::Newest;
+use crate::newest_entries::Newest;
 use crate::{Change, Layout, Standing, Upstream};
 
 /// Time after an outage of the list within which an entry that lapsed may come back. The list
