--- a/crates/catalog/src/age.rs
+++ b/crates/catalog/src/age.rs
@@ -8,14 +8,14 @@
 use crate::FollowContext;
 
 /// Interval between two checks of the age.
-const PAUSE: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reports the age of the list of upstreams to the listener and logs each time it exceeds `bound` or
 /// falls back within it. Never returns.
 pub async fn watch_list_age(context: FollowContext, bound: Duration) {
     let mut old_since = None;
     loop {
-        context.timer.sleep(PAUSE).await;
+        context.timer.sleep(CHECK_INTERVAL).await;
         let now = context.timer.now();
         let Some(age) = context.marks.list_age(now) else {
             continue;
--- a/crates/catalog/src/availability.rs
+++ b/crates/catalog/src/availability.rs
@@ -1,52 +1,58 @@
-//! Since when the list is known to answer, by anybody's word.
+//! Availability of the list of upstreams, as seen by all processes.
 //!
-//! A process whose own reads fail does not know whether the list is out or it alone is cut off. What the
-//! others read meanwhile tells.
+//! When its own reads fail, a process can't tell an outage of the list from a network partition that affects
+//! only itself. Reads that other processes completed in the meantime make the difference.
 
 use pumicecleat_types::Millis;
 
-use crate::complete_read::Listed;
+use crate::complete_read::CompleteRead;
 
-/// Reads of the list to its end, by this process and others.
+/// Complete reads of the list by this process and others.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Answers {
-    /// First read since the last time that nobody read for longer than anybody rests.
+pub(crate) struct Availability {
+    /// Time of the first read after the last gap that was longer than the longest interval between reads.
     since: Millis,
-    last: Listed,
-    /// Last read by another process.
-    other: Option<Millis>,
+    last: CompleteRead,
+    /// Time of the last read by another process.
+    last_by_other: Option<Millis>,
 }
 
-impl Answers {
-    /// Answers that begin with `read`, by another process if `other`.
-    pub(crate) fn new(read: Listed, other: bool) -> Self {
+impl Availability {
+    /// Starts with `read`; `by_other` if another process completed it.
+    pub(crate) fn new(read: CompleteRead, by_other: bool) -> Self {
         Self {
-            since: read.at,
+            since: read.as_of,
             last: read,
-            other: other.then_some(read.at),
+            last_by_other: by_other.then_some(read.as_of),
         }
     }
 
-    /// Takes in one more read. Processes rest between two reads for `rest` at most.
-    pub(crate) fn note(&mut self, read: Listed, other: bool, rest: Millis) {
+    /// Adds a read. A gap longer than `max_interval`, the longest interval between two reads by any process,
+    /// counts as an outage.
+    pub(crate) fn note_read(&mut self, read: CompleteRead, by_other: bool, max_interval: Millis) {
         if read.end <= self.last.end {
-            self.last = self.last.join(read);
+            self.last = self.last.merge(read);
             return;
         }
-        if read.at.since(self.last.at) > rest {
-            self.since = read.at;
+        if read.as_of.since(self.last.as_of) > max_interval {
+            self.since = read.as_of;
         }
         self.last = read;
-        if other {
-            self.other = Some(read.at);
+        if by_other {
+            self.last_by_other = Some(read.as_of);
         }
     }
 
-    /// Since when the list has answered without a pause, if another process read it after `down` and
-    /// somebody did lately.
-    pub(crate) fn since(&self, down: Millis, now: Millis, rest: Millis) -> Option<Millis> {
-        let other = self.other.is_some_and(|at| at >= down);
-        let lately = now.since(self.last.at) <= rest;
-        (other && lately).then_some(self.since)
+    /// Returns the time since which the list has been available without a gap, if another process has read
+    /// it after `down_since` and some process has read it within `max_interval`.
+    pub(crate) fn available_since(
+        &self,
+        down_since: Millis,
+        now: Millis,
+        max_interval: Millis,
+    ) -> Option<Millis> {
+        let read_by_other = self.last_by_other.is_some_and(|at| at >= down_since);
+        let recent = now.since(self.last.as_of) <= max_interval;
+        (read_by_other && recent).then_some(self.since)
     }
 }
--- a/crates/catalog/src/change.rs
+++ b/crates/catalog/src/change.rs
@@ -1,65 +1,65 @@
-//! What a record says, and who can read it.
+//! Changes decoded from log records, and the trait for their decoder.
 
 use pumicecleat_infra::KeyedRecord;
 use snafu::Snafu;
 
 use crate::{Layout, Upstream};
 
-/// Streams that a catalog is made of.
+/// Topics that make up a catalog; each has a stream in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    /// Operators' records: configuration and versions of adapters.
+    /// Operators' records: configuration and adapter versions.
     Operators,
-    /// Upstreams' records.
+    /// Upstreams' entries: the list of upstreams.
     Upstreams,
 }
 
-/// What one record says.
+/// Change described by one record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A configuration, whole.
+    /// A complete configuration.
     Layout(Layout),
     /// Newest version of an adapter.
     Version {
-        /// Adapter, as requests name it: base model, slash, adapter.
+        /// Adapter as `base-model/adapter`.
         adapter: String,
         /// Version.
         version: u64,
     },
-    /// An upstream's entry.
+    /// A new or updated upstream entry.
     Upstream(Upstream),
-    /// An instance's entry can't be read: it names no upstream to use.
+    /// An instance's entry can't be decoded, so it gives no usable upstream.
     Unusable {
         /// Instance.
         instance: String,
     },
-    /// An instance has no entry any more.
+    /// An instance's entry was removed.
     Gone {
         /// Instance.
         instance: String,
     },
-    /// Nothing that concerns a catalog.
+    /// Not relevant to a catalog.
     Other,
 }
 
-/// A record that can't be read.
+/// A record can't be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub), display("step read record {key}: {detail}"))]
 pub struct DecodeError {
     /// Key of the record.
     pub key: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub detail: String,
 }
 
-/// Names and forms of the records.
+/// Stream names and record formats of a deployment.
 pub trait RecordDecoder {
-    /// Stream that holds a topic.
+    /// Returns the name of the stream that holds a topic.
     fn stream(&self, topic: Topic) -> &'static str;
 
-    /// What a record of a topic says.
+    /// Decodes a record of a topic.
     ///
     /// # Errors
-    /// [`DecodeError`] if the record is not in the form expected.
+    /// [`DecodeError`] if the record does not have the expected format.
     fn decode(&self, topic: Topic, record: &KeyedRecord) -> Result<Change, DecodeError>;
 }
--- a/crates/catalog/src/complete_read.rs
+++ b/crates/catalog/src/complete_read.rs
@@ -1,40 +1,44 @@
-//! A read of the list to its end, as processes tell each other of it.
+//! Complete reads of the list of upstreams and their form in messages between processes.
 
 use std::cmp::Ordering;
 
 use pumicecleat_types::{ListRead, Millis, Position};
 
-/// A read of the list to its end.
+/// A read of the list of upstreams up to its end.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Listed {
-    /// Its end.
+pub(crate) struct CompleteRead {
+    /// Position of the end that the read found.
     pub(crate) end: Position,
-    /// When the list was whole up to there.
-    pub(crate) at: Millis,
+    /// Time as of which the read was complete.
+    pub(crate) as_of: Millis,
 }
 
-impl Listed {
-    /// What was told of a read, if this process ran then.
-    pub(crate) fn heard(read: ListRead, now: Millis) -> Option<Self> {
-        let at = Millis(now.0.checked_sub(read.age_ms)?);
-        Some(Self { end: read.end, at })
+impl CompleteRead {
+    /// Converts a received message; `None` if the read is older than this process's clock.
+    pub(crate) fn from_message(read: ListRead, now: Millis) -> Option<Self> {
+        let as_of = Millis(now.0.checked_sub(read.age_ms)?);
+        Some(Self {
+            end: read.end,
+            as_of,
+        })
     }
 
-    pub(crate) fn told(self, now: Millis) -> ListRead {
+    pub(crate) fn to_message(self, now: Millis) -> ListRead {
         ListRead {
             end: self.end,
-            age_ms: now.since(self.at).0,
+            age_ms: now.since(self.as_of).0,
         }
     }
 
-    /// The later of two reads. Word of one and the same that took long on its way looks younger than it
-    /// is; passed on again and again it would never age.
-    pub(crate) fn join(self, other: Self) -> Self {
+    /// Returns the later of two reads, or the earlier time of two messages about the same read. A message
+    /// that was delayed in transit makes its read appear younger than it is; if the latest message counted,
+    /// a read that processes keep passing on would never age.
+    pub(crate) fn merge(self, other: Self) -> Self {
         match self.end.cmp(&other.end) {
             Ordering::Less => other,
             Ordering::Greater => self,
             Ordering::Equal => Self {
-                at: self.at.min(other.at),
+                as_of: self.as_of.min(other.as_of),
                 ..self
             },
         }
--- a/crates/catalog/src/expire.rs
+++ b/crates/catalog/src/expire.rs
@@ -1,21 +1,21 @@
-//! Ends the wait for upstreams whose entries lapsed around an outage of the list.
+//! Removes upstreams whose entries lapsed around an outage of the list and did not return in time.
 
 use std::time::Duration;
 
 use crate::FollowContext;
-use crate::report::tell;
+use crate::report::report_applied;
 
-/// Pause between two looks for upstreams that did not come back.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Interval between two checks for lapsed upstreams.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Forgets upstreams whose entries did not come back in time, for good.
+/// Removes upstreams whose lapsed entries did not return in time. Never returns.
 pub async fn expire_lapsed(context: FollowContext) {
     loop {
-        context.timer.sleep(PAUSE).await;
+        context.timer.sleep(CHECK_INTERVAL).await;
         let now = context.timer.now();
-        let gone = context.catalog.borrow_mut().expire(now);
-        for applied in &gone {
-            tell(applied, &*context.listener, &context.log);
+        let removed = context.catalog.borrow_mut().expire(now);
+        for applied in &removed {
+            report_applied(applied, &*context.listener, &context.log);
         }
     }
 }
--- a/crates/catalog/src/follow.rs
+++ b/crates/catalog/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps a catalog up to date, by one follower a topic.
+//! Keeps a catalog up to date, with one follower for each topic.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,35 +12,35 @@
 use pumicecleat_ops::{Log, events, field};
 use pumicecleat_types::{Millis, Position};
 
-use crate::read_schedule::{believed, staggered_wait};
-use crate::report::tell;
+use crate::read_schedule::{max_read_age, staggered_wait};
+use crate::report::report_applied;
 use crate::{Applied, Catalog, Change, Marks, RecordDecoder, Topic, UnreadableKeys};
 
-/// Catalog that the parts of a process share.
+/// Catalog shared by the components of a process.
 pub type SharedCatalog = Rc<RefCell<Catalog>>;
 
-/// What is told of each change that took effect.
+/// Receives the changes to a catalog.
 pub trait CatalogListener {
-    /// `applied` took effect.
+    /// Called for each result that counts as a change, see [`Applied::is_change`].
     fn on_applied(&self, applied: &Applied);
 
-    /// The log has come back from an older copy: what this process wrote there may be lost.
+    /// Called when the log was restored from an older copy: records that this process wrote may be lost.
     fn on_store_renewed(&self) {}
 
     /// Called periodically with the age of the list of upstreams known to this process.
     fn report_list_age(&self, _: Millis) {}
 
-    /// Processes that follow the same, as far as is known.
+    /// Returns the known number of processes that follow the same streams.
     fn follower_count(&self) -> u32 {
         1
     }
 }
 
-/// How a catalog is followed.
+/// Settings of a follower.
 #[derive(Clone)]
 pub struct FollowSettings {
-    /// Time that the log may wait for a record. Half of the time in which a silent connection
-    /// has to be noticed.
+    /// Longest time that the log may wait for a record. Half of the time within which a silent connection
+    /// must be detected.
     pub wait: Duration,
     /// Intended time until a new record is known if the reads in progress of all processes stay unanswered.
     /// Shortens `wait` according to the number of processes; `None` to always use `wait`.
@@ -48,22 +48,22 @@
     /// Time beyond `wait` after which an unanswered read is retried; `None` for the timeout of the log's
     /// client.
     pub answer_timeout: Option<Duration>,
-    /// Least time between two reads that give records.
+    /// Shortest time between two reads that return records.
     pub pace: Duration,
-    /// Age up to which the list of upstreams may be believed, whoever read it.
+    /// Age up to which a read of the list of upstreams may be relied on, whichever process made it.
     pub max_list_age: Duration,
-    /// Least time between two reads that another process's word brings on, for each process that hears
-    /// it: so many read at the same pace as few.
+    /// Shortest time between two reads triggered by messages from other processes, for each process that
+    /// follows the stream: the total read rate does not grow with the number of processes.
     pub hint_interval: Duration,
-    /// Longest such time, however many there are.
+    /// Upper bound of that time, for any number of processes.
     pub max_hint_interval: Duration,
-    /// Longest pause between two attempts while the log does not answer.
+    /// Longest delay between two attempts while the log does not answer.
     pub max_backoff: Duration,
-    /// Seed of the pauses; processes should differ in it.
+    /// Seed of the delays; should differ between processes.
     pub seed: u64,
 }
 
-struct Following<'a> {
+struct TopicFollower<'a> {
     marks: &'a Marks,
     catalog: &'a SharedCatalog,
     topic: Topic,
@@ -71,48 +71,49 @@
     listener: &'a dyn CatalogListener,
     timer: &'a Timer,
     log: &'a Log,
-    /// Start of the present outage.
-    down: Cell<Option<Millis>>,
-    /// Last outage that ended.
-    outage: Cell<Option<Outage>>,
-    /// The last read gave records, and the next would soon give more of them.
-    busy: Cell<bool>,
-    /// Reads so far.
-    reads: Cell<u64>,
+    /// Start of the current outage.
+    down_since: Cell<Option<Millis>>,
+    /// Last outage that has ended.
+    last_outage: Cell<Option<Outage>>,
+    /// Whether the last read returned changes, so that more are expected soon.
+    is_busy: Cell<bool>,
+    /// Number of reads so far.
+    read_count: Cell<u64>,
     unreadable: RefCell<UnreadableKeys>,
 }
 
-/// Time without an answer to this process.
+/// Time during which this process got no answer from the log.
 #[derive(Clone, Copy)]
 struct Outage {
-    down: Millis,
-    back: Millis,
+    start: Millis,
+    end: Millis,
 }
 
 impl Outage {
-    /// When the list answered again: long before this process's return, or all the while, if others read it.
-    fn end(self, marks: &Marks, now: Millis) -> Millis {
-        let since = marks.answers_since(self.down, now);
-        since.map_or(self.back, |since| since.min(self.back))
+    /// Returns the time since which the list has been available. If other processes have read it, this may be
+    /// long before the end of the outage for this process, or even before its start.
+    fn list_recovery(self, marks: &Marks, now: Millis) -> Millis {
+        let since = marks.list_available_since(self.start, now);
+        since.map_or(self.end, |since| since.min(self.end))
     }
 }
 
-/// What a follower works with.
+/// Shared state and services used by a follower.
 #[derive(Clone)]
 pub struct FollowContext {
-    /// Where changes go.
+    /// Catalog that changes are applied to.
     pub catalog: SharedCatalog,
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
-    /// Form of its records.
+    /// Decoder of its records.
     pub decoder: Rc<dyn RecordDecoder>,
-    /// Who is told of each change.
+    /// Receiver of changes.
     pub listener: Rc<dyn CatalogListener>,
-    /// Timer service.
+    /// Timer.
     pub timer: Timer,
     /// Log of this process.
     pub log: Log,
-    /// What processes tell each other of the streams.
+    /// Stream positions exchanged with other processes.
     pub marks: Rc<Marks>,
 }
 
@@ -130,7 +131,7 @@
     }
 }
 
-/// Follows `topic` for good.
+/// Follows `topic`. Never returns.
 pub async fn follow(topic: Topic, context: FollowContext, settings: FollowSettings) {
     let FollowContext {
         catalog,
@@ -144,7 +145,7 @@
     let options = follow_options(&settings);
     let stream = decoder.stream(topic);
     let mut follower = KeyedFollower::new_ext(store, &timer, stream, options);
-    let following = Following {
+    let topic_follower = TopicFollower {
         marks: &marks,
         catalog: &catalog,
         topic,
@@ -152,105 +153,105 @@
         listener: &*listener,
         timer: &timer,
         log: &log,
-        down: Cell::new(None),
-        outage: Cell::new(None),
-        busy: Cell::new(false),
-        reads: Cell::new(0),
+        down_since: Cell::new(None),
+        last_outage: Cell::new(None),
+        is_busy: Cell::new(false),
+        read_count: Cell::new(0),
         unreadable: RefCell::default(),
     };
-    let mut hurried = Millis(0);
+    let mut last_hinted_read = Millis(0);
     loop {
         let position = follower.position();
-        let next = Box::pin(following.next(&mut follower, &settings));
-        let event = match select(next, Box::pin(marks.beyond(topic, position))).await {
+        let next = Box::pin(topic_follower.next(&mut follower, &settings));
+        let event = match select(next, Box::pin(marks.wait_for_hint(topic, position))).await {
             Either::Left((event, _)) => Some(event),
             Either::Right(_) => None,
         };
         if let Some(event) = event {
-            following.follow(event, &mut follower);
+            topic_follower.handle_event(event, &mut follower);
             continue;
         }
-        let rest = settings.hint_interval * listener.follower_count();
-        let rest = as_millis(rest.min(settings.max_hint_interval));
-        timer.sleep_until(hurried + rest).await;
-        hurried = timer.now();
+        let interval = settings.hint_interval * listener.follower_count();
+        let interval = as_millis(interval.min(settings.max_hint_interval));
+        timer.sleep_until(last_hinted_read + interval).await;
+        last_hinted_read = timer.now();
         follower.hurry();
         if topic == Topic::Upstreams {
-            marks.doubt_list();
+            marks.distrust_list();
         }
-        // Not given up for further word: where that never rests, no read would ever end.
-        let event = following.next(&mut follower, &settings).await;
-        following.follow(event, &mut follower);
+        // Further messages don't interrupt this read: if they kept arriving, no read would ever end.
+        let event = topic_follower.next(&mut follower, &settings).await;
+        topic_follower.handle_event(event, &mut follower);
     }
 }
 
-impl Following<'_> {
-    /// Next event. If the last read of the list of upstreams gave changes, the next one starts once the list
-    /// is no longer believed and does not wait for records. All other reads may wait for a record.
+impl TopicFollower<'_> {
+    /// Returns the next event. If the last read of the list of upstreams returned changes, the next one
+    /// starts once the list is too old and does not wait for records. All other reads may wait for a record.
     async fn next(&self, follower: &mut KeyedFollower, settings: &FollowSettings) -> KeyedEvent {
-        let up = follower.position().is_some() && self.down.get().is_none();
-        if self.topic == Topic::Upstreams && up && self.busy.get() {
+        let is_up = follower.position().is_some() && self.down_since.get().is_none();
+        if self.topic == Topic::Upstreams && is_up && self.is_busy.get() {
             let followers = self.listener.follower_count();
-            let span = believed(settings.max_list_age, settings.seed, followers);
-            self.marks.unlisted(span, self.timer).await;
+            let max_age = max_read_age(settings.max_list_age, settings.seed, followers);
+            self.marks.wait_until_stale(max_age, self.timer).await;
             follower.hurry();
         }
         if let Some(span) = settings.detection_span {
             let followers = self.listener.follower_count();
-            let n = self.reads.get();
-            self.reads.set(n + 1);
+            let n = self.read_count.get();
+            self.read_count.set(n + 1);
             let wait = staggered_wait(span, settings.seed, n, followers);
             follower.set_wait(wait.min(settings.wait));
         }
         follower.next().await
     }
 
-    /// Takes in an event, and notes how far its read reached.
-    fn follow(&self, event: KeyedEvent, follower: &mut KeyedFollower) {
-        let lost = matches!(event, KeyedEvent::Outage { .. } | KeyedEvent::Unanswered);
-        self.busy.set(matches!(event, KeyedEvent::Changes(_)));
-        let changed = self.take(event);
+    /// Handles an event and updates the marks.
+    fn handle_event(&self, event: KeyedEvent, follower: &mut KeyedFollower) {
+        let failed = matches!(event, KeyedEvent::Outage { .. } | KeyedEvent::Unanswered);
+        self.is_busy.set(matches!(event, KeyedEvent::Changes(_)));
+        let changed = self.apply_event(event);
         if follower.has_odd_era() {
             let fields = [field("stream", self.decoder.stream(self.topic))];
             self.log.emit(&events::ERA_UNCLEAR, &fields);
         }
-        let (Some(position), Some(asked)) = (follower.position(), follower.asked()) else {
+        let (Some(position), Some(read_start)) = (follower.position(), follower.asked()) else {
             return;
         };
         if changed {
-            self.marks.reached(self.topic, position);
+            self.marks.note_position(self.topic, position);
         }
-        if self.topic == Topic::Upstreams && !lost && follower.is_at_end() {
-            self.marks.listed(position, asked);
+        if self.topic == Topic::Upstreams && !failed && follower.is_at_end() {
+            self.marks.note_own_read(position, read_start);
         }
     }
 
-    /// Takes an event in; gives whether it changed what is believed.
-    fn take(&self, event: KeyedEvent) -> bool {
+    /// Applies an event. Returns whether it changed the catalog.
+    fn apply_event(&self, event: KeyedEvent) -> bool {
         let now = self.timer.now();
         match event {
             KeyedEvent::State(records) => {
-                self.back(now);
-                self.replace(&records, now)
+                self.end_outage(now);
+                self.apply_state(&records, now)
             }
             KeyedEvent::Changes(records) => {
-                self.back(now);
+                self.end_outage(now);
                 let changed = self.apply_all(&records, now);
                 self.expire(now);
                 changed
             }
             KeyedEvent::CaughtUp => {
-                self.back(now);
+                self.end_outage(now);
                 false
             }
             KeyedEvent::Era { before, now: era } => {
-                self.renew(before, era);
+                self.handle_store_renewal(before, era);
                 false
             }
             KeyedEvent::Unanswered => {
                 let fields = [field("stream", self.decoder.stream(self.topic))];
                 self.log.emit(&events::READ_UNANSWERED, &fields);
-                self.marks.doubt(self.topic);
+                self.marks.suspect_connection(self.topic);
                 false
             }
             KeyedEvent::Outage { detail } => {
@@ -259,54 +260,55 @@
                     field("error", detail.as_str()),
                 ];
                 self.log.emit(&events::STORE_LOST, &fields);
-                if self.down.get().is_none() {
-                    self.down.set(Some(now));
+                if self.down_since.get().is_none() {
+                    self.down_since.set(Some(now));
                 }
-                self.marks.doubt(self.topic);
+                self.marks.suspect_connection(self.topic);
                 false
             }
         }
     }
 
-    /// The log has come back from an older copy: what is believed beyond it is kept until it has been
-    /// written again, or has had the time for that.
-    fn renew(&self, before: Position, now: u64) {
+    /// Handles a log restored from an older copy. Upstreams missing from the copy are kept until they have
+    /// written their entries again or had enough time to do so.
+    fn handle_store_renewal(&self, before: Position, era: u64) {
         let fields = [
             field("stream", self.decoder.stream(self.topic)),
             field("era_before", before.era),
             field("offset_before", before.offset),
-            field("era", now),
+            field("era", era),
         ];
         self.log.emit(&events::STORE_RENEWED, &fields);
-        let began = self.marks.era_began(now, self.timer.now());
-        self.catalog.borrow_mut().note_store_renewal(began);
+        let start = self.marks.era_start(era, self.timer.now());
+        self.catalog.borrow_mut().note_store_renewal(start);
         self.listener.on_store_renewed();
     }
 
-    /// Removes what the records just read show to be gone for good, before any request goes there.
+    /// Removes upstreams that the records just read prove to be gone, before any request is sent to them.
     fn expire(&self, now: Millis) {
-        let gone = self.catalog.borrow_mut().expire(now);
-        for applied in &gone {
-            self.tell(applied);
+        let removed = self.catalog.borrow_mut().expire(now);
+        for applied in &removed {
+            self.report(applied);
         }
     }
 
-    fn back(&self, now: Millis) {
-        if let Some(down) = self.down.take() {
+    fn end_outage(&self, now: Millis) {
+        if let Some(start) = self.down_since.take() {
             let fields = [
                 field("stream", self.decoder.stream(self.topic)),
-                field("down_ms", now.since(down).0),
+                field("down_ms", now.since(start).0),
             ];
             self.log.emit(&events::STORE_BACK, &fields);
-            self.outage.set(Some(Outage { down, back: now }));
+            self.last_outage.set(Some(Outage { start, end: now }));
         }
-        if let (Topic::Upstreams, Some(outage)) = (self.topic, self.outage.get()) {
-            let end = outage.end(self.marks, now);
-            self.catalog.borrow_mut().note_list_recovery(end);
+        if let (Topic::Upstreams, Some(outage)) = (self.topic, self.last_outage.get()) {
+            let recovery = outage.list_recovery(self.marks, now);
+            self.catalog.borrow_mut().note_list_recovery(recovery);
         }
     }
 
-    fn replace(&self, records: &[KeyedRecord], now: Millis) -> bool {
+    /// Applies the complete state of the stream.
+    fn apply_state(&self, records: &[KeyedRecord], now: Millis) -> bool {
         let fields = [
             field("stream", self.decoder.stream(self.topic)),
             field("records", records.len()),
@@ -318,7 +320,7 @@
         let mut list = Vec::new();
         let mut changed = false;
         for record in records {
-            match self.read(record) {
+            match self.decode(record) {
                 Some(Change::Upstream(upstream)) => list.push(upstream),
                 Some(unusable @ Change::Unusable { .. }) => {
                     changed |= self.apply_change(unusable, now);
@@ -328,7 +330,7 @@
         }
         let applied = self.catalog.borrow_mut().replace(list, now);
         for applied in &applied {
-            changed |= self.tell(applied);
+            changed |= self.report(applied);
         }
         changed
     }
@@ -342,16 +344,16 @@
     }
 
     fn apply(&self, record: &KeyedRecord, now: Millis) -> bool {
-        let change = self.read(record);
+        let change = self.decode(record);
         change.is_some_and(|c| self.apply_change(c, now))
     }
 
     fn apply_change(&self, change: Change, now: Millis) -> bool {
         let applied = self.catalog.borrow_mut().apply(change, now);
-        self.tell(&applied)
+        self.report(&applied)
     }
 
-    fn read(&self, record: &KeyedRecord) -> Option<Change> {
+    fn decode(&self, record: &KeyedRecord) -> Option<Change> {
         match self.decoder.decode(self.topic, record) {
             Ok(change) => {
                 self.unreadable.borrow_mut().clear(&record.key);
@@ -365,7 +367,7 @@
         }
     }
 
-    fn tell(&self, applied: &Applied) -> bool {
-        tell(applied, self.listener, self.log)
+    fn report(&self, applied: &Applied) -> bool {
+        report_applied(applied, self.listener, self.log)
     }
 }
--- a/crates/catalog/src/lapsed.rs
+++ b/crates/catalog/src/lapsed.rs
@@ -1,65 +1,70 @@
-//! Upstreams whose entries are missing around an outage of the list, and may come back.
+//! Upstreams whose entries are missing around an outage of the list and may return.
 //!
-//! While the list takes no entries, those of upstreams that live lapse too, so one that is missing then is
-//! not taken for gone at once. But this process may be the only one that was cut off: the list took entries
-//! all the while, and what is missing has left. The list itself tells which it was. Each upstream writes as
-//! often as the others, so one that has not come back while another wrote again and again is gone.
+//! While the list accepts no writes, the entries of live upstreams lapse too, so a missing entry does not
+//! mean at once that its upstream is gone. If only this process was cut off, however, the list accepted
+//! writes all the time and a missing upstream has left. The entries in the list tell the two cases apart: all
+//! upstreams write equally often, so an upstream that has not returned while another one has written several
+//! times is gone.
 
 use std::collections::BTreeMap;
 
 use pumicecleat_types::Millis;
 
-/// Entries of one other upstream that show that the list takes them: an upstream that lives has had two
-/// whole turns between them.
-const WRITES: u32 = 3;
+/// Number of entries of one other upstream that prove that the list accepts writes. A live upstream has had
+/// two full write intervals within that time.
+const MIN_WRITES: u32 = 3;
 
-/// Upstreams that may come back, by instance.
+/// Upstreams that may return, by instance.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Lapsed {
-    waits: BTreeMap<String, Wait>,
+pub(crate) struct LapsedUpstreams {
+    lapsed: BTreeMap<String, Lapse>,
 }
 
 #[derive(Clone, Debug)]
-struct Wait {
-    end: Millis,
-    /// Entries that others wrote since, by instance.
+struct Lapse {
+    deadline: Millis,
+    /// Number of entries written since by each other instance.
     writes: BTreeMap<String, u32>,
 }
 
-impl Lapsed {
-    /// Waits for `instance` until `end`.
-    pub(crate) fn add(&mut self, instance: &str, end: Millis) {
+impl LapsedUpstreams {
+    /// Keeps `instance` until `deadline`.
+    pub(crate) fn add(&mut self, instance: &str, deadline: Millis) {
         let writes = BTreeMap::new();
-        self.waits.insert(instance.to_owned(), Wait { end, writes });
+        self.lapsed
+            .insert(instance.to_owned(), Lapse { deadline, writes });
     }
 
-    /// Waits for `instance` no more.
+    /// Stops waiting for `instance`.
     pub(crate) fn remove(&mut self, instance: &str) {
-        self.waits.remove(instance);
+        self.lapsed.remove(instance);
     }
 
-    /// An entry of `other` was read at `now`: the list takes entries.
-    pub(crate) fn written(&mut self, other: &str, now: Millis) {
-        for (instance, wait) in &mut self.waits {
-            if instance != other {
-                wait.written(other, now);
+    /// Notes that an entry of `writer` was read at `now`, which shows that the list accepts writes.
+    pub(crate) fn note_write(&mut self, writer: &str, now: Millis) {
+        for (instance, lapse) in &mut self.lapsed {
+            if instance != writer {
+                lapse.note_write(writer, now);
             }
         }
     }
 
-    /// Instances that did not come back in time.
-    pub(crate) fn due(&self, now: Millis) -> Vec<String> {
-        let due = self.waits.iter().filter(|(_, wait)| wait.end <= now);
-        due.map(|(instance, _)| instance.clone()).collect()
+    /// Returns the instances that did not return in time.
+    pub(crate) fn expired(&self, now: Millis) -> Vec<String> {
+        let expired = self
+            .lapsed
+            .iter()
+            .filter(|(_, lapse)| lapse.deadline <= now);
+        expired.map(|(instance, _)| instance.clone()).collect()
     }
 }
 
-impl Wait {
-    fn written(&mut self, other: &str, now: Millis) {
-        let count = self.writes.entry(other.to_owned()).or_default();
+impl Lapse {
+    fn note_write(&mut self, writer: &str, now: Millis) {
+        let count = self.writes.entry(writer.to_owned()).or_default();
         *count += 1;
-        if *count >= WRITES {
-            self.end = self.end.min(now);
+        if *count >= MIN_WRITES {
+            self.deadline = self.deadline.min(now);
         }
     }
 }
--- a/crates/catalog/src/layout.rs
+++ b/crates/catalog/src/layout.rs
@@ -1,63 +1,63 @@
-//! A whole configuration: routes, services and limits.
+//! Configuration of a deployment: routes, services and limits.
 
 use std::collections::BTreeMap;
 
 use pumicecleat_types::{BaseId, ServiceId};
 
-/// A whole configuration under its number.
+/// One complete, numbered configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Layout {
-    /// Number; a later configuration has a higher one, not always the next.
+    /// Number; later configurations have higher numbers, not always consecutive ones.
     pub number: u64,
-    /// Routes, in no order.
+    /// Routes, in no particular order.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Limits on what a caller may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
 }
 
-/// Where requests of one host and path prefix go.
+/// Maps requests for a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name used in logs.
     pub name: String,
-    /// Host that the request names.
+    /// Host that the request must name, compared without regard to case.
     pub host: String,
-    /// Start of the path, with a slash at both ends.
+    /// Prefix of the request path, with a leading and a trailing slash.
     pub path_prefix: String,
-    /// Services by weight.
+    /// Services that the requests are distributed to.
     pub services: Vec<WeightedService>,
-    /// What may be sent again.
+    /// What may be retried.
     pub retry: RetryMode,
-    /// Answer is a stream of numbered events.
+    /// Whether the response is a stream of numbered events.
     pub stream: bool,
-    /// Longest wait for an answer, ms.
+    /// Response timeout, ms.
     pub timeout_ms: u64,
-    /// Time within which an answer is wanted, ms; of a stream its first event.
+    /// Latency objective for the response, or for the first event of a stream, ms.
     pub objective_ms: u64,
-    /// Rank, 0 before all others.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
 }
 
-/// Part of a route's requests that a service gets.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Service.
     pub service: ServiceId,
-    /// Weight against the other parts.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// What may be sent again after it may have run.
+/// What may be retried after a request may already have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryMode {
     /// Nothing.
     #[default]
     Never,
-    /// A stream, from its last event on.
+    /// A stream, resumed after its last event.
     Resume,
     /// The whole request.
     Whole,
@@ -66,22 +66,22 @@
 /// A service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Connections that one upstream takes from all callers together.
+    /// Maximum number of connections that one upstream accepts from all callers together.
     pub max_connections: u32,
-    /// Model engine's figures; `None` for a plain service.
+    /// Capacity of the service's model engines; `None` for a service without engines.
     pub engine: Option<Engine>,
 }
 
-/// Figures of a service's model engines.
+/// Capacity and base models of a service's model engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Maximum number of requests in one batch.
     pub max_batch_size: u32,
-    /// Tokens that fit into memory.
+    /// Number of tokens that fit into the KV cache.
     pub kv_capacity_tokens: u64,
-    /// Adapters that fit.
+    /// Maximum number of loaded adapters.
     pub max_adapters: u32,
-    /// Space for weights, base models and adapters together, MB.
+    /// Memory for the weights of base models and adapters together, MB.
     pub weight_memory_mb: f64,
     /// Base models.
     pub base_models: Vec<BaseModel>,
@@ -96,24 +96,24 @@
     pub weights_mb: f64,
     /// Size of one of its adapters, MB.
     pub adapter_size_mb: f64,
-    /// Time of a load from the weight store, s.
+    /// Load time from the weight store, s.
     pub store_load_s: f64,
-    /// Time of a load from the engine's disk, s; as from the store, if 0.
+    /// Load time from the engine's disk, s; if 0, same as from the weight store.
     pub disk_load_s: f64,
-    /// Time of a load from the memory of the engine's host, s; as from its disk, if 0.
+    /// Load time from the memory of the engine's host, s; if 0, same as from its disk.
     pub memory_load_s: f64,
 }
 
-/// Limits on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, bytes.
+    /// Maximum size of a request head, bytes.
     pub max_header_bytes: usize,
-    /// Longest body, bytes.
+    /// Maximum size of a request body, bytes.
     pub max_body_bytes: u64,
-    /// Time for a head to arrive, ms.
+    /// Timeout for receiving a request head, ms.
     pub header_timeout_ms: u64,
-    /// Time that a connection may stay idle, ms.
+    /// Timeout for idle connections, ms.
     pub idle_timeout_ms: u64,
 }
 
@@ -129,7 +129,7 @@
 }
 
 impl Route {
-    /// Route without services, which repeats nothing.
+    /// Creates a route without services or retries.
     #[must_use]
     pub fn new(name: &str, host: &str, path_prefix: &str) -> Self {
         Self {
@@ -146,11 +146,12 @@
         }
     }
 
-    /// Service for a request; `roll` is a random number.
+    /// Selects a service at random in proportion to the weights; `random` is a uniform random number. Returns
+    /// `None` if the sum of the weights is 0.
     #[must_use]
-    pub fn pick_service(&self, roll: u64) -> Option<&ServiceId> {
+    pub fn pick_service(&self, random: u64) -> Option<&ServiceId> {
         let sum: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
-        let mut at = roll.checked_rem(sum)?;
+        let mut at = random.checked_rem(sum)?;
         for candidate in &self.services {
             let weight = u64::from(candidate.weight);
             if at < weight {
@@ -163,7 +164,7 @@
 }
 
 impl Layout {
-    /// Route of a request: of those of its host, the one with the longest prefix of the path.
+    /// Returns the route with the longest matching path prefix among those of the host.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let fits =
@@ -172,7 +173,7 @@
         fitting.max_by_key(|r| r.path_prefix.len())
     }
 
-    /// Engine figures of a service.
+    /// Returns the engine capacity of a service.
     #[must_use]
     pub fn engine(&self, service: &ServiceId) -> Option<&Engine> {
         self.services.get(service)?.engine.as_ref()
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a deployment serves, as it stands in a log with keys: one configuration that comes whole
-//! and numbered, versions of adapters, and the list of upstreams.
+//! Catalog of a deployment: routes and services, adapter versions and upstreams, built from a log of keyed
+//! records.
 //!
-//! [`Catalog`] is the state, [`follow`] keeps it up to date. A configuration with a lower number
-//! than the one in force is never taken, so a process can't step back; before the first one
-//! the catalog is empty, and the process knows that it knows nothing.
+//! [`Catalog`] holds the state and [`follow()`] keeps it up to date. A configuration arrives as one numbered
+//! [`Layout`]. A layout with a lower number than the one in force is rejected, so a process never goes back
+//! to an older configuration. Until the first layout arrives, [`Catalog::layout`] returns `None`.
 //!
 //! ```
 //! use pumicecleat_catalog::{Catalog, Change, Layout, Route};
--- a/crates/catalog/src/marks.rs
+++ b/crates/catalog/src/marks.rs
@@ -1,15 +1,14 @@
-//! How far the streams are known to reach, by this process and by others.
+//! High-water marks of the streams, shared between processes.
 //!
-//! Processes tell each other the place behind the last record that changed something. One that hears
-//! of a later place than it has read to reads at once, so that a long wait of the log for a record,
-//! or a connection that fell silent, delays nobody as long as one process got the record. What a record
-//! says comes from the log alone.
+//! Processes exchange the position after the last record that changed something. A process that receives a
+//! later position than its own reads at once. A long poll or a silent connection then delays no process, as
+//! long as one process has received the record. The records themselves are read only from the log.
 //!
-//! The list of upstreams never rests, as each of them writes there every second or so, and most of what
-//! it says is nothing new. So processes also tell how long ago one of them had read it to its end: one
-//! that knows all that had changed by then needs no read of its own, and few read for all. Such word takes
-//! its time on the way and goes round, so a read is known by the end that it found, and
-//! counts from the earliest time that anybody's word gives it.
+//! The list of upstreams changes all the time because each upstream rewrites its entry about once a second,
+//! mostly without any news. Processes therefore also exchange the age of the latest complete read of the
+//! list. A process that knows all changes up to that read needs no read of its own, so a few processes read
+//! on behalf of all. Messages are delayed and passed on in cycles. A read is therefore identified by the end
+//! position that it found, and its time is the earliest that any message gives.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -20,34 +19,34 @@
 use pumicecleat_types::{Millis, Position, StreamMarks};
 
 use crate::Topic;
-use crate::availability::Answers;
-use crate::complete_read::Listed;
+use crate::availability::Availability;
+use crate::complete_read::CompleteRead;
 
-/// How far the streams are known to reach; of none at first.
+/// High-water marks of the streams; initially zero.
 #[derive(Debug, Default)]
 pub struct Marks {
     operators: Mark,
     upstreams: Mark,
-    /// Latest read of the list to its end that this process knows to have told nothing new.
-    listed: Cell<Option<Listed>>,
+    /// Latest complete read of the list by any process, if this process knows all changes up to its end.
+    trusted_read: Cell<Option<CompleteRead>>,
     /// Latest read of the list, by any process, whose results this process knows in full.
-    list_as_of: Cell<Option<Listed>>,
-    /// Place up to which this process has read the list.
-    read: Cell<Position>,
-    /// Since when the list answers.
-    answers: Cell<Option<Answers>>,
-    /// Latest era of the log that another process told of, and when it first did.
-    era: Cell<Option<(u64, Millis)>>,
-    /// Time for which processes rest between two reads of the list at most.
-    rest: Millis,
+    list_as_of: Cell<Option<CompleteRead>>,
+    /// Position up to which this process has read the list.
+    read_position: Cell<Position>,
+    /// Availability of the list.
+    availability: Cell<Option<Availability>>,
+    /// Latest era of the log announced by another process, and the time of the first announcement.
+    announced_era: Cell<Option<(u64, Millis)>>,
+    /// Longest interval between two reads of the list by any process.
+    max_read_interval: Millis,
 }
 
 #[derive(Debug)]
 struct Mark {
     position: Cell<Position>,
-    /// A wait for a record may be one on a silent connection.
-    doubt: Cell<bool>,
-    /// Holds a token while there may be more to read than was read.
+    /// A read in progress may be waiting on a silent connection.
+    connection_suspect: Cell<bool>,
+    /// Holds a token while there may be unread records.
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
@@ -57,7 +56,7 @@
         let (sender, receiver) = async_channel::bounded(1);
         Self {
             position: Cell::default(),
-            doubt: Cell::new(false),
+            connection_suspect: Cell::new(false),
             sender,
             receiver,
         }
@@ -65,12 +64,13 @@
 }
 
 impl Mark {
-    fn ring(&self) {
-        // A full channel holds a token already.
+    fn notify(&self) {
+        // A full channel already holds a token.
         let _ = self.sender.try_send(());
     }
 
-    fn raise(&self, position: Position) -> bool {
+    /// Returns whether `position` is beyond the mark.
+    fn advance(&self, position: Position) -> bool {
         let more = position > self.position.get();
         if more {
             self.position.set(position);
@@ -80,127 +80,142 @@
 }
 
 impl Marks {
-    /// Marks of a process among others that rest between two reads of the list for `rest` at most.
+    /// Creates the marks of a process in a deployment whose processes read the list at intervals of at most
+    /// `max_read_interval`.
     #[must_use]
-    pub fn new_ext(rest: Duration) -> Self {
+    pub fn new_ext(max_read_interval: Duration) -> Self {
         Self {
-            rest: as_millis(rest),
+            max_read_interval: as_millis(max_read_interval),
             ..Self::default()
         }
     }
 
-    fn of(&self, topic: Topic) -> &Mark {
+    fn mark(&self, topic: Topic) -> &Mark {
         match topic {
             Topic::Operators => &self.operators,
             Topic::Upstreams => &self.upstreams,
         }
     }
 
-    /// What other processes are to be told.
+    /// Builds the message for other processes.
     #[must_use]
     pub fn to_message(&self, now: Millis) -> StreamMarks {
         StreamMarks {
             operators: self.operators.position.get(),
             upstreams: self.upstreams.position.get(),
-            listed: self.listed.get().map(|listed| listed.told(now)),
+            listed: self.trusted_read.get().map(|read| read.to_message(now)),
         }
     }
 
-    /// Another process knows this much.
+    /// Merges a message from another process.
     pub fn merge(&self, marks: &StreamMarks, now: Millis) {
         let read = marks.listed.map(|read| read.end).unwrap_or_default();
         let latest = read.max(marks.operators).max(marks.upstreams);
         self.note_era(latest.era, now);
-        if self.operators.raise(marks.operators) {
-            self.operators.ring();
+        if self.operators.advance(marks.operators) {
+            self.operators.notify();
         }
-        if self.upstreams.raise(marks.upstreams) {
-            self.upstreams.ring();
+        if self.upstreams.advance(marks.upstreams) {
+            self.upstreams.notify();
         }
-        let listed = marks.listed.and_then(|read| Listed::heard(read, now));
-        if let Some(listed) = listed {
-            self.note_answer(listed, true);
-            self.note_listed(listed);
+        let read = marks
+            .listed
+            .and_then(|read| CompleteRead::from_message(read, now));
+        if let Some(read) = read {
+            self.note_available(read, true);
+            self.note_read_by_other(read);
         }
     }
 
     fn note_era(&self, era: u64, now: Millis) {
-        if self.era.get().is_none_or(|(known, _)| known < era) {
-            self.era.set(Some((era, now)));
+        if self
+            .announced_era
+            .get()
+            .is_none_or(|(known, _)| known < era)
+        {
+            self.announced_era.set(Some((era, now)));
         }
     }
 
-    /// When the log came to `era`, which this process has found by itself at `now`: others may have told of
-    /// it long before, while this process could not reach the log.
-    pub(crate) fn era_began(&self, era: u64, now: Millis) -> Millis {
-        let told = self.era.get().filter(|(known, _)| *known == era);
-        told.map_or(now, |(_, at)| at)
+    /// Returns the earliest known time of `era`, which this process has found in the log at `now`. Other
+    /// processes may have announced it long before, while this process could not reach the log.
+    pub(crate) fn era_start(&self, era: u64, now: Millis) -> Millis {
+        let announced = self.announced_era.get().filter(|(known, _)| *known == era);
+        announced.map_or(now, |(_, at)| at)
     }
 
-    /// This process had read the list to its end at `at`, up to `end`.
-    pub(crate) fn listed(&self, end: Position, at: Millis) {
-        let read = Listed { end, at };
-        self.read.set(end);
+    /// Notes that this process has read the list to its end, which is `end`, as of `as_of`.
+    pub(crate) fn note_own_read(&self, end: Position, as_of: Millis) {
+        let read = CompleteRead { end, as_of };
+        self.read_position.set(end);
         self.note_as_of(read);
-        self.note_answer(read, false);
-        let later = self.listed.get().is_some_and(|known| known.end > end);
+        self.note_available(read, false);
+        let later = self.trusted_read.get().is_some_and(|known| known.end > end);
         if self.knows_all() && !later {
-            self.listed.set(Some(read));
+            self.trusted_read.set(Some(read));
         }
     }
 
-    /// Since when the list has answered without a pause, if others read it after `down`, when this process
-    /// could not.
-    pub(crate) fn answers_since(&self, down: Millis, now: Millis) -> Option<Millis> {
-        self.answers.get()?.since(down, now, self.rest)
+    /// Returns the time since which the list has been available without a gap, if other processes have read
+    /// it after `down_since`, when this process could not.
+    pub(crate) fn list_available_since(&self, down_since: Millis, now: Millis) -> Option<Millis> {
+        self.availability
+            .get()?
+            .available_since(down_since, now, self.max_read_interval)
     }
 
-    fn note_answer(&self, read: Listed, other: bool) {
-        let mut answers = self.answers.get().unwrap_or(Answers::new(read, other));
-        answers.note(read, other, self.rest);
-        self.answers.set(Some(answers));
+    fn note_available(&self, read: CompleteRead, by_other: bool) {
+        let mut availability = self
+            .availability
+            .get()
+            .unwrap_or(Availability::new(read, by_other));
+        availability.note_read(read, by_other, self.max_read_interval);
+        self.availability.set(Some(availability));
     }
 
-    /// Another process had read the list to its end. Holds for this process only if it knows all that
-    /// had changed by then. A process that does not read the list passes the word on.
-    fn note_listed(&self, heard: Listed) {
-        let reads = self.read.get() > Position::default();
+    /// Notes a complete read by another process. It counts for this process only if this process knows all
+    /// changes up to its end. A process that does not read the list only passes the read on.
+    fn note_read_by_other(&self, read: CompleteRead) {
+        let reads = self.read_position.get() > Position::default();
         if reads && !self.knows_all() {
             return;
         }
-        let listed = self.listed.get().map_or(heard, |known| known.join(heard));
-        self.listed.set(Some(listed));
+        let latest = self
+            .trusted_read
+            .get()
+            .map_or(read, |known| known.merge(read));
+        self.trusted_read.set(Some(latest));
         if reads {
-            self.note_as_of(heard);
+            self.note_as_of(read);
         }
     }
 
-    /// Time since the start of the latest read of the list, by any process, whose results this process
-    /// knows in full; `None` before this process has first read the list to its end.
+    /// Returns the time since the start of the latest read of the list, by any process, whose results this
+    /// process knows in full; `None` before this process has first read the list to its end.
     #[must_use]
     pub fn list_age(&self, now: Millis) -> Option<Millis> {
-        self.list_as_of.get().map(|read| now.since(read.at))
+        self.list_as_of.get().map(|read| now.since(read.as_of))
     }
 
-    fn note_as_of(&self, read: Listed) {
+    fn note_as_of(&self, read: CompleteRead) {
         let known = self.list_as_of.get();
-        let latest = known.map_or(read, |known| known.join(read));
+        let latest = known.map_or(read, |known| known.merge(read));
         self.list_as_of.set(Some(latest));
     }
 
     fn knows_all(&self) -> bool {
-        self.upstreams.position.get() <= self.read.get()
+        self.upstreams.position.get() <= self.read_position.get()
     }
 
-    /// There is more in the list than this process knows.
-    pub(crate) fn doubt_list(&self) {
-        self.listed.set(None);
+    /// Notes that the list has records that this process has not read.
+    pub(crate) fn distrust_list(&self) {
+        self.trusted_read.set(None);
     }
 
-    /// Waits until the list as this process knows it is older than `span`.
-    pub(crate) async fn unlisted(&self, span: Duration, timer: &Timer) {
-        while let Some(listed) = self.listed.get() {
-            let due = listed.at + as_millis(span);
+    /// Waits until this process's view of the list is older than `max_age`.
+    pub(crate) async fn wait_until_stale(&self, max_age: Duration, timer: &Timer) {
+        while let Some(read) = self.trusted_read.get() {
+            let due = read.as_of + as_millis(max_age);
             if timer.now() >= due {
                 return;
             }
@@ -208,30 +223,30 @@
         }
     }
 
-    /// This process has read to `position`, and something changed by it.
-    pub(crate) fn reached(&self, topic: Topic, position: Position) {
-        self.of(topic).raise(position);
+    /// Notes that this process has read `topic` up to `position` and that the records changed something.
+    pub(crate) fn note_position(&self, topic: Topic, position: Position) {
+        self.mark(topic).advance(position);
     }
 
-    /// The log did not answer on `topic`: a wait on another may be one on a connection that fell
-    /// silent with it.
-    pub(crate) fn doubt(&self, topic: Topic) {
+    /// Notes that the log did not respond on `topic`: a read of the other topic may be waiting on a
+    /// connection that fell silent at the same time.
+    pub(crate) fn suspect_connection(&self, topic: Topic) {
         let other = match topic {
             Topic::Operators => &self.upstreams,
             Topic::Upstreams => &self.operators,
         };
-        other.doubt.set(true);
-        other.ring();
+        other.connection_suspect.set(true);
+        other.notify();
     }
 
-    /// Waits until a read of `topic` that began at `position` is worth giving up for a new one.
-    pub(crate) async fn beyond(&self, topic: Topic, position: Option<Position>) {
-        let mark = self.of(topic);
+    /// Waits until a read of `topic` that started at `position` should be abandoned for a new one.
+    pub(crate) async fn wait_for_hint(&self, topic: Topic, position: Option<Position>) {
+        let mark = self.mark(topic);
         loop {
-            // It can't be closed while `self` holds both ends.
+            // The channel can't close while `self` holds both ends.
             let _ = mark.receiver.recv().await;
-            let doubt = mark.doubt.take();
-            if position.is_some_and(|at| doubt || mark.position.get() > at) {
+            let suspect = mark.connection_suspect.take();
+            if position.is_some_and(|at| suspect || mark.position.get() > at) {
                 return;
             }
         }
--- a/crates/catalog/src/newest_entries.rs
+++ b/crates/catalog/src/newest_entries.rs
@@ -1,7 +1,7 @@
-//! The newest entry read of each upstream.
+//! Newest entry of each upstream, for rejecting outdated entries.
 //!
-//! The store may carry out a write seconds after newer ones of the same upstream, if its answer was lost.
-//! The record read last is an old one then, and must not bring back what the upstream said before.
+//! If the response to a write is lost, the store may execute the write seconds after newer writes of the same
+//! upstream. The last record read is then outdated and must not restore the upstream's earlier state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 
 use crate::Upstream;
 
-/// Time for which an entry counts as the newest though others are read after it. Writes are carried out
-/// seconds late; an upstream whose entries stay behind for longer than that counts them anew.
-const LATE: Millis = Millis(10_000);
+/// Time for which older entries that are read after the newest one are rejected. Delayed writes are executed
+/// within seconds; an upstream whose sequence numbers stay behind for longer has restarted its count.
+const MAX_WRITE_DELAY: Millis = Millis(10_000);
 
-/// Newest entries, by instance; those of the last seconds only.
+/// Newest entries of the last seconds, by instance.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Newest {
+pub(crate) struct NewestEntries {
     entries: BTreeMap<String, Entry>,
 }
 
@@ -26,19 +26,21 @@
     address: SocketAddr,
     born: Option<u64>,
     sequence: u64,
-    read: Millis,
-    /// The upstream has left the list since.
-    gone: bool,
+    updated_at: Millis,
+    /// Whether the entry was removed from the list afterwards.
+    is_removed: bool,
 }
 
-impl Newest {
-    /// Whether a newer entry of the same start of the same upstream was read before.
+impl NewestEntries {
+    /// Returns whether a newer entry from the same start of the same upstream was read before.
     pub(crate) fn is_newer_than(&self, upstream: &Upstream, now: Millis) -> bool {
         let known = self.entries.get(&upstream.instance);
-        known.is_some_and(|known| now.since(known.read) <= LATE && known.is_newer_than(upstream))
+        known.is_some_and(|known| {
+            now.since(known.updated_at) <= MAX_WRITE_DELAY && known.is_newer_than(upstream)
+        })
     }
 
-    /// Takes in an entry read at `now`.
+    /// Notes an entry read at `now`. An entry without a sequence number can't be compared.
     pub(crate) fn note(&mut self, upstream: &Upstream, now: Millis) {
         let Some(sequence) = upstream.sequence else {
             self.entries.remove(&upstream.instance);
@@ -49,31 +51,33 @@
             address: upstream.address,
             born: upstream.born,
             sequence,
-            read: now,
-            gone: false,
+            updated_at: now,
+            is_removed: false,
         };
         self.entries.insert(upstream.instance.clone(), entry);
     }
 
-    /// The entry of `instance` was removed at `now`.
-    pub(crate) fn removed(&mut self, instance: &str, now: Millis) {
+    /// Notes that the entry of `instance` was removed at `now`.
+    pub(crate) fn note_removal(&mut self, instance: &str, now: Millis) {
         if let Some(entry) = self.entries.get_mut(instance) {
-            entry.gone = true;
-            entry.read = now;
+            entry.is_removed = true;
+            entry.updated_at = now;
         }
     }
 
-    /// Drops what has no say any more.
+    /// Drops entries that are too old to reject others.
     pub(crate) fn expire(&mut self, now: Millis) {
-        self.entries.retain(|_, e| now.since(e.read) <= LATE);
+        self.entries
+            .retain(|_, e| now.since(e.updated_at) <= MAX_WRITE_DELAY);
     }
 }
 
 impl Entry {
     fn is_newer_than(&self, upstream: &Upstream) -> bool {
-        let place = (&upstream.service, upstream.address, upstream.born);
-        let same = (&self.service, self.address, self.born) == place;
-        let later = |sequence| self.sequence > sequence || (self.gone && self.sequence == sequence);
-        same && upstream.sequence.is_some_and(later)
+        let source = (&upstream.service, upstream.address, upstream.born);
+        let same_start = (&self.service, self.address, self.born) == source;
+        let later =
+            |sequence| self.sequence > sequence || (self.is_removed && self.sequence == sequence);
+        same_start && upstream.sequence.is_some_and(later)
     }
 }
--- a/crates/catalog/src/read_schedule.rs
+++ b/crates/catalog/src/read_schedule.rs
@@ -1,57 +1,58 @@
-//! Who reads the list for all.
+//! Staggered waits, so that a few processes read the streams on behalf of all.
 //!
-//! Each process may believe what another has read for a while, and reads by itself when that is over.
-//! If all waited equally long, all would read at the same time. So about two of them, by their seeds, wait
-//! half as long as the others, who then hardly ever read.
+//! Each process may rely on a read of the list by another process for a limited time and then reads the list
+//! itself. If all processes waited equally long, all would read at the same time. So about two of them,
+//! chosen by their seeds, wait about half as long as the others, which then rarely read.
 
 use std::time::Duration;
 
-/// Processes that read before the others, on average: none of them is there once in seven fleets.
-const EARLY: f64 = 2.0;
+/// Average number of early readers. About one deployment in seven has none.
+const EARLY_READERS: f64 = 2.0;
 
-/// Shortest and longest waits of those, in parts of the time for which a list may be believed.
-const EARLY_PARTS: (f64, f64) = (0.4, 0.6);
+/// Shortest and longest waits of early readers, as fractions of the maximum age of the list.
+const EARLY_WAIT_FRACTIONS: (f64, f64) = (0.4, 0.6);
 
-/// The same for all others: the least leaves time for the word of the early ones, by way of two exchanges
-/// of 200 ms.
-const LATE_PARTS: (f64, f64) = (0.8, 1.0);
+/// Shortest and longest waits of all other processes. The minimum leaves time for the news of an early read
+/// to arrive by two message exchanges of 200 ms each.
+const LATE_WAIT_FRACTIONS: (f64, f64) = (0.8, 1.0);
 
-/// Shortest staggered wait, in parts of the span.
-const LEAST_WAIT_PART: f64 = 0.5;
+/// Shortest staggered wait, as a fraction of the span.
+const MIN_WAIT_FRACTION: f64 = 0.5;
 
-/// Longest staggered wait, in parts of the span times the number of processes.
-const MOST_WAIT_PART: f64 = 0.5;
+/// Longest staggered wait, as a fraction of the span multiplied by the number of processes.
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// Step between the rolls of successive reads; rolls a golden ratio apart spread evenly.
-const ROLL_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Step between the random numbers of successive reads: 2^64 divided by the golden ratio, for an even spread.
+const RANDOM_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Time for which the process of `seed`, one of `followers`, believes a list that may be believed for
-/// `most`.
-pub(crate) fn believed(most: Duration, seed: u64, followers: u32) -> Duration {
-    let roll = approximate(seed >> 11) / approximate(u64::MAX >> 11);
-    let early = (EARLY / f64::from(followers.max(1))).min(1.0);
-    let part = if roll < early {
-        between(EARLY_PARTS, roll / early)
+/// Returns the age of the list at which the process with `seed`, one of `follower_count`, reads the list
+/// itself; at most `max_age`.
+pub(crate) fn max_read_age(max_age: Duration, seed: u64, follower_count: u32) -> Duration {
+    let random = to_f64(seed >> 11) / to_f64(u64::MAX >> 11);
+    let early = (EARLY_READERS / f64::from(follower_count.max(1))).min(1.0);
+    let fraction = if random < early {
+        interpolate(EARLY_WAIT_FRACTIONS, random / early)
     } else {
-        between(LATE_PARTS, (roll - early) / (1.0 - early))
+        interpolate(LATE_WAIT_FRACTIONS, (random - early) / (1.0 - early))
     };
-    most.mul_f64(part)
+    max_age.mul_f64(fraction)
 }
 
-/// Time that the `n`th read by the process of `seed`, one of `followers`, may wait for a record, so that some
-/// process ends its wait about once in each `span`. Processes whose reads began together end them apart.
-pub(crate) fn staggered_wait(span: Duration, seed: u64, n: u64, followers: u32) -> Duration {
-    let roll = seed.wrapping_add(n.wrapping_mul(ROLL_STEP));
-    let roll = approximate(roll >> 11) / approximate(u64::MAX >> 11);
-    let most = (f64::from(followers) * MOST_WAIT_PART).max(2.0 * LEAST_WAIT_PART);
-    span.mul_f64(between((LEAST_WAIT_PART, most), roll))
+/// Returns the time that the `n`th read by the process with `seed`, one of `follower_count`, may wait for a
+/// record. Some process ends its wait about once in each `span`, and reads that started together end at
+/// different times.
+pub(crate) fn staggered_wait(span: Duration, seed: u64, n: u64, follower_count: u32) -> Duration {
+    let random = seed.wrapping_add(n.wrapping_mul(RANDOM_STEP));
+    let random = to_f64(random >> 11) / to_f64(u64::MAX >> 11);
+    let max_fraction = (f64::from(follower_count) * MAX_WAIT_FRACTION).max(2.0 * MIN_WAIT_FRACTION);
+    span.mul_f64(interpolate((MIN_WAIT_FRACTION, max_fraction), random))
 }
 
-fn between((least, most): (f64, f64), part: f64) -> f64 {
-    least + (most - least) * part
+fn interpolate((min_fraction, max_fraction): (f64, f64), fraction: f64) -> f64 {
+    min_fraction + (max_fraction - min_fraction) * fraction
 }
 
 #[allow(clippy::cast_precision_loss, reason = "53 bits fit")]
-fn approximate(n: u64) -> f64 {
+fn to_f64(n: u64) -> f64 {
     n as f64
 }
--- a/crates/catalog/src/report.rs
+++ b/crates/catalog/src/report.rs
@@ -1,11 +1,11 @@
-//! Tells of what took effect: a line in the log, and the listener.
+//! Reports applied changes to the log and to the listener.
 
 use pumicecleat_ops::{Event, Log, events, field};
 
 use crate::{Applied, CatalogListener, Standing};
 
-/// Tells of what was applied; gives whether it changed anything.
-pub(crate) fn tell(applied: &Applied, listener: &dyn CatalogListener, log: &Log) -> bool {
+/// Logs `applied` and passes changes on to the listener. Returns whether anything changed.
+pub(crate) fn report_applied(applied: &Applied, listener: &dyn CatalogListener, log: &Log) -> bool {
     log_applied(log, applied);
     let changed = applied.is_change();
     if changed {
@@ -26,10 +26,10 @@
             log.emit(&events::VERSION_TAKEN, &fields);
         }
         Applied::Upstream { instance, standing } => {
-            log_standing(log, &events::UPSTREAM_LISTED, instance, *standing);
+            log_upstream(log, &events::UPSTREAM_LISTED, instance, *standing);
         }
         Applied::Restarted { instance, standing } => {
-            log_standing(log, &events::LISTED_AGAIN, instance, *standing);
+            log_upstream(log, &events::LISTED_AGAIN, instance, *standing);
         }
         Applied::Gone { instance } => {
             log.emit(
@@ -55,7 +55,7 @@
     }
 }
 
-fn log_standing(log: &Log, event: &'static Event, instance: &str, standing: Standing) {
+fn log_upstream(log: &Log, event: &'static Event, instance: &str, standing: Standing) {
     let standing = format!("{standing:?}").to_lowercase();
     let fields = [
         field("instance", instance),
--- a/crates/catalog/src/state.rs
+++ b/crates/catalog/src/state.rs
@@ -1,44 +1,44 @@
-//! The state of a catalog: what is in force, as far as this process knows.
+//! State of the catalog, as far as this process knows it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use pumicecleat_types::{Millis, ServiceId};
 
-use crate::lapsed::Lapsed;
-use crate::newest_entries::Newest;
+use crate::lapsed::LapsedUpstreams;
+use crate::newest_entries::NewestEntries;
 use crate::{Change, Layout, Standing, Upstream};
 
-/// Time after an outage of the list within which an entry that lapsed may come back. The list
-/// promises about two seconds; a little is added for the way.
-const RETURN_SPAN: Millis = Millis(2_300);
+/// Time after an outage of the list within which a lapsed entry may return. The list promises about two
+/// seconds; the rest allows for network latency.
+const LAPSE_SPAN: Millis = Millis(2_300);
 
-/// What a process believes of the deployment.
+/// A process's view of the deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     layout: Option<Rc<Layout>>,
     versions: BTreeMap<String, u64>,
     upstreams: BTreeMap<String, Upstream>,
-    newest: Newest,
-    /// Instances whose entry lapsed around an outage.
-    lapsed: Lapsed,
+    newest: NewestEntries,
+    /// Upstreams whose entries lapsed around an outage.
+    lapsed: LapsedUpstreams,
     /// End of the last outage of the list.
-    returned: Option<Millis>,
-    /// When the list last came back from an older copy.
-    renewed: Option<Millis>,
+    list_recovered_at: Option<Millis>,
+    /// Time when the log was last restored from an older copy.
+    store_renewed_at: Option<Millis>,
 }
 
-/// What applying a change did.
+/// Effect of applying a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// A configuration is in force.
+    /// A new configuration is in force.
     Layout {
-        /// Its number.
+        /// Number of the configuration.
         number: u64,
     },
-    /// A configuration is older than the one in force and was not taken.
+    /// A configuration was rejected because it is older than the one in force.
     Stale {
-        /// Number of the one not taken.
+        /// Number of the rejected configuration.
         number: u64,
     },
     /// A newer version of an adapter is known.
@@ -48,33 +48,33 @@
         /// Version.
         version: u64,
     },
-    /// An upstream is new, or stands otherwise.
+    /// An upstream is new or has changed its standing.
     Upstream {
         /// Instance.
         instance: String,
-        /// How it stands now.
+        /// Current standing.
         standing: Standing,
     },
-    /// An upstream started again under its name: what was believed of it is void.
+    /// An upstream restarted under the same instance name: earlier knowledge about it is void.
     Restarted {
         /// Instance.
         instance: String,
-        /// How it stands now.
+        /// Current standing.
         standing: Standing,
     },
-    /// An upstream is gone.
+    /// An upstream was removed.
     Gone {
         /// Instance.
         instance: String,
     },
-    /// An upstream's entry lapsed in an outage; it is kept until the time for its return is over.
+    /// An upstream's entry lapsed around an outage; the upstream is kept for a while as the entry may return.
     Lapsed {
         /// Instance.
         instance: String,
-        /// Time for which it is kept.
+        /// Time for which the upstream is kept.
         retained_for: Millis,
     },
-    /// An entry is older than one that was read before, and was not taken.
+    /// An entry was rejected because it is older than one read before.
     Outdated {
         /// Instance.
         instance: String,
@@ -84,7 +84,7 @@
 }
 
 impl Applied {
-    /// Whether anything changed by it.
+    /// Returns whether this counts as a change: everything but `Outdated` and `Unchanged`.
     #[must_use]
     pub fn is_change(&self) -> bool {
         !matches!(self, Self::Unchanged | Self::Outdated { .. })
@@ -92,30 +92,30 @@
 }
 
 impl Catalog {
-    /// Configuration in force, if one is known.
+    /// Returns the configuration in force, if one is known.
     #[must_use]
     pub fn layout(&self) -> Option<&Rc<Layout>> {
         self.layout.as_ref()
     }
 
-    /// Newest version of an adapter, if one was declared.
+    /// Returns the newest version of an adapter, if one was declared.
     #[must_use]
     pub fn version(&self, adapter: &str) -> Option<u64> {
         self.versions.get(adapter).copied()
     }
 
-    /// Upstream by instance.
+    /// Returns the upstream with an instance name.
     #[must_use]
     pub fn upstream(&self, instance: &str) -> Option<&Upstream> {
         self.upstreams.get(instance)
     }
 
-    /// All upstreams listed.
+    /// Returns all upstreams, including those kept although their entries lapsed.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// Upstreams of a service that take requests.
+    /// Returns the upstreams of a service that accept requests.
     pub fn ready_upstreams<'a>(
         &'a self,
         service: &'a ServiceId,
@@ -124,23 +124,24 @@
         self.upstreams.values().filter(ready)
     }
 
-    /// Takes a change in.
+    /// Applies a change.
     pub fn apply(&mut self, change: Change, now: Millis) -> Applied {
         match change {
             Change::Layout(layout) => self.apply_layout(layout),
             Change::Version { adapter, version } => self.apply_version(adapter, version),
             Change::Upstream(upstream) => {
-                // Own failed reads don't tell an outage of the list from a cut of this process; entries do.
-                self.lapsed.written(&upstream.instance, now);
+                // Failed reads of this process can't distinguish an outage of the list from a lost
+                // connection; entries of other upstreams can.
+                self.lapsed.note_write(&upstream.instance, now);
                 self.apply_upstream(upstream, now)
             }
             Change::Gone { instance } => self.remove(instance, now),
-            Change::Unusable { instance } => self.drop_unusable(instance),
+            Change::Unusable { instance } => self.remove_unusable(instance),
             Change::Other => Applied::Unchanged,
         }
     }
 
-    /// Takes the whole list of upstreams in; what is not in it is gone.
+    /// Replaces the list of upstreams; upstreams missing from `list` are removed or kept as lapsed.
     pub fn replace(&mut self, list: Vec<Upstream>, now: Millis) -> Vec<Applied> {
         let present: BTreeSet<String> = list.iter().map(|u| u.instance.clone()).collect();
         let known = self.upstreams.keys();
@@ -153,29 +154,33 @@
         applied
     }
 
-    /// The list answers again, since `at`: entries of upstreams that live may have lapsed meanwhile.
+    /// Notes that the list has been available again since `at`. Entries of live upstreams may have lapsed
+    /// during the outage.
     pub fn note_list_recovery(&mut self, at: Millis) {
-        self.returned = Some(at);
+        self.list_recovered_at = Some(at);
     }
 
-    /// The list has come back from an older copy, at `at`: entries of upstreams that live may be missing
-    /// until they write again.
+    /// Notes that the log was restored from an older copy at `at`. Entries of live upstreams may be missing
+    /// until the upstreams write them again.
     pub fn note_store_renewal(&mut self, at: Millis) {
-        self.renewed = self.renewed.max(Some(at));
+        self.store_renewed_at = self.store_renewed_at.max(Some(at));
     }
 
-    /// Removes what lapsed and will not come back.
+    /// Removes upstreams whose lapsed entries did not return in time.
     pub fn expire(&mut self, now: Millis) -> Vec<Applied> {
         self.newest.expire(now);
-        let due = self.lapsed.due(now);
-        due.into_iter().map(|i| self.leave(i, now)).collect()
+        let expired = self.lapsed.expired(now);
+        expired
+            .into_iter()
+            .map(|i| self.remove_now(i, now))
+            .collect()
     }
 
     fn apply_layout(&mut self, layout: Layout) -> Applied {
         let number = layout.number;
         match &self.layout {
-            Some(held) if held.number > number => Applied::Stale { number },
-            Some(held) if held.number == number => Applied::Unchanged,
+            Some(current) if current.number > number => Applied::Stale { number },
+            Some(current) if current.number == number => Applied::Unchanged,
             _ => {
                 self.layout = Some(Rc::new(layout));
                 Applied::Layout { number }
@@ -184,11 +189,11 @@
     }
 
     fn apply_version(&mut self, adapter: String, version: u64) -> Applied {
-        let known = self.versions.entry(adapter.clone()).or_default();
-        if *known >= version {
+        let current = self.versions.entry(adapter.clone()).or_default();
+        if *current >= version {
             return Applied::Unchanged;
         }
-        *known = version;
+        *current = version;
         Applied::Version { adapter, version }
     }
 
@@ -200,9 +205,9 @@
         let (standing, born) = (upstream.standing, upstream.born);
         let known = self.upstreams.get(&instance).and_then(|k| k.born);
         match (known, born) {
-            // Each start tells its time: this was written by somebody else.
+            // Every start of this upstream writes its start time, so another program wrote this entry.
             (Some(_), None) => return self.forget(instance),
-            // Written by a start before the one that is known.
+            // Written by an earlier start than the known one.
             (Some(known), Some(born)) if born < known => return Applied::Unchanged,
             _ => {}
         }
@@ -217,8 +222,9 @@
         }
     }
 
-    /// An entry that can't be read is not kept over an outage either: its writer was here.
-    fn drop_unusable(&mut self, instance: String) -> Applied {
+    /// Removes an upstream whose entry can't be decoded. It isn't kept as lapsed, since its entry was written
+    /// and did not lapse.
+    fn remove_unusable(&mut self, instance: String) -> Applied {
         if !self.upstreams.contains_key(&instance) {
             return Applied::Unchanged;
         }
@@ -229,17 +235,17 @@
         if !self.upstreams.contains_key(&instance) {
             return Applied::Unchanged;
         }
-        match self.returned.max(self.renewed) {
-            Some(at) if now.since(at) < RETURN_SPAN => {
-                let retained_for = (at + RETURN_SPAN).since(now);
+        match self.list_recovered_at.max(self.store_renewed_at) {
+            Some(at) if now.since(at) < LAPSE_SPAN => {
+                let retained_for = (at + LAPSE_SPAN).since(now);
                 self.lapse(instance, now, retained_for)
             }
-            _ => self.leave(instance, now),
+            _ => self.remove_now(instance, now),
         }
     }
 
-    fn leave(&mut self, instance: String, now: Millis) -> Applied {
-        self.newest.removed(&instance, now);
+    fn remove_now(&mut self, instance: String, now: Millis) -> Applied {
+        self.newest.note_removal(&instance, now);
         self.forget(instance)
     }
 
--- a/crates/catalog/src/unreadable.rs
+++ b/crates/catalog/src/unreadable.rs
@@ -1,7 +1,7 @@
-//! Which records can't be read, so that each is told of once.
+//! Keys of undecodable records, so that each record is logged only once.
 //!
-//! Another writer may put anything among the records, and again each second; a snapshot brings all of
-//! it again.
+//! Another writer may write invalid records and rewrite them every second, and each snapshot returns all of
+//! them again.
 
 use std::collections::BTreeSet;
 
@@ -9,19 +9,19 @@
 
 use crate::DecodeError;
 
-/// Keys remembered; beyond them a record may be told of again.
-const KEYS: usize = 1_024;
+/// Maximum number of keys kept. The set is cleared at this size, after which records may be logged again.
+const MAX_KEYS: usize = 1_024;
 
-/// Keys of records that can't be read.
+/// Keys of records that could not be decoded.
 #[derive(Debug, Default)]
 pub struct UnreadableKeys {
     keys: BTreeSet<String>,
 }
 
 impl UnreadableKeys {
-    /// Tells of a record that can't be read, unless it was told of since it last could be.
+    /// Logs an undecodable record unless it was already logged since it could last be decoded.
     pub fn log_once(&mut self, error: &DecodeError, log: &Log) {
-        if self.keys.len() >= KEYS {
+        if self.keys.len() >= MAX_KEYS {
             self.keys.clear();
         }
         if self.keys.insert(error.key.clone()) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The record of `key` can be read.
+    /// Notes that the record of `key` was decoded.
     pub fn clear(&mut self, key: &str) {
         self.keys.remove(key);
     }
--- a/crates/catalog/src/upstream.rs
+++ b/crates/catalog/src/upstream.rs
@@ -1,13 +1,13 @@
-//! An upstream, as the list tells of it.
+//! Entry of an upstream in the list of upstreams.
 
 use std::net::SocketAddr;
 
 use pumicecleat_types::{DataCentre, ServiceId};
 
-/// An upstream, as the list tells of it; the list lags.
+/// Entry of an upstream in the list; the list may lag behind the upstream's actual state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Instance: one start of one upstream.
+    /// Instance name; an instance is one run of one upstream.
     pub instance: String,
     /// Service.
     pub service: ServiceId,
@@ -15,23 +15,23 @@
     pub address: SocketAddr,
     /// Data centre.
     pub centre: DataCentre,
-    /// Requests at once.
+    /// Number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts new requests.
     pub standing: Standing,
-    /// Unix time of its start, ms, if it tells. An upstream may start again under its name; it then
-    /// knows nothing of before.
+    /// Unix time of the upstream's start, ms, if the entry has it. An upstream may also restart under the
+    /// same instance name; it then has lost its earlier state.
     pub born: Option<u64>,
-    /// Place of this entry among those of the same start, if it tells.
+    /// Sequence number of this entry among those of the same start, if the entry has it.
     pub sequence: Option<u64>,
 }
 
-/// Whether an upstream takes new requests.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
-    /// Takes them.
+    /// Accepts new requests.
     #[default]
     Ready,
-    /// Is leaving and must get no more.
+    /// Is shutting down and must not get new requests.
     Leaving,
 }
--- a/crates/catalog/tests/lapse.rs
+++ b/crates/catalog/tests/lapse.rs
@@ -1,62 +1,63 @@
-//! How long an upstream stays whose entry is missing around an outage of the list.
+//! Guards against removing a live upstream, or keeping a dead one, whose entry is missing around an outage of
+//! the list.
 
 use pumicecleat_catalog::{Catalog, Change, Standing, Upstream};
 use pumicecleat_types::Millis;
 
-/// Time of the list's return.
-const BACK: Millis = Millis(10_000);
+/// End of the outage of the list.
+const RECOVERY: Millis = Millis(10_000);
 
 struct Case {
     name: &'static str,
-    /// Instances that write their entries after the one of `x` is missing, in order.
+    /// Instances that write entries after the entry of `x` was removed, in order.
     writes: &'static [&'static str],
-    /// Time after the return at which is looked, ms.
-    after: u64,
-    stays: bool,
+    /// Time of the check after the end of the outage, ms.
+    after_ms: u64,
+    is_kept: bool,
 }
 
 const CASES: [Case; 7] = [
     Case {
-        name: "it may come back for a while",
+        name: "kept for a while, as it may return",
         writes: &[],
-        after: 2_200,
-        stays: true,
+        after_ms: 2_200,
+        is_kept: true,
     },
     Case {
-        name: "and is gone then",
+        name: "removed afterwards",
         writes: &[],
-        after: 2_400,
-        stays: false,
+        after_ms: 2_400,
+        is_kept: false,
     },
     Case {
-        name: "others come back before it",
+        name: "other upstreams return first",
         writes: &["a", "b", "c", "d", "a", "b", "c", "d"],
-        after: 0,
-        stays: true,
+        after_ms: 0,
+        is_kept: true,
     },
     Case {
-        name: "one that writes again and again shows that the list took entries",
+        name: "repeated writes of another upstream show that the list accepted writes",
         writes: &["a", "b", "a", "b", "a"],
-        after: 0,
-        stays: false,
+        after_ms: 0,
+        is_kept: false,
     },
     Case {
-        name: "it came back itself",
+        name: "returned",
         writes: &["a", "x", "a", "a", "a"],
-        after: 5_000,
-        stays: true,
+        after_ms: 5_000,
+        is_kept: true,
     },
     Case {
-        name: "it came back last of all",
+        name: "returned after all others",
         writes: &["a", "a", "x"],
-        after: 5_000,
-        stays: true,
+        after_ms: 5_000,
+        is_kept: true,
     },
     Case {
-        name: "it does not come back once it is gone for good",
+        name: "stays removed after repeated writes of another upstream",
         writes: &["a", "a", "a", "b"],
-        after: 100,
-        stays: false,
+        after_ms: 100,
+        is_kept: false,
     },
 ];
 
@@ -74,20 +75,20 @@
 }
 
 #[test]
-fn a_lapsed_upstream_stays_as_long_as_it_may_come_back() {
+fn lapsed_upstream_is_kept_while_it_may_return() {
     for case in &CASES {
         let mut catalog = Catalog::default();
         for instance in ["a", "b", "c", "d", "x"] {
             catalog.apply(entry(instance), Millis(0));
         }
-        catalog.note_list_recovery(BACK);
+        catalog.note_list_recovery(RECOVERY);
         let instance = "x".to_owned();
-        catalog.apply(Change::Gone { instance }, BACK);
+        catalog.apply(Change::Gone { instance }, RECOVERY);
         for writer in case.writes {
-            catalog.apply(entry(writer), BACK);
+            catalog.apply(entry(writer), RECOVERY);
         }
-        catalog.expire(BACK + Millis(case.after));
-        let stays = catalog.upstream("x").is_some();
-        assert_eq!(stays, case.stays, "{}", case.name);
+        catalog.expire(RECOVERY + Millis(case.after_ms));
+        let is_kept = catalog.upstream("x").is_some();
+        assert_eq!(is_kept, case.is_kept, "{}", case.name);
     }
 }
--- a/crates/catalog/tests/marks.rs
+++ b/crates/catalog/tests/marks.rs
@@ -1,29 +1,29 @@
-//! How old a read of the list is taken to be that others tell of.
+//! Guards against a wrong age of a read of the list that other processes announced.
 
 use pumicecleat_catalog::Marks;
 use pumicecleat_types::{ListRead, Millis, Position, StreamMarks};
 
-/// Word of a read, when it arrives.
-struct Word {
-    arrives: u64,
+/// Message that announces a read of the list.
+struct Announcement {
+    arrival_ms: u64,
     end: Position,
     age_ms: u64,
 }
 
 struct Case {
     name: &'static str,
-    words: &'static [Word],
+    announcements: &'static [Announcement],
     /// Offset and age that are passed on at 3,000 ms.
-    told: Option<(u64, u64)>,
+    expected: Option<(u64, u64)>,
 }
 
-const fn word(arrives: u64, offset: u64, age_ms: u64) -> Word {
-    word_in(0, arrives, offset, age_ms)
+const fn announcement(arrival_ms: u64, offset: u64, age_ms: u64) -> Announcement {
+    announcement_in(0, arrival_ms, offset, age_ms)
 }
 
-const fn word_in(era: u64, arrives: u64, offset: u64, age_ms: u64) -> Word {
-    Word {
-        arrives,
+const fn announcement_in(era: u64, arrival_ms: u64, offset: u64, age_ms: u64) -> Announcement {
+    Announcement {
+        arrival_ms,
         end: Position { era, offset },
         age_ms,
     }
@@ -31,71 +31,78 @@
 
 const CASES: [Case; 8] = [
     Case {
-        name: "nobody told of a read",
-        words: &[],
-        told: None,
+        name: "no announced read",
+        announcements: &[],
+        expected: None,
     },
     Case {
-        name: "a read ages from when it was",
-        words: &[word(2_000, 7, 500)],
-        told: Some((7, 1_500)),
+        name: "the age grows from the time of the read",
+        announcements: &[announcement(2_000, 7, 500)],
+        expected: Some((7, 1_500)),
     },
     Case {
-        name: "a later read counts",
-        words: &[word(2_000, 7, 500), word(2_100, 9, 300)],
-        told: Some((9, 1_200)),
+        name: "a later read replaces an earlier one",
+        announcements: &[announcement(2_000, 7, 500), announcement(2_100, 9, 300)],
+        expected: Some((9, 1_200)),
     },
     Case {
-        name: "word of an earlier read that comes late does not",
-        words: &[word(2_100, 9, 300), word(2_500, 7, 0)],
-        told: Some((9, 1_200)),
+        name: "a late message about an earlier read is ignored",
+        announcements: &[announcement(2_100, 9, 300), announcement(2_500, 7, 0)],
+        expected: Some((9, 1_200)),
     },
     Case {
-        name: "slow word of the same read makes it no younger",
-        words: &[word(2_000, 7, 500), word(2_900, 7, 600)],
-        told: Some((7, 1_500)),
+        name: "a delayed message about the same read does not reduce its age",
+        announcements: &[announcement(2_000, 7, 500), announcement(2_900, 7, 600)],
+        expected: Some((7, 1_500)),
     },
     Case {
-        name: "a read after the log came back from a copy counts, though its offset is lower",
-        words: &[word_in(1, 2_000, 900, 500), word_in(2, 2_100, 9, 300)],
-        told: Some((9, 1_200)),
+        name: "a read in a later era counts despite its lower offset",
+        announcements: &[
+            announcement_in(1, 2_000, 900, 500),
+            announcement_in(2, 2_100, 9, 300),
+        ],
+        expected: Some((9, 1_200)),
     },
     Case {
-        name: "word from before that comes late does not",
-        words: &[word_in(2, 2_100, 9, 300), word_in(1, 2_500, 900, 0)],
-        told: Some((9, 1_200)),
+        name: "a late message from an earlier era is ignored",
+        announcements: &[
+            announcement_in(2, 2_100, 9, 300),
+            announcement_in(1, 2_500, 900, 0),
+        ],
+        expected: Some((9, 1_200)),
     },
     Case {
-        name: "a read from before this process ran is of unknown age to it",
-        words: &[word(100, 7, 900)],
-        told: None,
+        name: "a read from before the start of this process has no known age",
+        announcements: &[announcement(100, 7, 900)],
+        expected: None,
     },
 ];
 
 #[test]
-fn a_read_that_others_tell_of_is_never_younger_than_their_earliest_word() {
+fn age_counts_from_the_earliest_announcement() {
     for case in &CASES {
         let marks = Marks::default();
-        for word in case.words {
+        for announcement in case.announcements {
             let listed = Some(ListRead {
-                end: word.end,
-                age_ms: word.age_ms,
+                end: announcement.end,
+                age_ms: announcement.age_ms,
             });
-            let told = StreamMarks {
+            let message = StreamMarks {
                 listed,
                 ..StreamMarks::default()
             };
-            marks.merge(&told, Millis(word.arrives));
+            marks.merge(&message, Millis(announcement.arrival_ms));
         }
-        let told = marks.to_message(Millis(3_000)).listed;
-        let told = told.map(|read| (read.end.offset, read.age_ms));
-        assert_eq!(told, case.told, "{}", case.name);
+        let read = marks.to_message(Millis(3_000)).listed;
+        let read = read.map(|read| (read.end.offset, read.age_ms));
+        assert_eq!(read, case.expected, "{}", case.name);
     }
 }
 
-/// Two processes tell each other of one read, each 10 ms, with 150 ms on each way.
+/// Guards against a read that never ages because two processes keep passing it on to each other. They
+/// exchange messages every 10 ms with a one-way latency of 150 ms.
 #[test]
-fn word_that_goes_round_ages() {
+fn read_passed_on_in_a_cycle_ages() {
     let (near, far) = (Marks::default(), Marks::default());
     let read = StreamMarks {
         listed: Some(ListRead {
@@ -105,11 +112,11 @@
         ..StreamMarks::default()
     };
     near.merge(&read, Millis(1_000));
-    let way = Millis(150);
+    let latency = Millis(150);
     for sent in (1_000..4_000).step_by(10).map(Millis) {
-        let (there, back) = (near.to_message(sent), far.to_message(sent));
-        far.merge(&there, sent + way);
-        near.merge(&back, sent + way);
+        let (from_near, from_far) = (near.to_message(sent), far.to_message(sent));
+        far.merge(&from_near, sent + latency);
+        near.merge(&from_far, sent + latency);
     }
     let age = |marks: &Marks| {
         marks
