--- a/crates/catalog/src/layout.rs
+++ b/crates/catalog/src/layout.rs
@@ -1,63 +1,63 @@
-//! A whole configuration: routes, services and limits.
+//! Configuration of a deployment: routes, services and limits.
 
 use std::collections::BTreeMap;
 
 use pumicecleat_types::{BaseId, ServiceId};
 
-/// A whole configuration under its number.
+/// One complete, numbered configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Layout {
-    /// Number; a later configuration has a higher one, not always the next.
+    /// Number; later configurations have higher numbers, not always consecutive ones.
     pub number: u64,
-    /// Routes, in no order.
+    /// Routes, in no particular order.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Limits on what a caller may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
 }
 
-/// Where requests of one host and path prefix go.
+/// Maps requests for a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name used in logs.
     pub name: String,
-    /// Host that the request names.
+    /// Host that the request must name, compared without regard to case.
     pub host: String,
-    /// Start of the path, with a slash at both ends.
-    pub prefix: String,
-    /// Services by weight.
-    pub shares: Vec<Share>,
-    /// What may be sent again.
-    pub repeat: Repeat,
-    /// Answer is a stream of numbered events.
+    /// Prefix of the request path, with a leading and a trailing slash.
+    pub path_prefix: String,
+    /// Services that the requests are distributed to.
+    pub services: Vec<WeightedService>,
+    /// What may be retried.
+    pub retry: RetryMode,
+    /// Whether the response is a stream of numbered events.
     pub stream: bool,
-    /// Longest wait for an answer, ms.
+    /// Response timeout, ms.
     pub timeout_ms: u64,
-    /// Time within which an answer is wanted, ms; of a stream its first event.
+    /// Latency objective for the response, or for the first event of a stream, ms.
     pub objective_ms: u64,
-    /// Rank, 0 before all others.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Upstreams that one request may be sent to.
-    pub attempts: u32,
+    /// Maximum number of upstreams that one request is sent to.
+    pub max_attempts: u32,
 }
 
-/// Part of a route's requests that a service gets.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct WeightedService {
     /// Service.
     pub service: ServiceId,
-    /// Weight against the other parts.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// What may be sent again after it may have run.
+/// What may be retried after a request may already have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryMode {
     /// Nothing.
     #[default]
     Never,
-    /// A stream, from its last event on.
+    /// A stream, resumed after its last event.
     Resume,
     /// The whole request.
     Whole,
@@ -66,95 +66,96 @@
 /// A service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Connections that one upstream takes from all callers together.
-    pub connections: u32,
-    /// Model engine's figures; `None` for a plain service.
+    /// Maximum number of connections that one upstream accepts from all callers together.
+    pub max_connections: u32,
+    /// Capacity of the service's model engines; `None` for a service without engines.
     pub engine: Option<Engine>,
 }
 
-/// Figures of a service's model engines.
+/// Capacity and base models of a service's model engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Requests in one batch.
-    pub batch: u32,
-    /// Tokens that fit into memory.
-    pub tokens: u64,
-    /// Adapters that fit.
-    pub places: u32,
-    /// Space for weights, base models and adapters together, MB.
-    pub space_mb: f64,
+    /// Maximum number of requests in one batch.
+    pub max_batch_size: u32,
+    /// Number of tokens that fit into the KV cache.
+    pub kv_capacity_tokens: u64,
+    /// Maximum number of loaded adapters.
+    pub max_adapters: u32,
+    /// Memory for the weights of base models and adapters together, MB.
+    pub weight_memory_mb: f64,
     /// Base models.
-    pub bases: Vec<Base>,
+    pub base_models: Vec<BaseModel>,
 }
 
 /// A base model.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Base {
+pub struct BaseModel {
     /// Name.
     pub name: BaseId,
     /// Size of its weights, MB.
-    pub size_mb: f64,
+    pub weights_mb: f64,
     /// Size of one of its adapters, MB.
-    pub adapter_mb: f64,
-    /// Time of a load from the weight store, s.
-    pub load_s: f64,
-    /// Time of a load from the engine's disk, s; as from the store, if 0.
-    pub disk_s: f64,
-    /// Time of a load from the memory of the engine's host, s; as from its disk, if 0.
-    pub warm_s: f64,
+    pub adapter_size_mb: f64,
+    /// Load time from the weight store, s.
+    pub store_load_s: f64,
+    /// Load time from the engine's disk, s; if 0, same as from the weight store.
+    pub disk_load_s: f64,
+    /// Load time from the memory of the engine's host, s; if 0, same as from its disk.
+    pub memory_load_s: f64,
 }
 
-/// Limits on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, bytes.
-    pub head: usize,
-    /// Longest body, bytes.
-    pub body: u64,
-    /// Time for a head to arrive, ms.
-    pub head_ms: u64,
-    /// Time that a connection may stay idle, ms.
-    pub idle_ms: u64,
+    /// Maximum size of a request head, bytes.
+    pub max_header_bytes: usize,
+    /// Maximum size of a request body, bytes.
+    pub max_body_bytes: u64,
+    /// Timeout for receiving a request head, ms.
+    pub header_timeout_ms: u64,
+    /// Timeout for idle connections, ms.
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 << 20,
-            head_ms: 3_000,
-            idle_ms: 15_000,
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 4 << 20,
+            header_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
         }
     }
 }
 
 impl Route {
-    /// Route without shares that repeats nothing.
+    /// Creates a route without services or retries.
     #[must_use]
-    pub fn new(name: &str, host: &str, prefix: &str) -> Self {
+    pub fn new(name: &str, host: &str, path_prefix: &str) -> Self {
         Self {
             name: name.to_owned(),
             host: host.to_owned(),
-            prefix: prefix.to_owned(),
-            shares: Vec::new(),
-            repeat: Repeat::Never,
+            path_prefix: path_prefix.to_owned(),
+            services: Vec::new(),
+            retry: RetryMode::Never,
             stream: false,
             timeout_ms: 30_000,
             objective_ms: 1_000,
             priority: 0,
-            attempts: 1,
+            max_attempts: 1,
         }
     }
 
-    /// Service for a request; `roll` is a random number.
+    /// Selects a service at random in proportion to the weights; `random` is a uniform random number. Returns
+    /// `None` if the sum of the weights is 0.
     #[must_use]
-    pub fn pick(&self, roll: u64) -> Option<&ServiceId> {
-        let sum: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
-        let mut at = roll.checked_rem(sum)?;
-        for share in &self.shares {
-            let weight = u64::from(share.weight);
+    pub fn pick_service(&self, random: u64) -> Option<&ServiceId> {
+        let sum: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
+        let mut at = random.checked_rem(sum)?;
+        for candidate in &self.services {
+            let weight = u64::from(candidate.weight);
             if at < weight {
-                return Some(&share.service);
+                return Some(&candidate.service);
             }
             at -= weight;
         }
@@ -163,15 +164,16 @@
 }
 
 impl Layout {
-    /// Route of a request: of those of its host, the one with the longest prefix of the path.
+    /// Returns the route with the longest matching path prefix among those of the host.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
-        let fits = |r: &&Route| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix);
+        let fits =
+            |r: &&Route| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.path_prefix);
         let fitting = self.routes.iter().filter(fits);
-        fitting.max_by_key(|r| r.prefix.len())
+        fitting.max_by_key(|r| r.path_prefix.len())
     }
 
-    /// Engine figures of a service.
+    /// Returns the engine capacity of a service.
     #[must_use]
     pub fn engine(&self, service: &ServiceId) -> Option<&Engine> {
         self.services.get(service)?.engine.as_ref()
