--- a/crates/entry/src/directory/mod.rs
+++ b/crates/entry/src/directory/mod.rs
@@ -15,7 +15,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pumicecleat_policy::{
-    Ask, Choice, LoraIx, Outcome, PoolIx, Router, RouterOptions, UpstreamIx, lora_key,
+    AttemptOutcome, LoraIx, PoolIx, RouteDecision, RouteQuery, Router, RouterOptions, UpstreamIx,
+    lora_key,
 };
 use pumicecleat_types::{LoadFigures, Lora, Millis, PoolId, VmId};
 
@@ -104,18 +105,23 @@
 
     /// Where a request should go: to the first side by rank for its `home`, if it has one and a
     /// side is ready for it, else by load.
-    pub(crate) fn choose(&mut self, ask: &Ask<'_>, home: Option<u64>, now: Millis) -> Chosen {
+    pub(crate) fn choose(
+        &mut self,
+        ask: &RouteQuery<'_>,
+        home: Option<u64>,
+        now: Millis,
+    ) -> Chosen {
         let ranked = home.and_then(|home| self.router.ranked(ask, home, now));
         let choice = match ranked {
-            Some(pick) => Choice::Send(pick),
+            Some(pick) => RouteDecision::Send(pick),
             None => self.router.choose(ask, now),
         };
         match choice {
-            Choice::Refuse { retry } if self.router.usable(ask.pool) == 0 => {
+            RouteDecision::Refuse { retry } if self.router.usable(ask.pool) == 0 => {
                 Chosen::Nowhere { retry }
             }
-            Choice::Refuse { retry } => Chosen::Late { retry },
-            Choice::Send(pick) => match self.destination(pick.up) {
+            RouteDecision::Refuse { retry } => Chosen::Late { retry },
+            RouteDecision::Send(pick) => match self.destination(pick.up) {
                 Some(destination) => Chosen::Send(destination),
                 None => Chosen::Nowhere { retry: Millis(0) },
             },
@@ -132,7 +138,7 @@
         &mut self,
         up: UpstreamIx,
         lora: Option<LoraIx>,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         now: Millis,
     ) {
         self.router.ended(up, lora, outcome, now);
--- a/crates/entry/src/directory/report.rs
+++ b/crates/entry/src/directory/report.rs
@@ -1,7 +1,7 @@
 //! Sides' reports.
 
 use pumicecleat_config::model::{Config, PoolKind};
-use pumicecleat_policy::{LoraIx, UpstreamFigures, UpstreamIx, Weights, upstream_key};
+use pumicecleat_policy::{LoraIx, UpstreamIx, UpstreamStatus, Weights, upstream_key};
 use pumicecleat_types::{Lora, Millis, Report, VmId};
 
 use super::Directory;
@@ -139,7 +139,7 @@
     }
 
     fn put(&mut self, vm: &VmId, side: Side, now: Millis) {
-        let figures = UpstreamFigures {
+        let figures = UpstreamStatus {
             load: side.load,
             leaving: side.leaving,
             healthy: side.healthy,
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pumicecleat_net::{FrameError, FrameReader, NetError, Sent, Stall};
-use pumicecleat_policy::Outcome;
+use pumicecleat_policy::AttemptOutcome;
 use pumicecleat_types::{Frame, HeaderField, LoadFigures, Ran};
 use pumicecleat_upstream::Expect;
 
@@ -140,7 +140,7 @@
     pub(crate) async fn finish(mut self, shared: &Shared) {
         // A side that is slow to end its body only loses the connection.
         let _ = shared.timer.within(END_SPAN, self.frames.next()).await;
-        self.sent.outcome = Some(Outcome::Whole);
+        self.sent.outcome = Some(AttemptOutcome::Completed);
     }
 
     /// Ends an attempt that failed.
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -5,7 +5,7 @@
 
 use pumicecleat_net::Timer;
 use pumicecleat_ops::{DrainGuard, events, field};
-use pumicecleat_policy::Ask;
+use pumicecleat_policy::RouteQuery;
 use pumicecleat_types::{Millis, Ran};
 use pumicecleat_upstream::Usage;
 
@@ -83,7 +83,7 @@
     }
 
     fn choose(&self, left: Millis) -> Result<Destination, Failure> {
-        let ask = Ask {
+        let ask = RouteQuery {
             pool: self.job.resolved.pool_ix,
             lora: self.job.resolved.lora_ix,
             prompt: self.job.prompt,
--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -1,6 +1,6 @@
 //! How an attempt failed.
 
-use pumicecleat_policy::Outcome;
+use pumicecleat_policy::AttemptOutcome;
 use pumicecleat_types::{Millis, Ran, Reason, Refusal};
 
 use crate::fault::{Fault, RETRY, reason_code};
@@ -57,11 +57,11 @@
     }
 
     /// What the router learns.
-    pub(crate) fn outcome(&self) -> Outcome {
+    pub(crate) fn outcome(&self) -> AttemptOutcome {
         match self {
-            Self::Refused(refusal) => Outcome::Refused(refusal.reason, refusal.load),
-            Self::Lost(loss) if loss.stalled => Outcome::Stalled,
-            _ => Outcome::Failed,
+            Self::Refused(refusal) => AttemptOutcome::Refused(refusal.reason, refusal.load),
+            Self::Lost(loss) if loss.stalled => AttemptOutcome::Stalled,
+            _ => AttemptOutcome::Failed,
         }
     }
 
--- a/crates/entry/src/request/job.rs
+++ b/crates/entry/src/request/job.rs
@@ -1,7 +1,7 @@
 //! What a caller asked.
 
 use pumicecleat_ledger::Key;
-use pumicecleat_policy::{Prompt, part_key};
+use pumicecleat_policy::{PromptAffinity, part_key};
 use pumicecleat_types::{CallerId, Millis, RequestId};
 use pumicecleat_upstream::ChatBody;
 
@@ -25,7 +25,7 @@
     pub(crate) repeat: Repeat,
     pub(crate) content: Content,
     /// Prompt, of a chat.
-    pub(crate) prompt: Option<Prompt>,
+    pub(crate) prompt: Option<PromptAffinity>,
 }
 
 /// Body of a request.
--- a/crates/entry/src/request/prompt.rs
+++ b/crates/entry/src/request/prompt.rs
@@ -1,16 +1,16 @@
 //! A chat's prompt as the choice of upstream sees it.
 
-use pumicecleat_policy::Prompt;
+use pumicecleat_policy::PromptAffinity;
 use pumicecleat_upstream::ChatBody;
 
 /// Bytes of text to a token, about; in scripts that take more, it only weighs the prompt more.
 const TOKEN: u64 = 4;
 
 /// Prompt of a chat whose engine's cache is told apart by `seed`.
-pub(crate) fn read_prompt(chat: &ChatBody, seed: u64) -> Prompt {
+pub(crate) fn read_prompt(chat: &ChatBody, seed: u64) -> PromptAffinity {
     let thread = chat.thread(seed);
     let earlier = thread.earlier / TOKEN;
-    Prompt {
+    PromptAffinity {
         root: thread.root,
         earlier: u32::try_from(earlier).unwrap_or(u32::MAX),
     }
--- a/crates/entry/src/request/sent.rs
+++ b/crates/entry/src/request/sent.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pumicecleat_policy::{LoraIx, Outcome, UpstreamIx};
+use pumicecleat_policy::{AttemptOutcome, LoraIx, UpstreamIx};
 use pumicecleat_types::Reason;
 
 use super::Failure;
@@ -13,7 +13,7 @@
     shared: Rc<Shared>,
     up: UpstreamIx,
     lora: Option<LoraIx>,
-    pub(super) outcome: Option<Outcome>,
+    pub(super) outcome: Option<AttemptOutcome>,
 }
 
 impl SentGuard {
@@ -39,7 +39,7 @@
     fn drop(&mut self) {
         let now = self.shared.timer.now();
         // An attempt given up tells nothing of its upstream; this reason only ends it.
-        let given_up = Outcome::Refused(Reason::Deadline, None);
+        let given_up = AttemptOutcome::Refused(Reason::Deadline, None);
         let outcome = self.outcome.unwrap_or(given_up);
         let mut directory = self.shared.directory.borrow_mut();
         directory.ended(self.up, self.lora, outcome, now);
--- a/crates/entry/src/start/mod.rs
+++ b/crates/entry/src/start/mod.rs
@@ -14,7 +14,7 @@
     Client, ClientOptions, Handler, Protocol, Server, ServerOptions, Timer, Turns, bind,
 };
 use pumicecleat_ops::{Admin, Drain, Log, Metrics, Readiness, Stop, events, field};
-use pumicecleat_policy::{BudgetOptions, LoadOrder, LoadOrderOptions, RetryBudget};
+use pumicecleat_policy::{LoadOrder, LoadOrderOptions, RetryBudget, RetryBudgetOptions};
 use snafu::{ResultExt, Snafu};
 
 use crate::EntrySettings;
@@ -40,7 +40,7 @@
 
 /// Retries of lost attempts: load is doubled at most, and the batches of a few upstreams that die at
 /// once are tried again.
-const LOSSES: BudgetOptions = BudgetOptions {
+const LOSSES: RetryBudgetOptions = RetryBudgetOptions {
     percent: 100,
     burst: 500,
 };
@@ -178,7 +178,7 @@
     stop: &Stop,
     metrics: &Metrics,
 ) -> Result<Rc<Shared>, StartError> {
-    let budget = BudgetOptions {
+    let budget = RetryBudgetOptions {
         percent: settings.retries,
         burst: RETRY_BURST,
     };
--- a/crates/measure/src/policy/replay/engine.rs
+++ b/crates/measure/src/policy/replay/engine.rs
@@ -1,6 +1,6 @@
 //! What happens at engines and at the weight store.
 
-use pumicecleat_policy::{JobId, LoadEnd, LoraIx, Outcome, UpstreamIx};
+use pumicecleat_policy::{AttemptOutcome, JobId, LoadEnd, LoraIx, UpstreamIx};
 use pumicecleat_types::Millis;
 use rand::RngExt;
 
@@ -60,7 +60,7 @@
             self.keep_answer(&attempt);
             self.whole(attempt.call);
         }
-        self.end(id, Outcome::Whole, Millis(0));
+        self.end(id, AttemptOutcome::Completed, Millis(0));
     }
 
     pub(super) fn load(&mut self, at: At, lora: LoraIx) {
--- a/crates/measure/src/policy/replay/entry.rs
+++ b/crates/measure/src/policy/replay/entry.rs
@@ -1,6 +1,6 @@
 //! What happens at entries, and callers' patience.
 
-use pumicecleat_policy::{JobId, LoraIx, Outcome, UpstreamIx};
+use pumicecleat_policy::{AttemptOutcome, JobId, LoraIx, UpstreamIx};
 use pumicecleat_types::{Millis, Reason};
 
 use super::event::{Call, Ended, Event, Heard};
@@ -92,7 +92,7 @@
         };
         let now = self.clock.now();
         let entry = self.entry(call);
-        self.entries[entry].ended(attempt.up, attempt.lora, Outcome::Whole, now);
+        self.entries[entry].ended(attempt.up, attempt.lora, AttemptOutcome::Completed, now);
         self.withdraw(id, &attempt);
     }
 
@@ -102,7 +102,7 @@
         let entry = self.entry(ended.call);
         let lora = self.lora(ended.call);
         self.entries[entry].ended(ended.up, lora, ended.outcome, now);
-        if ended.outcome == Outcome::Whole {
+        if ended.outcome == AttemptOutcome::Completed {
             return;
         }
         let Some(state) = self.calls.get_mut(&ended.call) else {
@@ -180,13 +180,13 @@
 }
 
 /// Whether another upstream may do better.
-fn elsewhere(outcome: Outcome) -> bool {
+fn elsewhere(outcome: AttemptOutcome) -> bool {
     match outcome {
-        Outcome::Whole => false,
-        Outcome::Refused(reason, _) => matches!(
+        AttemptOutcome::Completed => false,
+        AttemptOutcome::Refused(reason, _) => matches!(
             reason,
             Reason::Leaving | Reason::UpstreamDown | Reason::LoadFailed | Reason::Overloaded
         ),
-        Outcome::Stalled | Outcome::Failed => true,
+        AttemptOutcome::Stalled | AttemptOutcome::Failed => true,
     }
 }
--- a/crates/measure/src/policy/replay/event.rs
+++ b/crates/measure/src/policy/replay/event.rs
@@ -1,6 +1,6 @@
 //! Events of a replay.
 
-use pumicecleat_policy::{Bid, JobId, LoraIx, Outcome, UpstreamFigures, UpstreamIx};
+use pumicecleat_policy::{AttemptOutcome, Bid, JobId, LoraIx, UpstreamIx, UpstreamStatus};
 use pumicecleat_types::{LoadTurn, Millis};
 
 use crate::policy::rules::View;
@@ -59,7 +59,7 @@
 pub(super) struct Ended {
     pub(super) call: Call,
     pub(super) up: UpstreamIx,
-    pub(super) outcome: Outcome,
+    pub(super) outcome: AttemptOutcome,
     /// Span after which to come back, if refused.
     pub(super) retry: Millis,
 }
@@ -69,7 +69,7 @@
 pub(super) struct Heard {
     pub(super) entry: usize,
     pub(super) up: UpstreamIx,
-    pub(super) state: UpstreamFigures,
+    pub(super) state: UpstreamStatus,
     pub(super) view: View,
 }
 
--- a/crates/measure/src/policy/replay/fault.rs
+++ b/crates/measure/src/policy/replay/fault.rs
@@ -1,6 +1,6 @@
 //! Timetable of faults, and what each does.
 
-use pumicecleat_policy::{Outcome, UpstreamIx};
+use pumicecleat_policy::{AttemptOutcome, UpstreamIx};
 use pumicecleat_types::{Millis, Reason};
 
 use super::World;
@@ -99,7 +99,7 @@
         self.store.abort(up, now);
         self.plan_store();
         for id in running {
-            self.end(id, Outcome::Failed, Millis(0));
+            self.end(id, AttemptOutcome::Failed, Millis(0));
         }
         self.poll(up);
     }
--- a/crates/measure/src/policy/replay/machine.rs
+++ b/crates/measure/src/policy/replay/machine.rs
@@ -1,6 +1,6 @@
 //! One upstream of a replay: its engine, its side and how they stand.
 
-use pumicecleat_policy::{LoraIx, UpstreamFigures, UpstreamIx};
+use pumicecleat_policy::{LoraIx, UpstreamIx, UpstreamStatus};
 use pumicecleat_types::Millis;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,8 +48,8 @@
     }
 
     /// State as reported.
-    pub(super) fn state(&self) -> UpstreamFigures {
-        UpstreamFigures {
+    pub(super) fn state(&self) -> UpstreamStatus {
+        UpstreamStatus {
             load: self.side.view().load,
             leaving: self.leaving,
             healthy: self.up,
--- a/crates/measure/src/policy/replay/prompt.rs
+++ b/crates/measure/src/policy/replay/prompt.rs
@@ -1,6 +1,6 @@
 //! What prompts take at engines, and what these keep of them.
 
-use pumicecleat_policy::{JobId, Prompt};
+use pumicecleat_policy::{JobId, PromptAffinity};
 use pumicecleat_types::Millis;
 
 use super::event::Call;
@@ -9,9 +9,9 @@
 
 impl World<'_> {
     /// A call's prompt, where prompts are modelled.
-    pub(super) fn prompt(&self, call: Call) -> Option<Prompt> {
+    pub(super) fn prompt(&self, call: Call) -> Option<PromptAffinity> {
         let talk = &self.trace.asks[call.ask].talk;
-        self.shape.prefix.map(|_| Prompt {
+        self.shape.prefix.map(|_| PromptAffinity {
             root: talk.root,
             earlier: talk.earlier,
         })
--- a/crates/measure/src/policy/replay/side.rs
+++ b/crates/measure/src/policy/replay/side.rs
@@ -1,6 +1,6 @@
 //! What happens at sides: attempts come, orders are carried out.
 
-use pumicecleat_policy::{Action, Bid, GiveUp, Job, JobId, LoraIx, Outcome, UpstreamIx};
+use pumicecleat_policy::{Action, AttemptOutcome, Bid, GiveUp, Job, JobId, LoraIx, UpstreamIx};
 use pumicecleat_types::{LoadTurn, Millis};
 use rand::RngExt;
 
@@ -17,7 +17,7 @@
             return;
         };
         if !self.machine(attempt.up).up {
-            return self.end(id, Outcome::Failed, Millis(0));
+            return self.end(id, AttemptOutcome::Failed, Millis(0));
         }
         let now = self.clock.now();
         if let Some(attempt) = self.tries.get_mut(&id) {
@@ -91,12 +91,12 @@
             return;
         };
         let load = self.machines[attempt.up.0 as usize].side.view().load;
-        let outcome = Outcome::Refused(give_up.reason, Some(load));
+        let outcome = AttemptOutcome::Refused(give_up.reason, Some(load));
         self.end(id, outcome, give_up.retry);
     }
 
     /// Ends an attempt; its entry hears of it.
-    pub(super) fn end(&mut self, id: JobId, outcome: Outcome, retry: Millis) {
+    pub(super) fn end(&mut self, id: JobId, outcome: AttemptOutcome, retry: Millis) {
         self.end_stall(id);
         let Some(attempt) = self.tries.remove(&id) else {
             return;
--- a/crates/measure/src/policy/rules/least.rs
+++ b/crates/measure/src/policy/rules/least.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pumicecleat_policy::{LoraIx, Outcome, UpstreamFigures, UpstreamIx};
+use pumicecleat_policy::{AttemptOutcome, LoraIx, UpstreamIx, UpstreamStatus};
 use pumicecleat_types::{Millis, Reason};
 
 use super::{Choose, Question, View};
@@ -32,7 +32,7 @@
 }
 
 impl Choose for LeastLoaded {
-    fn report(&mut self, up: UpstreamIx, state: &UpstreamFigures, _view: &View, _now: Millis) {
+    fn report(&mut self, up: UpstreamIx, state: &UpstreamStatus, _view: &View, _now: Millis) {
         let known = Known {
             usable: state.healthy && !state.leaving,
             requests: state.load.running + state.load.waiting,
@@ -59,14 +59,15 @@
         }
     }
 
-    fn ended(&mut self, up: UpstreamIx, _lora: LoraIx, outcome: Outcome, _now: Millis) {
+    fn ended(&mut self, up: UpstreamIx, _lora: LoraIx, outcome: AttemptOutcome, _now: Millis) {
         let Some(known) = self.known.get_mut(&up) else {
             return;
         };
         known.requests = known.requests.saturating_sub(1);
         let gone = matches!(
             outcome,
-            Outcome::Failed | Outcome::Refused(Reason::Leaving | Reason::UpstreamDown, _)
+            AttemptOutcome::Failed
+                | AttemptOutcome::Refused(Reason::Leaving | Reason::UpstreamDown, _)
         );
         known.usable &= !gone;
     }
--- a/crates/measure/src/policy/rules/mod.rs
+++ b/crates/measure/src/policy/rules/mod.rs
@@ -5,8 +5,8 @@
 mod ours;
 
 use pumicecleat_policy::{
-    Action, GiveUp, Job, JobId, LoadEnd, LoraIx, Outcome, Prompt, Scheduler, SchedulerOptions,
-    UpstreamFigures, UpstreamIx,
+    Action, AttemptOutcome, GiveUp, Job, JobId, LoadEnd, LoraIx, PromptAffinity, Scheduler,
+    SchedulerOptions, UpstreamIx, UpstreamStatus,
 };
 use pumicecleat_types::{LoadFigures, LoadTurn, Millis, Reason};
 
@@ -47,16 +47,16 @@
     pub(super) left: Millis,
     pub(super) tried: &'a [UpstreamIx],
     /// Where prompts are modelled.
-    pub(super) prompt: Option<Prompt>,
+    pub(super) prompt: Option<PromptAffinity>,
 }
 
 /// Choice of upstream at an entry.
 pub(super) trait Choose {
-    fn report(&mut self, up: UpstreamIx, state: &UpstreamFigures, view: &View, now: Millis);
+    fn report(&mut self, up: UpstreamIx, state: &UpstreamStatus, view: &View, now: Millis);
     /// Upstream, or the span after which to come back.
     fn choose(&mut self, question: &Question<'_>, now: Millis) -> Result<UpstreamIx, Millis>;
     fn sent(&mut self, up: UpstreamIx, lora: LoraIx, now: Millis);
-    fn ended(&mut self, up: UpstreamIx, lora: LoraIx, outcome: Outcome, now: Millis);
+    fn ended(&mut self, up: UpstreamIx, lora: LoraIx, outcome: AttemptOutcome, now: Millis);
 }
 
 /// Policy of a replay.
--- a/crates/measure/src/policy/rules/ours.rs
+++ b/crates/measure/src/policy/rules/ours.rs
@@ -1,8 +1,8 @@
 //! The product's decisions behind the replay's interfaces.
 
 use pumicecleat_policy::{
-    Action, Ask, Choice, GiveUp, Job, JobId, LoadEnd, LoraIx, Outcome, PoolIx, Router,
-    RouterOptions, Scheduler, UpstreamFigures, UpstreamIx,
+    Action, AttemptOutcome, GiveUp, Job, JobId, LoadEnd, LoraIx, PoolIx, RouteDecision, RouteQuery,
+    Router, RouterOptions, Scheduler, UpstreamIx, UpstreamStatus,
 };
 use pumicecleat_types::{LoadTurn, Millis, Reason};
 
@@ -87,13 +87,13 @@
 }
 
 impl Choose for Routed {
-    fn report(&mut self, up: UpstreamIx, state: &UpstreamFigures, view: &View, now: Millis) {
+    fn report(&mut self, up: UpstreamIx, state: &UpstreamStatus, view: &View, now: Millis) {
         let resident = Some(view.resident.as_slice());
         self.0.report(up, POOL, state, resident, view.loading, now);
     }
 
     fn choose(&mut self, question: &Question<'_>, now: Millis) -> Result<UpstreamIx, Millis> {
-        let ask = Ask {
+        let ask = RouteQuery {
             pool: POOL,
             lora: Some(question.lora),
             prompt: question.prompt,
@@ -101,8 +101,8 @@
             tried: question.tried,
         };
         match self.0.choose(&ask, now) {
-            Choice::Send(pick) => Ok(pick.up),
-            Choice::Refuse { retry } => Err(retry),
+            RouteDecision::Send(pick) => Ok(pick.up),
+            RouteDecision::Refuse { retry } => Err(retry),
         }
     }
 
@@ -110,7 +110,7 @@
         self.0.sent(up, Some(lora), now);
     }
 
-    fn ended(&mut self, up: UpstreamIx, lora: LoraIx, outcome: Outcome, now: Millis) {
+    fn ended(&mut self, up: UpstreamIx, lora: LoraIx, outcome: AttemptOutcome, now: Millis) {
         self.0.ended(up, Some(lora), outcome, now);
     }
 }
--- a/crates/measure/src/slopes/report.rs
+++ b/crates/measure/src/slopes/report.rs
@@ -1,6 +1,6 @@
 //! Reports of sides: their bytes, and what an entry's router spends on them.
 
-use pumicecleat_policy::{LoraIx, PoolIx, Router, RouterOptions, UpstreamFigures, UpstreamIx};
+use pumicecleat_policy::{LoraIx, PoolIx, Router, RouterOptions, UpstreamIx, UpstreamStatus};
 use pumicecleat_types::{Millis, ReportReply, decode, encode};
 
 use super::clock::cost;
@@ -106,7 +106,7 @@
 }
 
 fn hear(router: &mut Router, side: u32, whole: bool) {
-    let figures = UpstreamFigures {
+    let figures = UpstreamStatus {
         load: figures(side),
         leaving: false,
         healthy: true,
--- a/crates/measure/src/slopes/split.rs
+++ b/crates/measure/src/slopes/split.rs
@@ -8,7 +8,7 @@
 
 use pumicecleat_ledger::Ledger;
 use pumicecleat_policy::{
-    Ask, PoolIx, Router, RouterOptions, UpstreamFigures, UpstreamIx, part_key, upstream_key,
+    PoolIx, RouteQuery, Router, RouterOptions, UpstreamIx, UpstreamStatus, part_key, upstream_key,
 };
 use pumicecleat_types::{LoadFigures, Millis, PoolId, VmId};
 
@@ -103,7 +103,7 @@
         step_us: 10_000,
         ..LoadFigures::default()
     };
-    let figures = UpstreamFigures {
+    let figures = UpstreamStatus {
         load,
         leaving: false,
         healthy: true,
@@ -118,7 +118,7 @@
 }
 
 fn home(router: &Router, part: u32) -> u32 {
-    let ask = Ask {
+    let ask = RouteQuery {
         pool: POOL,
         lora: None,
         prompt: None,
--- a/crates/policy/benches/router_cost/cost.rs
+++ b/crates/policy/benches/router_cost/cost.rs
@@ -2,7 +2,10 @@
 
 use std::hint::black_box;
 
-use pumicecleat_policy::{Ask, Choice, LoraIx, Outcome, Prompt, Router, RouterOptions, UpstreamIx};
+use pumicecleat_policy::{
+    AttemptOutcome, LoraIx, PromptAffinity, RouteDecision, RouteQuery, Router, RouterOptions,
+    UpstreamIx,
+};
 use pumicecleat_types::Millis;
 use serde_json::json;
 
@@ -79,11 +82,11 @@
     (0..TRACE).map(|_| popularity.draw(&mut rng)).collect()
 }
 
-fn ask(lora: Option<LoraIx>) -> Ask<'static> {
-    Ask {
+fn ask(lora: Option<LoraIx>) -> RouteQuery<'static> {
+    RouteQuery {
         pool: POOL,
         lora,
-        prompt: lora.map(|l| Prompt {
+        prompt: lora.map(|l| PromptAffinity {
             root: u64::from(l.0),
             earlier: 800,
         }),
@@ -108,9 +111,9 @@
 fn attempt(router: &mut Router, trace: &[LoraIx]) -> Time {
     time(|n| {
         let lora = Some(trace[n as usize]);
-        if let Choice::Send(pick) = router.choose(&ask(lora), Millis(1)) {
+        if let RouteDecision::Send(pick) = router.choose(&ask(lora), Millis(1)) {
             router.sent(pick.up, lora, Millis(1));
-            router.ended(pick.up, lora, Outcome::Whole, Millis(1));
+            router.ended(pick.up, lora, AttemptOutcome::Completed, Millis(1));
         }
     })
 }
--- a/crates/policy/benches/router_cost/fleet.rs
+++ b/crates/policy/benches/router_cost/fleet.rs
@@ -1,6 +1,6 @@
 //! A router that knows a fleet, and a seeded trace of skewed asks.
 
-use pumicecleat_policy::{LoraIx, PoolIx, Router, RouterOptions, UpstreamFigures, UpstreamIx};
+use pumicecleat_policy::{LoraIx, PoolIx, Router, RouterOptions, UpstreamIx, UpstreamStatus};
 use pumicecleat_types::{LoadFigures, Millis};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -53,7 +53,7 @@
 }
 
 /// Figures of a half busy engine.
-pub fn figures(rng: &mut ChaCha8Rng) -> UpstreamFigures {
+pub fn figures(rng: &mut ChaCha8Rng) -> UpstreamStatus {
     let load = LoadFigures {
         running: rng.random_range(0..8),
         waiting: 0,
@@ -63,7 +63,7 @@
         step_us: rng.random_range(10_000..20_000),
         wait_ms: rng.random_range(0..50),
     };
-    UpstreamFigures {
+    UpstreamStatus {
         load,
         leaving: false,
         healthy: true,
--- a/crates/policy/benches/router_trial/engine.rs
+++ b/crates/policy/benches/router_trial/engine.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use pumicecleat_policy::{LoraIx, UpstreamFigures};
+use pumicecleat_policy::{LoraIx, UpstreamStatus};
 use pumicecleat_types::LoadFigures;
 
 /// Requests that run at once.
@@ -112,7 +112,7 @@
         self.slots.iter().find(|s| s.1 > now).map(|s| s.0)
     }
 
-    pub fn figures(&self) -> UpstreamFigures {
+    pub fn figures(&self) -> UpstreamStatus {
         let spare = self.slots.iter().filter(|s| !self.uses(s.0)).count();
         let wait = self.queue.len() as u64 * SERVICE / BATCH as u64;
         let load = LoadFigures {
@@ -124,7 +124,7 @@
             step_us: short(usize::try_from(STEP).unwrap_or(0) * 1_000),
             wait_ms: u32::try_from(wait).unwrap_or(u32::MAX),
         };
-        UpstreamFigures {
+        UpstreamStatus {
             load,
             leaving: false,
             healthy: true,
--- a/crates/policy/benches/router_trial/trial.rs
+++ b/crates/policy/benches/router_trial/trial.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use pumicecleat_policy::{
-    Ask, BudgetOptions, Choice, LoraIx, Outcome, PoolIx, RetryBudget, Router, RouterOptions,
-    UpstreamIx,
+    AttemptOutcome, LoraIx, PoolIx, RetryBudget, RetryBudgetOptions, RouteDecision, RouteQuery,
+    Router, RouterOptions, UpstreamIx,
 };
 use pumicecleat_types::Millis;
 use rand::{RngExt, SeedableRng};
@@ -105,7 +105,7 @@
             events: BTreeMap::new(),
             next: 0,
             routers: (0..site.entries).map(router).collect(),
-            budgets: vec![RetryBudget::new_ext(BudgetOptions::default()); site.entries],
+            budgets: vec![RetryBudget::new_ext(RetryBudgetOptions::default()); site.entries],
             engines: (0..site.engines).map(|_| Engine::default()).collect(),
             store: Store {
                 load: site.load,
@@ -178,14 +178,14 @@
     fn send(&mut self, request: usize, now: u64) {
         let r = &self.requests[request];
         let (entry, lora) = (r.entry, r.lora);
-        let ask = Ask {
+        let ask = RouteQuery {
             pool: POOL,
             lora: Some(lora),
             prompt: None,
             left: Millis((r.at + DEADLINE).saturating_sub(now)),
             tried: &r.tried,
         };
-        let Choice::Send(pick) = self.routers[entry].choose(&ask, Millis(now)) else {
+        let RouteDecision::Send(pick) = self.routers[entry].choose(&ask, Millis(now)) else {
             self.tally.failed += 1;
             return;
         };
@@ -229,7 +229,7 @@
     }
 
     fn end(&mut self, up: u32, attempt: usize, now: u64) {
-        self.finish(attempt, Outcome::Whole, now);
+        self.finish(attempt, AttemptOutcome::Completed, now);
         self.begin(up, now);
     }
 
@@ -238,7 +238,7 @@
         if self.attempts[attempt].begun {
             return;
         }
-        self.finish(attempt, Outcome::Stalled, now);
+        self.finish(attempt, AttemptOutcome::Stalled, now);
         self.begin(up, now);
         let r = &mut self.requests[request];
         r.tried.push(UpstreamIx(up));
@@ -249,7 +249,7 @@
         }
     }
 
-    fn finish(&mut self, attempt: usize, outcome: Outcome, now: u64) {
+    fn finish(&mut self, attempt: usize, outcome: AttemptOutcome, now: u64) {
         let a = &mut self.attempts[attempt];
         a.over = true;
         let r = &self.requests[a.request];
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -50,8 +50,9 @@
     TurnId, TurnOptions, TurnRequest, TurnSearch, Turns, members_digest,
 };
 pub use router::{
-    Ask, BudgetOptions, Choice, Outcome, Pick, Prompt, RetryBudget, Router, RouterOptions,
-    UpstreamFigures, lora_key, name_key, part_key, upstream_key,
+    AttemptOutcome, PromptAffinity, RetryBudget, RetryBudgetOptions, RouteDecision, RouteQuery,
+    Router, RouterOptions, SelectedUpstream, UpstreamStatus, lora_key, name_key, part_key,
+    upstream_key,
 };
 pub use scheduler::{
     Action, Bid, GiveUp, Job, JobId, LoadEnd, Scheduler, SchedulerOptions, Weights,
--- a/crates/policy/src/router/ask.rs
+++ b/crates/policy/src/router/ask.rs
@@ -2,12 +2,12 @@
 
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
-use super::prefix::Prompt;
+use super::prefix::PromptAffinity;
 use crate::{LoraIx, PoolIx, UpstreamIx};
 
 /// State of an upstream, by its side's report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct UpstreamFigures {
+pub struct UpstreamStatus {
     /// Load.
     pub load: LoadFigures,
     /// Takes no new work.
@@ -18,13 +18,13 @@
 
 /// Question: where should this request go?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask<'a> {
+pub struct RouteQuery<'a> {
     /// Pool to choose from.
     pub pool: PoolIx,
     /// Adapter and version, or `None` for a plain service.
     pub lora: Option<LoraIx>,
     /// Prompt, of a chat.
-    pub prompt: Option<Prompt>,
+    pub prompt: Option<PromptAffinity>,
     /// Time left until the caller's deadline.
     pub left: Millis,
     /// Upstreams that this request was sent to before; never chosen again.
@@ -33,7 +33,7 @@
 
 /// Upstream chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pick {
+pub struct SelectedUpstream {
     /// Upstream.
     pub up: UpstreamIx,
     /// Expected wait until the first step of the request ends.
@@ -42,11 +42,11 @@
     pub resident: bool,
 }
 
-/// Answer to an [`Ask`].
+/// Answer to an [`RouteQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum RouteDecision {
     /// Send it there.
-    Send(Pick),
+    Send(SelectedUpstream),
     /// Nowhere to send it to in time.
     Refuse {
         /// When to come back.
@@ -56,9 +56,9 @@
 
 /// End of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Answered whole.
-    Whole,
+    Completed,
     /// Refused by the side, not run.
     Refused(Reason, Option<LoadFigures>),
     /// No answer began within the header timeout.
--- a/crates/policy/src/router/budget.rs
+++ b/crates/policy/src/router/budget.rs
@@ -5,14 +5,14 @@
 
 /// Settings of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BudgetOptions {
+pub struct RetryBudgetOptions {
     /// Retries earned by 100 requests.
     pub percent: u32,
     /// Retries at hand at the start, and saved at most.
     pub burst: u32,
 }
 
-impl Default for BudgetOptions {
+impl Default for RetryBudgetOptions {
     fn default() -> Self {
         Self {
             percent: 20,
@@ -24,14 +24,14 @@
 /// Tokens for retries: over any time, at most the burst plus the share of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    options: BudgetOptions,
+    options: RetryBudgetOptions,
     parts: u64,
 }
 
 impl RetryBudget {
     /// Full budget.
     #[must_use]
-    pub fn new_ext(options: BudgetOptions) -> Self {
+    pub fn new_ext(options: RetryBudgetOptions) -> Self {
         let parts = u64::from(options.burst) * TOKEN;
         Self { options, parts }
     }
--- a/crates/policy/src/router/choose.rs
+++ b/crates/policy/src/router/choose.rs
@@ -2,7 +2,7 @@
 
 use pumicecleat_types::Millis;
 
-use super::ask::{Ask, Choice, Pick};
+use super::ask::{RouteDecision, RouteQuery, SelectedUpstream};
 use super::estimate::{load_us, queue_us};
 use super::pack::has_company;
 use super::pool::Standing;
@@ -46,18 +46,18 @@
 
 impl Router {
     /// Where this request should go.
-    pub fn choose(&mut self, ask: &Ask<'_>, now: Millis) -> Choice {
+    pub fn choose(&mut self, ask: &RouteQuery<'_>, now: Millis) -> RouteDecision {
         let scored = self.candidates(ask, now);
         let Some(best) = self.best(&scored) else {
             let retry = self.options.retry;
-            return Choice::Refuse { retry };
+            return RouteDecision::Refuse { retry };
         };
         let wait = Millis(best.wait.div_ceil(MICROS));
         if wait.0 / LATE > ask.left.0 {
             let retry = wait.since(ask.left).max(self.options.retry);
-            return Choice::Refuse { retry };
+            return RouteDecision::Refuse { retry };
         }
-        Choice::Send(Pick {
+        RouteDecision::Send(SelectedUpstream {
             up: best.up,
             wait,
             resident: best.hold == Hold::Resident,
@@ -71,7 +71,7 @@
         Some(Millis(wait.div_ceil(MICROS)))
     }
 
-    fn candidates(&mut self, ask: &Ask<'_>, now: Millis) -> Vec<Scored> {
+    fn candidates(&mut self, ask: &RouteQuery<'_>, now: Millis) -> Vec<Scored> {
         let mut ups = self.near(ask, now);
         let aim = self.aim(ask.pool, ask.lora, ask.prompt);
         ups.extend(aim.meeting());
@@ -84,7 +84,7 @@
     }
 
     /// Some holders, then the homes.
-    fn near(&mut self, ask: &Ask<'_>, now: Millis) -> Vec<UpstreamIx> {
+    fn near(&mut self, ask: &RouteQuery<'_>, now: Millis) -> Vec<UpstreamIx> {
         let (Some(pool), Some(lora)) = (self.pools.get(ask.pool.0 as usize), ask.lora) else {
             return Vec::new();
         };
@@ -97,7 +97,7 @@
     }
 
     /// Upstreams drawn from the fresh ones, or else from the suspect ones.
-    fn drawn(&mut self, ask: &Ask<'_>, now: Millis) -> Vec<UpstreamIx> {
+    fn drawn(&mut self, ask: &RouteQuery<'_>, now: Millis) -> Vec<UpstreamIx> {
         let Some(pool) = self.pools.get(ask.pool.0 as usize) else {
             return Vec::new();
         };
@@ -113,7 +113,7 @@
     /// At most `count` of `ups`: the first ready ones after drawn places, or else the first untried.
     fn walk(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteQuery<'_>,
         ups: &[UpstreamIx],
         count: usize,
         draw: &mut Draw,
@@ -134,13 +134,25 @@
         taken
     }
 
-    fn score(&self, ask: &Ask<'_>, aim: &Aim, ups: &[UpstreamIx], now: Millis) -> Vec<Scored> {
+    fn score(
+        &self,
+        ask: &RouteQuery<'_>,
+        aim: &Aim,
+        ups: &[UpstreamIx],
+        now: Millis,
+    ) -> Vec<Scored> {
         let open = ups.iter().filter(|u| !ask.tried.contains(u));
         let scored = open.filter_map(|&up| self.scored(ask, aim, up, now));
         scored.collect()
     }
 
-    fn scored(&self, ask: &Ask<'_>, aim: &Aim, up: UpstreamIx, now: Millis) -> Option<Scored> {
+    fn scored(
+        &self,
+        ask: &RouteQuery<'_>,
+        aim: &Aim,
+        up: UpstreamIx,
+        now: Millis,
+    ) -> Option<Scored> {
         let class = self.class(ask, up, now)?;
         let (wait, hold) = self.wait_us(up, ask.lora, now)?;
         let margin = match hold {
@@ -158,7 +170,7 @@
     }
 
     /// What a request gives up that would run alone; a call without an adapter gives up nothing.
-    fn alone_us(&self, ask: &Ask<'_>, up: UpstreamIx, hold: Hold) -> u64 {
+    fn alone_us(&self, ask: &RouteQuery<'_>, up: UpstreamIx, hold: Hold) -> u64 {
         let upstream = &self.upstreams[up.0 as usize];
         if ask.lora.is_none() || has_company(upstream, hold) {
             return 0;
@@ -166,7 +178,7 @@
         self.pack.0 * MICROS
     }
 
-    pub(super) fn class(&self, ask: &Ask<'_>, up: UpstreamIx, now: Millis) -> Option<Class> {
+    pub(super) fn class(&self, ask: &RouteQuery<'_>, up: UpstreamIx, now: Millis) -> Option<Class> {
         let upstream = self.upstreams.get(up.0 as usize)?;
         if upstream.pool != ask.pool {
             return None;
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -30,11 +30,11 @@
 mod ring;
 mod upstream;
 
-pub use ask::{Ask, Choice, Outcome, Pick, UpstreamFigures};
-pub use budget::{BudgetOptions, RetryBudget};
+pub use ask::{AttemptOutcome, RouteDecision, RouteQuery, SelectedUpstream, UpstreamStatus};
+pub use budget::{RetryBudget, RetryBudgetOptions};
 pub use key::{lora_key, name_key, part_key, upstream_key};
 pub use options::RouterOptions;
-pub use prefix::Prompt;
+pub use prefix::PromptAffinity;
 
 use pumicecleat_types::Millis;
 
@@ -103,7 +103,7 @@
         &mut self,
         up: UpstreamIx,
         pool: PoolIx,
-        figures: &UpstreamFigures,
+        figures: &UpstreamStatus,
         resident: Option<&[LoraIx]>,
         loading: Option<LoraIx>,
         now: Millis,
--- a/crates/policy/src/router/outcome.rs
+++ b/crates/policy/src/router/outcome.rs
@@ -3,7 +3,7 @@
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
 use super::Router;
-use super::ask::Outcome;
+use super::ask::AttemptOutcome;
 use super::demotion::Demotion;
 use super::upstream::{Hold, Upstream};
 use crate::{LoraIx, UpstreamIx};
@@ -45,22 +45,28 @@
     }
 
     /// Learns from the end of an attempt at `up`.
-    pub fn ended(&mut self, up: UpstreamIx, lora: Option<LoraIx>, outcome: Outcome, now: Millis) {
+    pub fn ended(
+        &mut self,
+        up: UpstreamIx,
+        lora: Option<LoraIx>,
+        outcome: AttemptOutcome,
+        now: Millis,
+    ) {
         if !self.reported(up) {
-            if matches!(outcome, Outcome::Refused(Reason::Leaving, _)) {
+            if matches!(outcome, AttemptOutcome::Refused(Reason::Leaving, _)) {
                 self.leaving(up);
             }
             return;
         }
         self.upstreams[up.0 as usize].note_end();
         match outcome {
-            Outcome::Whole => self.answering(up, now),
-            Outcome::Refused(reason, load) => {
+            AttemptOutcome::Completed => self.answering(up, now),
+            AttemptOutcome::Refused(reason, load) => {
                 self.alive(up, now);
                 self.refused(up, lora, reason, load, now);
             }
-            Outcome::Stalled => self.stall(up, now),
-            Outcome::Failed => self.change(up, |u| u.suspect = true),
+            AttemptOutcome::Stalled => self.stall(up, now),
+            AttemptOutcome::Failed => self.change(up, |u| u.suspect = true),
         }
     }
 
--- a/crates/policy/src/router/prefix.rs
+++ b/crates/policy/src/router/prefix.rs
@@ -12,7 +12,7 @@
 
 /// A chat's prompt, as far as affinity goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prompt {
+pub struct PromptAffinity {
     /// Hash that all turns of a conversation share, of its first messages and the adapter's version.
     pub root: u64,
     /// Tokens of its earlier turns, about; 0 in a first one.
@@ -47,7 +47,12 @@
         holders.max_by_key(|up| self.rank(*up, root))
     }
 
-    pub(super) fn aim(&self, pool: PoolIx, lora: Option<LoraIx>, prompt: Option<Prompt>) -> Aim {
+    pub(super) fn aim(
+        &self,
+        pool: PoolIx,
+        lora: Option<LoraIx>,
+        prompt: Option<PromptAffinity>,
+    ) -> Aim {
         let (Some(lora), Some(prompt), Some(first)) = (lora, prompt, self.options.first) else {
             return Aim::default();
         };
--- a/crates/policy/src/router/rank.rs
+++ b/crates/policy/src/router/rank.rs
@@ -3,7 +3,7 @@
 use pumicecleat_types::Millis;
 
 use super::Router;
-use super::ask::{Ask, Pick};
+use super::ask::{RouteQuery, SelectedUpstream};
 use super::choose::{Class, MICROS};
 use super::key::point;
 use crate::UpstreamIx;
@@ -16,7 +16,7 @@
     /// all entries that hear of the same upstreams choose the same. `None` if the wait is too long
     /// at each.
     #[must_use]
-    pub fn ranked(&self, ask: &Ask<'_>, home: u64, now: Millis) -> Option<Pick> {
+    pub fn ranked(&self, ask: &RouteQuery<'_>, home: u64, now: Millis) -> Option<SelectedUpstream> {
         let pool = self.pools.get(ask.pool.0 as usize)?;
         let open = pool.fresh.iter().filter(|u| !ask.tried.contains(u));
         let ready = open.filter(|u| self.class(ask, **u, now) == Some(Class::Ready));
@@ -24,11 +24,16 @@
         picks.max_by_key(|p| self.rank(p.up, home))
     }
 
-    fn timely(&self, ask: &Ask<'_>, up: UpstreamIx, now: Millis) -> Option<Pick> {
+    fn timely(
+        &self,
+        ask: &RouteQuery<'_>,
+        up: UpstreamIx,
+        now: Millis,
+    ) -> Option<SelectedUpstream> {
         let (wait, _) = self.wait_us(up, ask.lora, now)?;
         let wait = Millis(wait.div_ceil(MICROS));
         let resident = true;
-        (wait.0 <= ask.left.0 / SHARE).then_some(Pick { up, wait, resident })
+        (wait.0 <= ask.left.0 / SHARE).then_some(SelectedUpstream { up, wait, resident })
     }
 
     pub(super) fn rank(&self, up: UpstreamIx, home: u64) -> Option<u64> {
--- a/crates/policy/tests/router_budget.rs
+++ b/crates/policy/tests/router_budget.rs
@@ -1,7 +1,7 @@
 //! Retries never exceed the burst and the share of requests, over any stretch of time.
 
 use proptest::prelude::*;
-use pumicecleat_policy::{BudgetOptions, RetryBudget};
+use pumicecleat_policy::{RetryBudget, RetryBudgetOptions};
 
 proptest! {
     #[test]
@@ -11,7 +11,7 @@
         requests in prop::collection::vec(any::<bool>(), 0..300),
         from in 0..300_usize,
     ) {
-        let mut budget = RetryBudget::new_ext(BudgetOptions { percent, burst });
+        let mut budget = RetryBudget::new_ext(RetryBudgetOptions { percent, burst });
         let (mut seen, mut retried) = (0, 0);
         for (n, &request) in requests.iter().enumerate() {
             let granted = !request && budget.retry();
@@ -28,7 +28,7 @@
 
     #[test]
     fn steady_failures_get_their_share(percent in 1..100_u32, burst in 2..20_u32) {
-        let mut budget = RetryBudget::new_ext(BudgetOptions { percent, burst });
+        let mut budget = RetryBudget::new_ext(RetryBudgetOptions { percent, burst });
         let granted = (0..1_000).filter(|_| {
             budget.request();
             budget.retry()
--- a/crates/policy/tests/router_cases.rs
+++ b/crates/policy/tests/router_cases.rs
@@ -1,22 +1,22 @@
 //! Cases of the router, each a few upstreams and the choice expected.
 
 use pumicecleat_policy::{
-    Ask, Choice, LoraIx, Outcome, PoolIx, Prompt, Router, RouterOptions, UpstreamFigures,
-    UpstreamIx, Weights,
+    AttemptOutcome, LoraIx, PoolIx, PromptAffinity, RouteDecision, RouteQuery, Router,
+    RouterOptions, UpstreamIx, UpstreamStatus, Weights,
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
 const POOL: PoolIx = PoolIx(0);
 const LORA: LoraIx = LoraIx(7);
 /// Its earlier turns and what a meeting place is worth beside make 50 ms.
-const PROMPT: Prompt = Prompt {
+const PROMPT: PromptAffinity = PromptAffinity {
     root: 99,
     earlier: 800,
 };
 /// Seeds of the draws that break ties.
 const SEEDS: u64 = 16;
 const AMPLE: Millis = Millis(60_000);
-const ASK: Ask<'_> = Ask {
+const ASK: RouteQuery<'_> = RouteQuery {
     pool: POOL,
     lora: Some(LORA),
     prompt: Some(PROMPT),
@@ -48,7 +48,7 @@
     Leaving(u32),
     Forget(u32),
     Sent(u32, usize),
-    Ended(u32, Outcome),
+    Ended(u32, AttemptOutcome),
     Expire(u64),
     Restarted(u32),
     Answering(u32),
@@ -79,7 +79,7 @@
 }
 
 const fn refused(reason: Reason) -> Then {
-    Then::Ended(0, Outcome::Refused(reason, None))
+    Then::Ended(0, AttemptOutcome::Refused(reason, None))
 }
 
 #[rustfmt::skip]
@@ -100,15 +100,15 @@
     case("forgotten", PAIR, &[Then::Forget(0)], Some(1)),
     case("own sends count", &[(Holder, 0), (Holder, 0)], &[Then::Sent(0, 20)], Some(1)),
     case("one send too many for the batch", &[(Holder, 0), (Holder, 100)], &[Then::Sent(0, 9)], Some(1)),
-    case("an end gives its place back", &[(Holder, 0), (Holder, 100)], &[Then::Sent(0, 9), Then::Ended(0, Outcome::Whole)], Some(0)),
+    case("an end gives its place back", &[(Holder, 0), (Holder, 100)], &[Then::Sent(0, 9), Then::Ended(0, AttemptOutcome::Completed)], Some(0)),
     case("sent there before", &[(Idle, 200), (Idle, 0)], &[Then::Sent(0, 1)], Some(0)),
     case("load failed there", &[(Idle, 200), (Idle, 0)], &[Then::Sent(0, 1), refused(Reason::LoadFailed)], Some(1)),
     case("overload counts", &[(Holder, 0), (Holder, 0)], &[refused(Reason::Overloaded)], Some(1)),
-    case("stalled behind a peer", PAIR, &[Then::Ended(0, Outcome::Stalled)], Some(1)),
-    case("stalled alone", &[(Holder, 0)], &[Then::Ended(0, Outcome::Stalled)], Some(0)),
-    case("an answer ends the demotion", PAIR, &[ Then::Ended(0, Outcome::Stalled), Then::Ended(0, Outcome::Whole), ], Some(0)),
-    case("failed behind a peer", PAIR, &[Then::Ended(0, Outcome::Failed)], Some(1)),
-    case("failed alone", &[(Holder, 0)], &[Then::Ended(0, Outcome::Failed)], Some(0)),
+    case("stalled behind a peer", PAIR, &[Then::Ended(0, AttemptOutcome::Stalled)], Some(1)),
+    case("stalled alone", &[(Holder, 0)], &[Then::Ended(0, AttemptOutcome::Stalled)], Some(0)),
+    case("an answer ends the demotion", PAIR, &[ Then::Ended(0, AttemptOutcome::Stalled), Then::Ended(0, AttemptOutcome::Completed), ], Some(0)),
+    case("failed behind a peer", PAIR, &[Then::Ended(0, AttemptOutcome::Failed)], Some(1)),
+    case("failed alone", &[(Holder, 0)], &[Then::Ended(0, AttemptOutcome::Failed)], Some(0)),
     case("all silent", PAIR, &[Then::Expire(20_000)], Some(0)),
     case("all silent for long", PAIR, &[Then::Expire(200_000)], None),
     Case {
@@ -180,7 +180,7 @@
     case("crowds no batch that own sends fill", &[(Holder, 20), (Meets, 30)], &[Then::Sent(1, 8)], Some(0)),
 ];
 
-fn figures(is: Is, wait: u32) -> UpstreamFigures {
+fn figures(is: Is, wait: u32) -> UpstreamStatus {
     let load = LoadFigures {
         batch: 8,
         slots: 4,
@@ -198,7 +198,7 @@
         wait_ms: wait,
         ..LoadFigures::default()
     };
-    UpstreamFigures {
+    UpstreamStatus {
         load,
         leaving: is == Is::Leaving,
         healthy: is != Is::Sick,
@@ -245,18 +245,18 @@
 }
 
 /// Prompt of a conversation that meets at an upstream.
-fn prompt_for(router: &Router, at: usize) -> Prompt {
+fn prompt_for(router: &Router, at: usize) -> PromptAffinity {
     let meets = |root: &u64| router.meeting(POOL, LORA, *root).map(|up| up.0 as usize) == Some(at);
     let root = (0..1_000)
         .find(meets)
         .expect("a conversation that meets there");
-    Prompt { root, ..PROMPT }
+    PromptAffinity { root, ..PROMPT }
 }
 
-fn chosen(router: &mut Router, ask: &Ask<'_>, now: Millis) -> Option<u32> {
+fn chosen(router: &mut Router, ask: &RouteQuery<'_>, now: Millis) -> Option<u32> {
     match router.choose(ask, now) {
-        Choice::Send(pick) => Some(pick.up.0),
-        Choice::Refuse { retry } => {
+        RouteDecision::Send(pick) => Some(pick.up.0),
+        RouteDecision::Refuse { retry } => {
             assert!(retry > Millis(0));
             None
         }
@@ -274,7 +274,7 @@
     for &then in case.then {
         apply(&mut router, then, Millis(1));
     }
-    let ask = Ask {
+    let ask = RouteQuery {
         left: case.left,
         tried: case.tried,
         prompt,
@@ -307,7 +307,7 @@
 
 #[test]
 fn a_demotion_lapses_doubles_and_ends() {
-    let stalled = Some(Then::Ended(0, Outcome::Stalled));
+    let stalled = Some(Then::Ended(0, AttemptOutcome::Stalled));
     let steps = [
         step(0, stalled, 1),
         step(1_999, None, 1),
@@ -334,7 +334,7 @@
 #[test]
 fn a_plain_service_takes_the_less_busy_of_two() {
     let mut router = router(&[(Idle, 50), (Idle, 0)], 0);
-    let ask = Ask { lora: None, ..ASK };
+    let ask = RouteQuery { lora: None, ..ASK };
     for _ in 0..20 {
         assert_eq!(chosen(&mut router, &ask, Millis(1)), Some(1));
     }
--- a/crates/policy/tests/router_homes.rs
+++ b/crates/policy/tests/router_homes.rs
@@ -1,22 +1,22 @@
 //! Homes: entries agree on them, and a hot adapter gets past its first ones.
 
 use pumicecleat_policy::{
-    Ask, Choice, LoraIx, PoolIx, Router, RouterOptions, UpstreamFigures, UpstreamIx, lora_key,
-    upstream_key,
+    LoraIx, PoolIx, RouteDecision, RouteQuery, Router, RouterOptions, UpstreamIx, UpstreamStatus,
+    lora_key, upstream_key,
 };
 use pumicecleat_types::{LoadFigures, Lora, Millis, VmId};
 
 const POOL: PoolIx = PoolIx(0);
 const LORAS: u32 = 2_000;
 
-fn figures(wait_ms: u32) -> UpstreamFigures {
+fn figures(wait_ms: u32) -> UpstreamStatus {
     let load = LoadFigures {
         batch: 8,
         step_us: 10_000,
         wait_ms,
         ..LoadFigures::default()
     };
-    UpstreamFigures {
+    UpstreamStatus {
         load,
         leaving: false,
         healthy: true,
@@ -42,7 +42,7 @@
 }
 
 fn chosen(router: &mut Router, lora: u32, now: Millis) -> UpstreamIx {
-    let ask = Ask {
+    let ask = RouteQuery {
         pool: POOL,
         lora: Some(LoraIx(lora)),
         prompt: None,
@@ -50,8 +50,8 @@
         tried: &[],
     };
     match router.choose(&ask, now) {
-        Choice::Send(pick) => pick.up,
-        Choice::Refuse { .. } => panic!("refused"),
+        RouteDecision::Send(pick) => pick.up,
+        RouteDecision::Refuse { .. } => panic!("refused"),
     }
 }
 
--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use pumicecleat_policy::{
-    Ask, Choice, LoraIx, Outcome, Pick, PoolIx, Prompt, Router, RouterOptions, UpstreamFigures,
-    UpstreamIx, Weights,
+    AttemptOutcome, LoraIx, PoolIx, PromptAffinity, RouteDecision, RouteQuery, Router,
+    RouterOptions, SelectedUpstream, UpstreamIx, UpstreamStatus, Weights,
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
@@ -18,18 +18,18 @@
     Report {
         up: u32,
         pool: u32,
-        figures: UpstreamFigures,
+        figures: UpstreamStatus,
         resident: Option<Vec<LoraIx>>,
         loading: Option<LoraIx>,
     },
     Leaving(u32),
     Forget(u32),
     Expire,
-    Ended(u32, Outcome),
-    Ask {
+    Ended(u32, AttemptOutcome),
+    Choose {
         pool: u32,
         lora: Option<LoraIx>,
-        prompt: Option<Prompt>,
+        prompt: Option<PromptAffinity>,
         tried: Vec<UpstreamIx>,
         left: u64,
         send: bool,
@@ -118,7 +118,7 @@
             Op::Forget(up) => self.forget(*up),
             Op::Expire => self.expire(now, o),
             Op::Ended(up, outcome) => self.ended(*up, *outcome, now, o),
-            Op::Ask { .. } => {}
+            Op::Choose { .. } => {}
         }
     }
 
@@ -137,32 +137,32 @@
         }
     }
 
-    fn ended(&mut self, up: u32, outcome: Outcome, now: u64, o: &RouterOptions) {
+    fn ended(&mut self, up: u32, outcome: AttemptOutcome, now: u64, o: &RouterOptions) {
         let Some(seen) = self.ups.get_mut(&up) else {
-            if outcome == Outcome::Refused(Reason::Leaving, None) {
+            if outcome == AttemptOutcome::Refused(Reason::Leaving, None) {
                 self.leaving.push(up);
             }
             return;
         };
         match outcome {
-            Outcome::Whole => {
+            AttemptOutcome::Completed => {
                 (seen.stalls, seen.until, seen.probe) = (0, 0, None);
                 (seen.suspect, seen.heard) = (false, now);
             }
-            Outcome::Refused(reason, _) => {
+            AttemptOutcome::Refused(reason, _) => {
                 seen.heard = now;
                 seen.suspect = reason == Reason::UpstreamDown;
                 if reason == Reason::Leaving {
                     self.leaving.push(up);
                 }
             }
-            Outcome::Stalled => {
+            AttemptOutcome::Stalled => {
                 seen.stalls += u32::from(seen.until <= now);
                 let span = o.demote.unwrap().0 << (seen.stalls - 1).min(20);
                 seen.until = seen.until.max(now + span.min(o.demote_most.0));
                 seen.probe = None;
             }
-            Outcome::Failed => seen.suspect = true,
+            AttemptOutcome::Failed => seen.suspect = true,
         }
     }
 
@@ -180,7 +180,7 @@
     (0..LORAS).prop_map(LoraIx)
 }
 
-fn figures() -> impl Strategy<Value = UpstreamFigures> {
+fn figures() -> impl Strategy<Value = UpstreamStatus> {
     let load = (0..9_u32, 0..3_u32, 0..3_u32, 0..1_500_u32);
     let state = (prop::bool::weighted(0.1), prop::bool::weighted(0.9));
     (load, state).prop_map(|(load, (leaving, healthy))| {
@@ -194,7 +194,7 @@
             slots: 4,
             step_us: 10_000,
         };
-        UpstreamFigures {
+        UpstreamStatus {
             load,
             leaving,
             healthy,
@@ -202,21 +202,21 @@
     })
 }
 
-fn outcome() -> impl Strategy<Value = Outcome> {
+fn outcome() -> impl Strategy<Value = AttemptOutcome> {
     prop_oneof![
-        Just(Outcome::Whole),
-        Just(Outcome::Stalled),
-        Just(Outcome::Failed),
-        Just(Outcome::Refused(Reason::Leaving, None)),
-        Just(Outcome::Refused(Reason::UpstreamDown, None)),
-        Just(Outcome::Refused(Reason::Overloaded, None)),
-        figures().prop_map(|f| Outcome::Refused(Reason::Overloaded, Some(f.load))),
+        Just(AttemptOutcome::Completed),
+        Just(AttemptOutcome::Stalled),
+        Just(AttemptOutcome::Failed),
+        Just(AttemptOutcome::Refused(Reason::Leaving, None)),
+        Just(AttemptOutcome::Refused(Reason::UpstreamDown, None)),
+        Just(AttemptOutcome::Refused(Reason::Overloaded, None)),
+        figures().prop_map(|f| AttemptOutcome::Refused(Reason::Overloaded, Some(f.load))),
     ]
 }
 
-fn prompt() -> impl Strategy<Value = Prompt> {
+fn prompt() -> impl Strategy<Value = PromptAffinity> {
     let drawn = (0..9_u64, 0..3_000_u32);
-    drawn.prop_map(|(root, earlier)| Prompt { root, earlier })
+    drawn.prop_map(|(root, earlier)| PromptAffinity { root, earlier })
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -246,7 +246,7 @@
         1 => (0..UPS).prop_map(Op::Forget),
         1 => Just(Op::Expire),
         4 => (0..UPS, outcome()).prop_map(|(up, outcome)| Op::Ended(up, outcome)),
-        8 => ask.prop_map(|(pool, lora, prompt, tried, left, send)| Op::Ask {
+        8 => ask.prop_map(|(pool, lora, prompt, tried, left, send)| Op::Choose {
             pool, lora, prompt, tried, left, send,
         }),
     ]
@@ -256,13 +256,13 @@
 /// where the conversation meets, and only with the adapter resident, what its prompt saves as well.
 fn bound(
     router: &Router,
-    ask: &Ask<'_>,
-    pick: &Pick,
+    ask: &RouteQuery<'_>,
+    pick: &SelectedUpstream,
     ups: &[UpstreamIx],
     now: Millis,
 ) -> Option<Millis> {
     let o = RouterOptions::default();
-    let meets = |p: Prompt| {
+    let meets = |p: PromptAffinity| {
         router
             .meeting(ask.pool, ask.lora?, p.root)
             .map(|up| (up, p.earlier))
@@ -283,7 +283,7 @@
 fn check_holders(
     router: &Router,
     naive: &Naive,
-    ask: &Ask<'_>,
+    ask: &RouteQuery<'_>,
     lora: LoraIx,
     open: &[(Rank, UpstreamIx)],
     at: u64,
@@ -298,7 +298,7 @@
 }
 
 fn check(router: &mut Router, naive: &mut Naive, op: &Op, at: u64) -> Result<(), TestCaseError> {
-    let Op::Ask {
+    let Op::Choose {
         pool,
         lora,
         prompt,
@@ -310,7 +310,7 @@
         return Ok(());
     };
     let (now, o) = (Millis(at), RouterOptions::default());
-    let ask = Ask {
+    let ask = RouteQuery {
         pool: PoolIx(*pool),
         lora: *lora,
         prompt: *prompt,
@@ -324,11 +324,11 @@
     }
     open.retain(|(_, u)| !tried.contains(u));
     let best = open.iter().map(|o| o.0).min();
-    let wide = Ask {
+    let wide = RouteQuery {
         left: Millis(u64::MAX),
         ..ask
     };
-    let Choice::Send(pick) = router.choose(&wide, now) else {
+    let RouteDecision::Send(pick) = router.choose(&wide, now) else {
         prop_assert_eq!(best, None);
         return Ok(());
     };
@@ -346,8 +346,8 @@
         prop_assert!(pick.wait <= most, "{pick:?} over {most:?}");
     }
     match router.choose(&ask, now) {
-        Choice::Send(pick) => prop_assert!(pick.wait.0 / 2 <= *left),
-        Choice::Refuse { retry } => prop_assert!(retry >= o.retry),
+        RouteDecision::Send(pick) => prop_assert!(pick.wait.0 / 2 <= *left),
+        RouteDecision::Refuse { retry } => prop_assert!(retry >= o.retry),
     }
     if *send {
         router.sent(pick.up, *lora, now);
@@ -379,7 +379,7 @@
         Op::Forget(up) => router.forget(UpstreamIx(*up)),
         Op::Expire => drop(router.expire(now)),
         Op::Ended(up, outcome) => router.ended(UpstreamIx(*up), None, *outcome, now),
-        Op::Ask { .. } => {}
+        Op::Choose { .. } => {}
     }
 }
 
@@ -412,9 +412,9 @@
             let at = Millis(now);
             for (router, heeded) in [(&mut with, true), (&mut without, false)] {
                 apply(router, &op, at);
-                if let Op::Ask { pool, lora, prompt, tried, .. } = &op {
+                if let Op::Choose { pool, lora, prompt, tried, .. } = &op {
                     let prompt = prompt.filter(|_| heeded);
-                    let ask = Ask { pool: PoolIx(*pool), lora: *lora, prompt, left: Millis(u64::MAX), tried };
+                    let ask = RouteQuery { pool: PoolIx(*pool), lora: *lora, prompt, left: Millis(u64::MAX), tried };
                     router.choose(&ask, at);
                 }
             }
--- a/crates/policy/tests/router_rank.rs
+++ b/crates/policy/tests/router_rank.rs
@@ -3,22 +3,22 @@
 use std::collections::BTreeMap;
 
 use pumicecleat_policy::{
-    Ask, Outcome, PoolIx, Router, RouterOptions, UpstreamFigures, UpstreamIx, part_key,
-    upstream_key,
+    AttemptOutcome, PoolIx, RouteQuery, Router, RouterOptions, UpstreamIx, UpstreamStatus,
+    part_key, upstream_key,
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason, VmId};
 
 const POOL: PoolIx = PoolIx(0);
 const PARTS: u32 = 256;
 
-fn figures(wait_ms: u32) -> UpstreamFigures {
+fn figures(wait_ms: u32) -> UpstreamStatus {
     let load = LoadFigures {
         batch: 8,
         step_us: 10_000,
         wait_ms,
         ..LoadFigures::default()
     };
-    UpstreamFigures {
+    UpstreamStatus {
         load,
         leaving: false,
         healthy: true,
@@ -35,8 +35,8 @@
     router
 }
 
-fn ask(tried: &[UpstreamIx]) -> Ask<'_> {
-    Ask {
+fn ask(tried: &[UpstreamIx]) -> RouteQuery<'_> {
+    RouteQuery {
         pool: POOL,
         lora: None,
         prompt: None,
@@ -99,7 +99,7 @@
             r.ended(
                 up,
                 None,
-                Outcome::Refused(Reason::UpstreamDown, None),
+                AttemptOutcome::Refused(Reason::UpstreamDown, None),
                 Millis(0),
             );
         },
@@ -107,7 +107,7 @@
     },
     Case {
         name: "failed",
-        edit: |r, up| r.ended(up, None, Outcome::Failed, Millis(0)),
+        edit: |r, up| r.ended(up, None, AttemptOutcome::Failed, Millis(0)),
         goes_on: true,
     },
     Case {
