--- a/crates/entry/src/directory/mod.rs
+++ b/crates/entry/src/directory/mod.rs
@@ -86,7 +86,7 @@
     pub(crate) fn best_pool(&mut self, pools: Vec<PoolId>) -> Option<PoolId> {
         let mut best: Option<(usize, PoolId)> = None;
         for pool in pools {
-            let count = self.router.usable(self.names.pool(&pool));
+            let count = self.router.usable_count(self.names.pool(&pool));
             if best.as_ref().is_none_or(|(most, _)| count > *most) {
                 best = Some((count, pool));
             }
@@ -98,7 +98,7 @@
     pub(crate) fn lora(&mut self, lora: &Lora) -> LoraIx {
         let given = self.names.lora(lora.base.as_str(), &lora.engine_name());
         if given.fresh {
-            self.router.name_lora(given.lora, lora_key(lora));
+            self.router.set_lora_key(given.lora, lora_key(lora));
         }
         given.lora
     }
@@ -111,13 +111,13 @@
         home: Option<u64>,
         now: Millis,
     ) -> Chosen {
-        let ranked = home.and_then(|home| self.router.ranked(ask, home, now));
+        let ranked = home.and_then(|home| self.router.choose_by_rank(ask, home, now));
         let choice = match ranked {
             Some(pick) => RouteDecision::Send(pick),
             None => self.router.choose(ask, now),
         };
         match choice {
-            RouteDecision::Refuse { retry } if self.router.usable(ask.pool) == 0 => {
+            RouteDecision::Refuse { retry } if self.router.usable_count(ask.pool) == 0 => {
                 Chosen::Nowhere { retry }
             }
             RouteDecision::Refuse { retry } => Chosen::Late { retry },
@@ -130,7 +130,7 @@
 
     /// Counts an attempt sent.
     pub(crate) fn sent(&mut self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) {
-        self.router.sent(up, lora, now);
+        self.router.record_send(up, lora, now);
     }
 
     /// Learns from the end of an attempt.
@@ -141,17 +141,17 @@
         outcome: AttemptOutcome,
         now: Millis,
     ) {
-        self.router.ended(up, lora, outcome, now);
+        self.router.record_outcome(up, lora, outcome, now);
     }
 
     /// Takes in load figures that came with an answer.
     pub(crate) fn heard(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
-        self.router.heard(up, load, now);
+        self.router.update_load(up, load, now);
     }
 
     /// Expected time of a load.
     pub(crate) fn set_load(&mut self, load: Millis) {
-        self.router.set_load(load);
+        self.router.set_load_time(load);
     }
 
     /// VM of an upstream, for logs.
--- a/crates/entry/src/directory/report.rs
+++ b/crates/entry/src/directory/report.rs
@@ -199,7 +199,7 @@
         }
         self.by_index[at] = Some(vm.clone());
         let up = UpstreamIx(u32::try_from(at).unwrap_or(u32::MAX));
-        self.router.name_upstream(up, upstream_key(vm));
+        self.router.set_upstream_key(up, upstream_key(vm));
         up
     }
 }
--- a/crates/entry/src/directory/vms.rs
+++ b/crates/entry/src/directory/vms.rs
@@ -97,7 +97,7 @@
         for vm in &leaving {
             if let Some(side) = self.sides.get_mut(vm) {
                 side.leaving = true;
-                self.router.leaving(side.up);
+                self.router.mark_leaving(side.up);
             }
         }
         let gone = gone.iter().filter_map(|vm| self.forget(vm)).collect();
--- a/crates/entry/src/request/settle.rs
+++ b/crates/entry/src/request/settle.rs
@@ -82,7 +82,7 @@
             Failure::Lost(_) | Failure::Mismatch { .. } => &self.shared.losses,
             _ => &self.shared.budget,
         };
-        budget.borrow_mut().retry()
+        budget.borrow_mut().try_retry()
     }
 
     fn is_repeatable(&mut self, failure: &Failure) -> bool {
--- a/crates/entry/src/start/dump.rs
+++ b/crates/entry/src/start/dump.rs
@@ -79,8 +79,8 @@
             sides: directory.dump(now),
             loras: directory.loras(),
             listed: directory.listed(),
-            retries: shared.budget.borrow().left(),
-            losses: shared.losses.borrow().left(),
+            retries: shared.budget.borrow().available(),
+            losses: shared.losses.borrow().available(),
             order: self.order(),
             open: shared.drain.open(),
         }
--- a/crates/measure/src/policy/rules/ours.rs
+++ b/crates/measure/src/policy/rules/ours.rs
@@ -107,10 +107,10 @@
     }
 
     fn sent(&mut self, up: UpstreamIx, lora: LoraIx, now: Millis) {
-        self.0.sent(up, Some(lora), now);
+        self.0.record_send(up, Some(lora), now);
     }
 
     fn ended(&mut self, up: UpstreamIx, lora: LoraIx, outcome: AttemptOutcome, now: Millis) {
-        self.0.ended(up, Some(lora), outcome, now);
+        self.0.record_outcome(up, Some(lora), outcome, now);
     }
 }
--- a/crates/measure/src/slopes/report.rs
+++ b/crates/measure/src/slopes/report.rs
@@ -100,7 +100,7 @@
 
 fn router(sides: u32) -> Router {
     let mut router = Router::new_ext(RouterOptions::default());
-    (0..ADAPTERS).for_each(|n| router.name_lora(LoraIx(n), u64::from(n) + 1));
+    (0..ADAPTERS).for_each(|n| router.set_lora_key(LoraIx(n), u64::from(n) + 1));
     (0..sides).for_each(|side| hear(&mut router, side, true));
     router
 }
--- a/crates/measure/src/slopes/split.rs
+++ b/crates/measure/src/slopes/split.rs
@@ -111,7 +111,7 @@
     for side in 0..SIDES {
         let up = UpstreamIx(side);
         let vm = VmId::from(format!("centre-01-service-{side:05}"));
-        router.name_upstream(up, upstream_key(&vm));
+        router.set_upstream_key(up, upstream_key(&vm));
         router.report(up, POOL, &figures, None, None, Millis(0));
     }
     router
@@ -126,6 +126,6 @@
         tried: &[],
     };
     let key = part_key(&PoolId::from("service-0001"), part);
-    let pick = router.ranked(&ask, key, Millis(0));
+    let pick = router.choose_by_rank(&ask, key, Millis(0));
     pick.map_or(0, |p| p.up.0)
 }
--- a/crates/policy/benches/router_cost/cost.rs
+++ b/crates/policy/benches/router_cost/cost.rs
@@ -112,8 +112,8 @@
     time(|n| {
         let lora = Some(trace[n as usize]);
         if let RouteDecision::Send(pick) = router.choose(&ask(lora), Millis(1)) {
-            router.sent(pick.up, lora, Millis(1));
-            router.ended(pick.up, lora, AttemptOutcome::Completed, Millis(1));
+            router.record_send(pick.up, lora, Millis(1));
+            router.record_outcome(pick.up, lora, AttemptOutcome::Completed, Millis(1));
         }
     })
 }
--- a/crates/policy/benches/router_cost/homes.rs
+++ b/crates/policy/benches/router_cost/homes.rs
@@ -67,7 +67,7 @@
     let mut router = Router::new_ext(options);
     let figures = figures(&mut rng(1));
     for up in (0..SIZE.upstreams).map(UpstreamIx) {
-        router.name_upstream(up, key(up.0));
+        router.set_upstream_key(up, key(up.0));
         router.report(up, POOL, &figures, Some(&[]), None, Millis(0));
     }
     router
--- a/crates/policy/benches/router_cost/memory.rs
+++ b/crates/policy/benches/router_cost/memory.rs
@@ -47,7 +47,7 @@
 /// Router with names.
 fn full(size: Size) -> Router {
     let mut router = router(size, RouterOptions::default());
-    (0..size.loras).for_each(|l| router.name_lora(LoraIx(l), u64::from(l) + 1));
+    (0..size.loras).for_each(|l| router.set_lora_key(LoraIx(l), u64::from(l) + 1));
     router
 }
 
--- a/crates/policy/benches/router_trial/trial.rs
+++ b/crates/policy/benches/router_trial/trial.rs
@@ -162,7 +162,7 @@
             at: now,
             tried,
         });
-        self.budgets[entry].request();
+        self.budgets[entry].record_request();
         self.tally.requests += 1;
         self.send(self.requests.len() - 1, now);
         let u: f64 = self.rng.random_range(1e-9..1.0);
@@ -189,7 +189,7 @@
             self.tally.failed += 1;
             return;
         };
-        self.routers[entry].sent(pick.up, Some(lora), Millis(now));
+        self.routers[entry].record_send(pick.up, Some(lora), Millis(now));
         let up = pick.up.0;
         self.tally.hits += u64::from(self.frozen(up, now));
         let attempt = self.attempts.len();
@@ -220,7 +220,7 @@
         }
         self.attempts[attempt].begun = true;
         let r = &self.requests[self.attempts[attempt].request];
-        self.routers[r.entry].answering(UpstreamIx(up), Millis(now));
+        self.routers[r.entry].record_answer_start(UpstreamIx(up), Millis(now));
         if COUNTED.contains(&r.at) {
             self.tally.waits.push(now - r.at);
         }
@@ -242,7 +242,7 @@
         self.begin(up, now);
         let r = &mut self.requests[request];
         r.tried.push(UpstreamIx(up));
-        if self.budgets[r.entry].retry() {
+        if self.budgets[r.entry].try_retry() {
             self.send(request, now);
         } else {
             self.tally.failed += 1;
@@ -255,7 +255,7 @@
         let r = &self.requests[a.request];
         let up = UpstreamIx(a.up);
         self.engines[a.up as usize].remove(attempt);
-        self.routers[r.entry].ended(up, Some(r.lora), outcome, Millis(now));
+        self.routers[r.entry].record_outcome(up, Some(r.lora), outcome, Millis(now));
     }
 
     fn report(&mut self, up: u32, now: u64) {
@@ -271,7 +271,7 @@
         let (resident, loading) = (engine.resident(now), engine.loading(now));
         let queued = self.store.free.saturating_sub(now);
         for router in &mut self.routers {
-            router.set_load(Millis(queued + self.store.load));
+            router.set_load_time(Millis(queued + self.store.load));
             let at = Millis(now + LAG);
             let ix = UpstreamIx(up);
             router.report(ix, POOL, &engine.figures(), Some(&resident), loading, at);
--- a/crates/policy/src/router/budget.rs
+++ b/crates/policy/src/router/budget.rs
@@ -37,7 +37,7 @@
     }
 
     /// Counts a request's first attempt.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         let most = u64::from(self.options.burst) * TOKEN;
         let grown = self.parts + u64::from(self.options.percent);
         self.parts = grown.min(most);
@@ -45,7 +45,7 @@
 
     /// Takes a token for a retry, if there is one.
     #[must_use]
-    pub fn retry(&mut self) -> bool {
+    pub fn try_retry(&mut self) -> bool {
         let Some(rest) = self.parts.checked_sub(TOKEN) else {
             return false;
         };
@@ -55,7 +55,7 @@
 
     /// Retries at hand.
     #[must_use]
-    pub fn left(&self) -> u64 {
+    pub fn available(&self) -> u64 {
         self.parts / TOKEN
     }
 }
--- a/crates/policy/src/router/choose.rs
+++ b/crates/policy/src/router/choose.rs
@@ -66,7 +66,12 @@
 
     /// Expected wait at one upstream, whether or not it may get work; `None` if it is not known.
     #[must_use]
-    pub fn expected(&self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) -> Option<Millis> {
+    pub fn expected_wait(
+        &self,
+        up: UpstreamIx,
+        lora: Option<LoraIx>,
+        now: Millis,
+    ) -> Option<Millis> {
         let (wait, _) = self.wait_us(up, lora, now)?;
         Some(Millis(wait.div_ceil(MICROS)))
     }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -74,13 +74,13 @@
     }
 
     /// Gives an upstream its key, see [`upstream_key`]; without one, entries don't agree on homes.
-    pub fn name_upstream(&mut self, up: UpstreamIx, key: u64) {
+    pub fn set_upstream_key(&mut self, up: UpstreamIx, key: u64) {
         self.upstream(up);
         self.change(up, |u| u.key = key);
     }
 
     /// Gives an adapter its key, see [`lora_key`]; without one, entries don't agree on its homes.
-    pub fn name_lora(&mut self, lora: LoraIx, key: u64) {
+    pub fn set_lora_key(&mut self, lora: LoraIx, key: u64) {
         let at = lora.0 as usize;
         if at >= self.loras.len() {
             self.loras.resize(at + 1, 0);
@@ -89,7 +89,7 @@
     }
 
     /// Sets the time that a load is expected to take now.
-    pub fn set_load(&mut self, load: Millis) {
+    pub fn set_load_time(&mut self, load: Millis) {
         self.load = load;
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Gives an upstream no new work from now on, whatever its reports say, until it is forgotten.
-    pub fn leaving(&mut self, up: UpstreamIx) {
+    pub fn mark_leaving(&mut self, up: UpstreamIx) {
         self.upstream(up);
         self.change(up, |u| u.leaving = true);
     }
@@ -164,7 +164,7 @@
 
     /// Upstreams of a pool that may get work, suspect ones included.
     #[must_use]
-    pub fn usable(&self, pool: PoolIx) -> usize {
+    pub fn usable_count(&self, pool: PoolIx) -> usize {
         self.pools.get(pool.0 as usize).map_or(0, Pool::usable)
     }
 
--- a/crates/policy/src/router/options.rs
+++ b/crates/policy/src/router/options.rs
@@ -13,7 +13,7 @@
     pub homes: usize,
     /// Points of each upstream on the hash ring; the same at every entry.
     pub points: u64,
-    /// Expected time to load an adapter, until [`Router::set_load`](super::Router::set_load).
+    /// Expected time to load an adapter, until [`Router::set_load_time`](super::Router::set_load_time).
     pub load: Millis,
     /// Time by which a new copy must beat the copies there are.
     pub spread: Millis,
--- a/crates/policy/src/router/outcome.rs
+++ b/crates/policy/src/router/outcome.rs
@@ -10,7 +10,7 @@
 
 impl Router {
     /// Counts an attempt sent to `up`.
-    pub fn sent(&mut self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) {
+    pub fn record_send(&mut self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) {
         if !self.reported(up) {
             return;
         }
@@ -26,7 +26,7 @@
     }
 
     /// Takes in load figures that came with an answer or a refusal.
-    pub fn heard(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
+    pub fn update_load(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
         let lag = self.options.lag;
         if self.reported(up) {
             let upstream = &mut self.upstreams[up.0 as usize];
@@ -37,7 +37,7 @@
     }
 
     /// Learns that an answer of `up` has begun.
-    pub fn answering(&mut self, up: UpstreamIx, now: Millis) {
+    pub fn record_answer_start(&mut self, up: UpstreamIx, now: Millis) {
         if self.reported(up) {
             self.upstreams[up.0 as usize].demotion = Demotion::default();
             self.alive(up, now);
@@ -45,7 +45,7 @@
     }
 
     /// Learns from the end of an attempt at `up`.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         up: UpstreamIx,
         lora: Option<LoraIx>,
@@ -54,13 +54,13 @@
     ) {
         if !self.reported(up) {
             if matches!(outcome, AttemptOutcome::Refused(Reason::Leaving, _)) {
-                self.leaving(up);
+                self.mark_leaving(up);
             }
             return;
         }
         self.upstreams[up.0 as usize].note_end();
         match outcome {
-            AttemptOutcome::Completed => self.answering(up, now),
+            AttemptOutcome::Completed => self.record_answer_start(up, now),
             AttemptOutcome::Refused(reason, load) => {
                 self.alive(up, now);
                 self.refused(up, lora, reason, load, now);
@@ -98,11 +98,11 @@
         now: Millis,
     ) {
         if let Some(load) = load {
-            self.heard(up, load, now);
+            self.update_load(up, load, now);
         }
         let service = self.options.service;
         match reason {
-            Reason::Leaving => self.leaving(up),
+            Reason::Leaving => self.mark_leaving(up),
             Reason::UpstreamDown | Reason::WrongPool => self.change(up, |u| u.suspect = true),
             Reason::LoadFailed => self.change(up, |u| drop_coming(u, lora)),
             Reason::Overloaded if load.is_none() => {
--- a/crates/policy/src/router/prefix.rs
+++ b/crates/policy/src/router/prefix.rs
@@ -37,7 +37,7 @@
 impl Router {
     /// Holder at which the turns of a conversation meet, whatever entry they come to.
     #[must_use]
-    pub fn meeting(&self, pool: PoolIx, lora: LoraIx, root: u64) -> Option<UpstreamIx> {
+    pub fn affinity_holder(&self, pool: PoolIx, lora: LoraIx, root: u64) -> Option<UpstreamIx> {
         let pool = self.pools.get(pool.0 as usize)?;
         let holders = pool.holders.of(lora);
         if holders.len() > COMPARED {
@@ -58,7 +58,7 @@
         };
         let tokens = u64::from(prompt.earlier) + u64::from(first);
         Aim {
-            meeting: self.meeting(pool, lora, prompt.root),
+            meeting: self.affinity_holder(pool, lora, prompt.root),
             saved: tokens * self.options.prefill_us,
         }
     }
--- a/crates/policy/src/router/rank.rs
+++ b/crates/policy/src/router/rank.rs
@@ -16,7 +16,12 @@
     /// all entries that hear of the same upstreams choose the same. `None` if the wait is too long
     /// at each.
     #[must_use]
-    pub fn ranked(&self, ask: &RouteQuery<'_>, home: u64, now: Millis) -> Option<SelectedUpstream> {
+    pub fn choose_by_rank(
+        &self,
+        ask: &RouteQuery<'_>,
+        home: u64,
+        now: Millis,
+    ) -> Option<SelectedUpstream> {
         let pool = self.pools.get(ask.pool.0 as usize)?;
         let open = pool.fresh.iter().filter(|u| !ask.tried.contains(u));
         let ready = open.filter(|u| self.class(ask, **u, now) == Some(Class::Ready));
--- a/crates/policy/tests/router_budget.rs
+++ b/crates/policy/tests/router_budget.rs
@@ -14,9 +14,9 @@
         let mut budget = RetryBudget::new_ext(RetryBudgetOptions { percent, burst });
         let (mut seen, mut retried) = (0, 0);
         for (n, &request) in requests.iter().enumerate() {
-            let granted = !request && budget.retry();
+            let granted = !request && budget.try_retry();
             if request {
-                budget.request();
+                budget.record_request();
             }
             if n >= from {
                 seen += u32::from(request);
@@ -30,8 +30,8 @@
     fn steady_failures_get_their_share(percent in 1..100_u32, burst in 2..20_u32) {
         let mut budget = RetryBudget::new_ext(RetryBudgetOptions { percent, burst });
         let granted = (0..1_000).filter(|_| {
-            budget.request();
-            budget.retry()
+            budget.record_request();
+            budget.try_retry()
         });
         let granted = u32::try_from(granted.count()).unwrap();
         prop_assert!(granted >= 10 * percent);
--- a/crates/policy/tests/router_cases.rs
+++ b/crates/policy/tests/router_cases.rs
@@ -229,24 +229,29 @@
 
 fn apply(router: &mut Router, then: Then, now: Millis) {
     match then {
-        Then::Leaving(up) => router.leaving(UpstreamIx(up)),
+        Then::Leaving(up) => router.mark_leaving(UpstreamIx(up)),
         Then::Forget(up) => router.forget(UpstreamIx(up)),
         Then::Sent(up, times) => {
-            (0..times).for_each(|_| router.sent(UpstreamIx(up), Some(LORA), now));
+            (0..times).for_each(|_| router.record_send(UpstreamIx(up), Some(LORA), now));
         }
-        Then::Ended(up, outcome) => router.ended(UpstreamIx(up), Some(LORA), outcome, now),
+        Then::Ended(up, outcome) => router.record_outcome(UpstreamIx(up), Some(LORA), outcome, now),
         Then::Expire(at) => drop(router.expire(Millis(at))),
         Then::Restarted(up) => {
             let figures = figures(Idle, 0);
             router.report(UpstreamIx(up), POOL, &figures, Some(&[]), None, now);
         }
-        Then::Answering(up) => router.answering(UpstreamIx(up), now),
+        Then::Answering(up) => router.record_answer_start(UpstreamIx(up), now),
     }
 }
 
 /// Prompt of a conversation that meets at an upstream.
 fn prompt_for(router: &Router, at: usize) -> PromptAffinity {
-    let meets = |root: &u64| router.meeting(POOL, LORA, *root).map(|up| up.0 as usize) == Some(at);
+    let meets = |root: &u64| {
+        router
+            .affinity_holder(POOL, LORA, *root)
+            .map(|up| up.0 as usize)
+            == Some(at)
+    };
     let root = (0..1_000)
         .find(meets)
         .expect("a conversation that meets there");
--- a/crates/policy/tests/router_homes.rs
+++ b/crates/policy/tests/router_homes.rs
@@ -31,12 +31,12 @@
     };
     let mut router = Router::new_ext(options);
     for (ix, vm) in (0..).map(UpstreamIx).zip(vms) {
-        router.name_upstream(ix, upstream_key(&VmId::from(format!("vm-{vm}"))));
+        router.set_upstream_key(ix, upstream_key(&VmId::from(format!("vm-{vm}"))));
         router.report(ix, POOL, &figures(0), Some(&[]), None, Millis(0));
     }
     for lora in 0..LORAS {
         let key = lora_key(&Lora::new("base", &format!("adapter-{lora}"), "v1"));
-        router.name_lora(LoraIx(lora + shift), key);
+        router.set_lora_key(LoraIx(lora + shift), key);
     }
     router
 }
@@ -87,14 +87,14 @@
     let vms = [0, 1];
     let mut router = entry(1, &vms, 0);
     let (up, lora) = (UpstreamIx(0), Some(LoraIx(0)));
-    let wait = |r: &Router, now| r.expected(up, None, now);
+    let wait = |r: &Router, now| r.expected_wait(up, None, now);
     let idle = wait(&router, Millis(0));
-    (0..20).for_each(|_| router.sent(up, lora, Millis(1_000)));
+    (0..20).for_each(|_| router.record_send(up, lora, Millis(1_000)));
     let busy = wait(&router, Millis(1_000));
     assert!(busy > idle);
-    router.heard(up, figures(0).load, Millis(1_050));
+    router.update_load(up, figures(0).load, Millis(1_050));
     assert_eq!(wait(&router, Millis(1_050)), busy);
-    router.heard(up, figures(0).load, Millis(1_101));
+    router.update_load(up, figures(0).load, Millis(1_101));
     assert_eq!(wait(&router, Millis(1_101)), idle);
 }
 
@@ -124,7 +124,11 @@
         let resident: &[LoraIx] = if holds { &[LoraIx(0)] } else { &[] };
         router.report(ix, POOL, &figures(0), Some(resident), None, Millis(0));
     }
-    let meeting = |root| router.meeting(POOL, LoraIx(0), root).expect("a holder");
+    let meeting = |root| {
+        router
+            .affinity_holder(POOL, LoraIx(0), root)
+            .expect("a holder")
+    };
     let vm = |up: UpstreamIx| vms[up.0 as usize];
     (0..ROOTS)
         .map(|root| vm(meeting(root.wrapping_mul(0x9E37_79B9_7F4A_7C15))))
--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -264,7 +264,7 @@
     let o = RouterOptions::default();
     let meets = |p: PromptAffinity| {
         router
-            .meeting(ask.pool, ask.lora?, p.root)
+            .affinity_holder(ask.pool, ask.lora?, p.root)
             .map(|up| (up, p.earlier))
     };
     let meeting = ask
@@ -275,7 +275,7 @@
     let saved = Millis((tokens * o.prefill_us).div_ceil(1_000));
     let waits = ups
         .iter()
-        .map(|&u| router.expected(u, ask.lora, now).unwrap());
+        .map(|&u| router.expected_wait(u, ask.lora, now).unwrap());
     Some(waits.min()? + o.spread + o.slack + saved)
 }
 
@@ -291,7 +291,7 @@
     let holding = open.iter().map(|o| o.1).filter(|u| naive.holds(u.0, lora));
     let holding: Vec<_> = holding.collect();
     prop_assert_eq!(router.holders(ask.pool, lora), &holding[..]);
-    let meeting = router.meeting(ask.pool, lora, at);
+    let meeting = router.affinity_holder(ask.pool, lora, at);
     prop_assert_eq!(meeting.is_some(), !holding.is_empty());
     prop_assert!(meeting.is_none_or(|up| holding.contains(&up)));
     Ok(())
@@ -318,7 +318,7 @@
         tried,
     };
     let mut open = naive.open(*pool, at, &o);
-    prop_assert_eq!(router.usable(ask.pool), open.len());
+    prop_assert_eq!(router.usable_count(ask.pool), open.len());
     if let Some(lora) = *lora {
         check_holders(router, naive, &ask, lora, &open, at)?;
     }
@@ -334,7 +334,7 @@
     };
     prop_assert_eq!(naive.rank(pick.up.0, at, &o), best);
     prop_assert!(open.iter().any(|o| o.1 == pick.up));
-    prop_assert_eq!(Some(pick.wait), router.expected(pick.up, *lora, now));
+    prop_assert_eq!(Some(pick.wait), router.expected_wait(pick.up, *lora, now));
     let resident = lora.is_none_or(|l| naive.ups[&pick.up.0].resident.contains(&l));
     prop_assert_eq!(pick.resident, resident);
     let homes = lora.map_or_else(Vec::new, |l| router.homes(ask.pool, l));
@@ -350,7 +350,7 @@
         RouteDecision::Refuse { retry } => prop_assert!(retry >= o.retry),
     }
     if *send {
-        router.sent(pick.up, *lora, now);
+        router.record_send(pick.up, *lora, now);
         naive.sent(pick.up.0, *lora, at);
     }
     Ok(())
@@ -375,10 +375,10 @@
                 now,
             );
         }
-        Op::Leaving(up) => router.leaving(UpstreamIx(*up)),
+        Op::Leaving(up) => router.mark_leaving(UpstreamIx(*up)),
         Op::Forget(up) => router.forget(UpstreamIx(*up)),
         Op::Expire => drop(router.expire(now)),
-        Op::Ended(up, outcome) => router.ended(UpstreamIx(*up), None, *outcome, now),
+        Op::Ended(up, outcome) => router.record_outcome(UpstreamIx(*up), None, *outcome, now),
         Op::Choose { .. } => {}
     }
 }
--- a/crates/policy/tests/router_rank.rs
+++ b/crates/policy/tests/router_rank.rs
@@ -29,7 +29,7 @@
 fn entry(vms: &[u32]) -> Router {
     let mut router = Router::new_ext(RouterOptions::default());
     for (ix, vm) in (0..).map(UpstreamIx).zip(vms) {
-        router.name_upstream(ix, upstream_key(&VmId::from(format!("vm-{vm}"))));
+        router.set_upstream_key(ix, upstream_key(&VmId::from(format!("vm-{vm}"))));
         router.report(ix, POOL, &figures(0), None, None, Millis(0));
     }
     router
@@ -47,7 +47,7 @@
 
 fn home(router: &Router, part: u32, tried: &[UpstreamIx]) -> Option<UpstreamIx> {
     let key = part_key(&"booking".into(), part);
-    let pick = router.ranked(&ask(tried), key, Millis(0));
+    let pick = router.choose_by_rank(&ask(tried), key, Millis(0));
     pick.map(|p| p.up)
 }
 
@@ -90,13 +90,13 @@
     },
     Case {
         name: "leaving",
-        edit: |r, up| r.leaving(up),
+        edit: |r, up| r.mark_leaving(up),
         goes_on: true,
     },
     Case {
         name: "upstream down",
         edit: |r, up| {
-            r.ended(
+            r.record_outcome(
                 up,
                 None,
                 AttemptOutcome::Refused(Reason::UpstreamDown, None),
@@ -107,7 +107,7 @@
     },
     Case {
         name: "failed",
-        edit: |r, up| r.ended(up, None, AttemptOutcome::Failed, Millis(0)),
+        edit: |r, up| r.record_outcome(up, None, AttemptOutcome::Failed, Millis(0)),
         goes_on: true,
     },
     Case {
