--- a/crates/entry/src/directory/mod.rs
+++ b/crates/entry/src/directory/mod.rs
@@ -117,10 +117,12 @@
             None => self.router.choose(ask, now),
         };
         match choice {
-            RouteDecision::Refuse { retry } if self.router.usable_count(ask.pool) == 0 => {
+            RouteDecision::Refuse { retry_after: retry }
+                if self.router.usable_count(ask.pool) == 0 =>
+            {
                 Chosen::Nowhere { retry }
             }
-            RouteDecision::Refuse { retry } => Chosen::Late { retry },
+            RouteDecision::Refuse { retry_after: retry } => Chosen::Late { retry },
             RouteDecision::Send(pick) => match self.destination(pick.up) {
                 Some(destination) => Chosen::Send(destination),
                 None => Chosen::Nowhere { retry: Millis(0) },
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -87,7 +87,7 @@
             pool: self.job.resolved.pool_ix,
             lora: self.job.resolved.lora_ix,
             prompt: self.job.prompt,
-            left,
+            time_left: left,
             tried: &self.history.tried,
         };
         let now = self.timer().now();
--- a/crates/entry/src/request/prompt.rs
+++ b/crates/entry/src/request/prompt.rs
@@ -11,7 +11,7 @@
     let thread = chat.thread(seed);
     let earlier = thread.earlier / TOKEN;
     PromptAffinity {
-        root: thread.root,
-        earlier: u32::try_from(earlier).unwrap_or(u32::MAX),
+        conversation_hash: thread.root,
+        earlier_tokens: u32::try_from(earlier).unwrap_or(u32::MAX),
     }
 }
--- a/crates/measure/src/policy/replay/prompt.rs
+++ b/crates/measure/src/policy/replay/prompt.rs
@@ -12,8 +12,8 @@
     pub(super) fn prompt(&self, call: Call) -> Option<PromptAffinity> {
         let talk = &self.trace.asks[call.ask].talk;
         self.shape.prefix.map(|_| PromptAffinity {
-            root: talk.root,
-            earlier: talk.earlier,
+            conversation_hash: talk.root,
+            earlier_tokens: talk.earlier,
         })
     }
 
--- a/crates/measure/src/policy/rules/ours.rs
+++ b/crates/measure/src/policy/rules/ours.rs
@@ -76,8 +76,8 @@
         let usual = RouterOptions::default();
         let options = RouterOptions {
             seed: u64::from(entry),
-            load: LOAD,
-            first: shape.first.or(usual.first).filter(|_| meets),
+            load_time: LOAD,
+            affinity_tokens: shape.first.or(usual.affinity_tokens).filter(|_| meets),
             ..usual
         };
         let mut router = Router::new_ext(options);
@@ -97,12 +97,12 @@
             pool: POOL,
             lora: Some(question.lora),
             prompt: question.prompt,
-            left: question.left,
+            time_left: question.left,
             tried: question.tried,
         };
         match self.0.choose(&ask, now) {
             RouteDecision::Send(pick) => Ok(pick.up),
-            RouteDecision::Refuse { retry } => Err(retry),
+            RouteDecision::Refuse { retry_after: retry } => Err(retry),
         }
     }
 
--- a/crates/measure/src/slopes/split.rs
+++ b/crates/measure/src/slopes/split.rs
@@ -122,7 +122,7 @@
         pool: POOL,
         lora: None,
         prompt: None,
-        left: Millis(5_000),
+        time_left: Millis(5_000),
         tried: &[],
     };
     let key = part_key(&PoolId::from("service-0001"), part);
--- a/crates/policy/benches/router_cost/cost.rs
+++ b/crates/policy/benches/router_cost/cost.rs
@@ -87,10 +87,10 @@
         pool: POOL,
         lora,
         prompt: lora.map(|l| PromptAffinity {
-            root: u64::from(l.0),
-            earlier: 800,
+            conversation_hash: u64::from(l.0),
+            earlier_tokens: 800,
         }),
-        left: Millis(30_000),
+        time_left: Millis(30_000),
         tried: &[UpstreamIx(0)],
     }
 }
--- a/crates/policy/benches/router_cost/homes.rs
+++ b/crates/policy/benches/router_cost/homes.rs
@@ -44,8 +44,8 @@
 
 fn ring(points: u64, homes: usize) {
     let options = RouterOptions {
-        points,
-        homes,
+        ring_points: points,
+        home_candidates: homes,
         ..RouterOptions::default()
     };
     let whole = named(options);
--- a/crates/policy/benches/router_trial/main.rs
+++ b/crates/policy/benches/router_trial/main.rs
@@ -98,10 +98,16 @@
 /// One setting changed at a time.
 fn settings() -> [(&'static str, RouterOptions); 8] {
     let base = RouterOptions::default();
-    let holders = |holders| RouterOptions { holders, ..base };
-    let homes = |homes| RouterOptions { homes, ..base };
+    let holders = |holders| RouterOptions {
+        holder_candidates: holders,
+        ..base
+    };
+    let homes = |homes| RouterOptions {
+        home_candidates: homes,
+        ..base
+    };
     let spread = |ms| RouterOptions {
-        spread: Millis(ms),
+        copy_margin: Millis(ms),
         ..base
     };
     [
@@ -119,9 +125,9 @@
 /// No demotion, the rule of one header timeout, and what was tried beyond it.
 fn demotions() -> [(&'static str, RouterOptions); 5] {
     let demoted = |demote: Option<u64>, most: u64, probe| RouterOptions {
-        demote: demote.map(Millis),
-        demote_most: Millis(most),
-        probe,
+        initial_demotion: demote.map(Millis),
+        max_demotion: Millis(most),
+        single_probe: probe,
         ..RouterOptions::default()
     };
     let long = 8 * HEADER;
--- a/crates/policy/benches/router_trial/trial.rs
+++ b/crates/policy/benches/router_trial/trial.rs
@@ -93,7 +93,7 @@
             let load = Millis(site.load);
             let options = RouterOptions {
                 seed,
-                load,
+                load_time: load,
                 ..options
             };
             Router::new_ext(options)
@@ -182,7 +182,7 @@
             pool: POOL,
             lora: Some(lora),
             prompt: None,
-            left: Millis((r.at + DEADLINE).saturating_sub(now)),
+            time_left: Millis((r.at + DEADLINE).saturating_sub(now)),
             tried: &r.tried,
         };
         let RouteDecision::Send(pick) = self.routers[entry].choose(&ask, Millis(now)) else {
--- a/crates/policy/src/router/ask.rs
+++ b/crates/policy/src/router/ask.rs
@@ -26,7 +26,7 @@
     /// Prompt, of a chat.
     pub prompt: Option<PromptAffinity>,
     /// Time left until the caller's deadline.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Upstreams that this request was sent to before; never chosen again.
     pub tried: &'a [UpstreamIx],
 }
@@ -50,7 +50,7 @@
     /// Nowhere to send it to in time.
     Refuse {
         /// When to come back.
-        retry: Millis,
+        retry_after: Millis,
     },
 }
 
--- a/crates/policy/src/router/choose.rs
+++ b/crates/policy/src/router/choose.rs
@@ -49,13 +49,13 @@
     pub fn choose(&mut self, ask: &RouteQuery<'_>, now: Millis) -> RouteDecision {
         let scored = self.candidates(ask, now);
         let Some(best) = self.best(&scored) else {
-            let retry = self.options.retry;
-            return RouteDecision::Refuse { retry };
+            let retry = self.options.retry_after;
+            return RouteDecision::Refuse { retry_after: retry };
         };
         let wait = Millis(best.wait.div_ceil(MICROS));
-        if wait.0 / LATE > ask.left.0 {
-            let retry = wait.since(ask.left).max(self.options.retry);
-            return RouteDecision::Refuse { retry };
+        if wait.0 / LATE > ask.time_left.0 {
+            let retry = wait.since(ask.time_left).max(self.options.retry_after);
+            return RouteDecision::Refuse { retry_after: retry };
         }
         RouteDecision::Send(SelectedUpstream {
             up: best.up,
@@ -95,8 +95,8 @@
         };
         let mut draw = self.draw;
         let holders = pool.holders.of(lora);
-        let mut near = self.walk(ask, holders, self.options.holders, &mut draw, now);
-        near.extend(pool.homes(lora, self.lora_key(lora), self.options.homes));
+        let mut near = self.walk(ask, holders, self.options.holder_candidates, &mut draw, now);
+        near.extend(pool.homes(lora, self.lora_key(lora), self.options.home_candidates));
         self.draw = draw;
         near
     }
@@ -161,7 +161,7 @@
         let class = self.class(ask, up, now)?;
         let (wait, hold) = self.wait_us(up, ask.lora, now)?;
         let margin = match hold {
-            Hold::Absent => self.options.spread.0 * MICROS,
+            Hold::Absent => self.options.copy_margin.0 * MICROS,
             Hold::Resident | Hold::Coming(_) => 0,
         };
         let saved = self.saved_us(up, hold, aim);
@@ -215,7 +215,7 @@
         if best.hold != Hold::Absent {
             return Some(*best);
         }
-        let most = best.cost + signed(self.options.slack.0 * MICROS);
+        let most = best.cost + signed(self.options.home_margin.0 * MICROS);
         let alike = |s: &&Scored| s.class == best.class && s.hold == Hold::Absent && s.cost <= most;
         scored.iter().find(alike).copied()
     }
--- a/crates/policy/src/router/demotion.rs
+++ b/crates/policy/src/router/demotion.rs
@@ -21,7 +21,7 @@
 impl Demotion {
     /// Whether the upstream stands behind its peers.
     pub(super) fn holds(&self, now: Millis, options: &RouterOptions) -> bool {
-        let probed = |at: Millis| options.probe && now.since(at) < options.demote_most;
+        let probed = |at: Millis| options.single_probe && now.since(at) < options.max_demotion;
         self.until > now || self.probe.is_some_and(probed)
     }
 
@@ -34,7 +34,7 @@
 
     /// Notes an attempt that ended without an answer; attempts of one time count as one stall.
     pub(super) fn stall(&mut self, now: Millis, options: &RouterOptions) {
-        let Some(span) = options.demote else {
+        let Some(span) = options.initial_demotion else {
             return;
         };
         if self.until <= now {
@@ -42,7 +42,7 @@
         }
         self.probe = None;
         let times = 1_u64 << (self.stalls - 1).min(32);
-        let span = span.0.saturating_mul(times).min(options.demote_most.0);
+        let span = span.0.saturating_mul(times).min(options.max_demotion.0);
         self.until = self.until.max(now + Millis(span));
     }
 }
--- a/crates/policy/src/router/estimate.rs
+++ b/crates/policy/src/router/estimate.rs
@@ -28,7 +28,7 @@
     if load.waiting > 0 && load.wait_ms > 0 {
         return u64::from(load.wait_ms) * MICROS / u64::from(load.waiting);
     }
-    options.service.0 * MICROS / u64::from(load.batch.max(1))
+    options.service_time.0 * MICROS / u64::from(load.batch.max(1))
 }
 
 /// Wait for the adapter, microseconds.
@@ -52,5 +52,5 @@
 /// Wait for a slot, where each holds an adapter in use.
 fn slot_wait(up: &Upstream, options: &RouterOptions) -> Millis {
     let full = up.load.slots > 0 && up.load.spare == 0;
-    Millis(if full { options.service.0 / 2 } else { 0 })
+    Millis(if full { options.service_time.0 / 2 } else { 0 })
 }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -64,7 +64,7 @@
     pub fn new_ext(options: RouterOptions) -> Self {
         Self {
             options,
-            load: options.load,
+            load: options.load_time,
             pack: Millis(0),
             draw: Draw::new(options.seed),
             upstreams: Vec::new(),
@@ -95,7 +95,7 @@
 
     /// Sets the deployment's weights; full batches weigh nothing until then.
     pub fn set_weights(&mut self, weights: Weights) {
-        self.pack = weights.for_batch(self.options.pack);
+        self.pack = weights.for_batch(self.options.idle_penalty);
     }
 
     /// Takes in a report; `resident` is `None` if unchanged.
@@ -108,7 +108,7 @@
         loading: Option<LoraIx>,
         now: Millis,
     ) {
-        let lag = self.options.lag;
+        let lag = self.options.report_lag;
         let late = lag + self.load + self.load;
         self.pool(pool);
         self.upstream(up);
@@ -152,10 +152,10 @@
                 continue;
             };
             let age = now.since(seen);
-            if age > self.options.forget {
+            if age > self.options.forget_after {
                 self.forget(up);
                 forgotten.push(up);
-            } else if age > self.options.suspect && !upstream.suspect {
+            } else if age > self.options.suspect_after && !upstream.suspect {
                 self.change(up, |u| u.suspect = true);
             }
         }
@@ -180,7 +180,9 @@
     pub fn homes(&self, pool: PoolIx, lora: LoraIx) -> Vec<UpstreamIx> {
         let key = self.lora_key(lora);
         let pool = self.pools.get(pool.0 as usize);
-        pool.map_or_else(Vec::new, |p| p.homes(lora, key, self.options.homes))
+        pool.map_or_else(Vec::new, |p| {
+            p.homes(lora, key, self.options.home_candidates)
+        })
     }
 
     fn lora_key(&self, lora: LoraIx) -> u64 {
@@ -193,7 +195,7 @@
     fn pool(&mut self, pool: PoolIx) {
         let at = pool.0 as usize;
         if at >= self.pools.len() {
-            let points = self.options.points;
+            let points = self.options.ring_points;
             self.pools.resize_with(at + 1, || Pool::new(points));
         }
     }
--- a/crates/policy/src/router/outcome.rs
+++ b/crates/policy/src/router/outcome.rs
@@ -27,7 +27,7 @@
 
     /// Takes in load figures that came with an answer or a refusal.
     pub fn update_load(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
-        let lag = self.options.lag;
+        let lag = self.options.report_lag;
         if self.reported(up) {
             let upstream = &mut self.upstreams[up.0 as usize];
             upstream.load = load;
@@ -100,7 +100,7 @@
         if let Some(load) = load {
             self.update_load(up, load, now);
         }
-        let service = self.options.service;
+        let service = self.options.service_time;
         match reason {
             Reason::Leaving => self.mark_leaving(up),
             Reason::UpstreamDown | Reason::WrongPool => self.change(up, |u| u.suspect = true),
--- a/crates/policy/src/router/prefix.rs
+++ b/crates/policy/src/router/prefix.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptAffinity {
     /// Hash that all turns of a conversation share, of its first messages and the adapter's version.
-    pub root: u64,
+    pub conversation_hash: u64,
     /// Tokens of its earlier turns, about; 0 in a first one.
-    pub earlier: u32,
+    pub earlier_tokens: u32,
 }
 
 /// What a choice aims at beside a short wait.
@@ -53,12 +53,13 @@
         lora: Option<LoraIx>,
         prompt: Option<PromptAffinity>,
     ) -> Aim {
-        let (Some(lora), Some(prompt), Some(first)) = (lora, prompt, self.options.first) else {
+        let (Some(lora), Some(prompt), Some(first)) = (lora, prompt, self.options.affinity_tokens)
+        else {
             return Aim::default();
         };
-        let tokens = u64::from(prompt.earlier) + u64::from(first);
+        let tokens = u64::from(prompt.earlier_tokens) + u64::from(first);
         Aim {
-            meeting: self.affinity_holder(pool, lora, prompt.root),
+            meeting: self.affinity_holder(pool, lora, prompt.conversation_hash),
             saved: tokens * self.options.prefill_us,
         }
     }
--- a/crates/policy/src/router/rank.rs
+++ b/crates/policy/src/router/rank.rs
@@ -38,7 +38,7 @@
         let (wait, _) = self.wait_us(up, ask.lora, now)?;
         let wait = Millis(wait.div_ceil(MICROS));
         let resident = true;
-        (wait.0 <= ask.left.0 / SHARE).then_some(SelectedUpstream { up, wait, resident })
+        (wait.0 <= ask.time_left.0 / SHARE).then_some(SelectedUpstream { up, wait, resident })
     }
 
     pub(super) fn rank(&self, up: UpstreamIx, home: u64) -> Option<u64> {
--- a/crates/policy/tests/router_cases.rs
+++ b/crates/policy/tests/router_cases.rs
@@ -10,8 +10,8 @@
 const LORA: LoraIx = LoraIx(7);
 /// Its earlier turns and what a meeting place is worth beside make 50 ms.
 const PROMPT: PromptAffinity = PromptAffinity {
-    root: 99,
-    earlier: 800,
+    conversation_hash: 99,
+    earlier_tokens: 800,
 };
 /// Seeds of the draws that break ties.
 const SEEDS: u64 = 16;
@@ -20,7 +20,7 @@
     pool: POOL,
     lora: Some(LORA),
     prompt: Some(PROMPT),
-    left: AMPLE,
+    time_left: AMPLE,
     tried: &[],
 };
 
@@ -255,13 +255,16 @@
     let root = (0..1_000)
         .find(meets)
         .expect("a conversation that meets there");
-    PromptAffinity { root, ..PROMPT }
+    PromptAffinity {
+        conversation_hash: root,
+        ..PROMPT
+    }
 }
 
 fn chosen(router: &mut Router, ask: &RouteQuery<'_>, now: Millis) -> Option<u32> {
     match router.choose(ask, now) {
         RouteDecision::Send(pick) => Some(pick.up.0),
-        RouteDecision::Refuse { retry } => {
+        RouteDecision::Refuse { retry_after: retry } => {
             assert!(retry > Millis(0));
             None
         }
@@ -280,7 +283,7 @@
         apply(&mut router, then, Millis(1));
     }
     let ask = RouteQuery {
-        left: case.left,
+        time_left: case.left,
         tried: case.tried,
         prompt,
         ..ASK
--- a/crates/policy/tests/router_homes.rs
+++ b/crates/policy/tests/router_homes.rs
@@ -46,7 +46,7 @@
         pool: POOL,
         lora: Some(LoraIx(lora)),
         prompt: None,
-        left: Millis(60_000),
+        time_left: Millis(60_000),
         tried: &[],
     };
     match router.choose(&ask, now) {
--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -69,7 +69,7 @@
 impl Naive {
     fn rank(&self, up: u32, now: u64, o: &RouterOptions) -> Option<Rank> {
         let seen = self.ups.get(&up)?;
-        let probed = seen.probe.is_some_and(|at| now - at < o.demote_most.0);
+        let probed = seen.probe.is_some_and(|at| now - at < o.max_demotion.0);
         match seen {
             _ if self.leaving.contains(&up) || !seen.usable => None,
             _ if seen.suspect => Some(Rank::Suspect),
@@ -108,7 +108,7 @@
                     seen.resident.clone_from(loras);
                 }
                 seen.loading = *loading;
-                let late = o.lag.0 + 2 * o.load.0;
+                let late = o.report_lag.0 + 2 * o.load_time.0;
                 let (resident, loading) = (&seen.resident, seen.loading);
                 seen.coming.retain(|&(lora, at)| {
                     !resident.contains(&lora) && loading != Some(lora) && now - at <= late
@@ -130,8 +130,8 @@
     fn expire(&mut self, now: u64, o: &RouterOptions) {
         for up in 0..UPS {
             match self.ups.get_mut(&up) {
-                Some(s) if now - s.heard > o.forget.0 => self.forget(up),
-                Some(s) if now - s.heard > o.suspect.0 => s.suspect = true,
+                Some(s) if now - s.heard > o.forget_after.0 => self.forget(up),
+                Some(s) if now - s.heard > o.suspect_after.0 => s.suspect = true,
                 _ => {}
             }
         }
@@ -158,8 +158,8 @@
             }
             AttemptOutcome::Stalled => {
                 seen.stalls += u32::from(seen.until <= now);
-                let span = o.demote.unwrap().0 << (seen.stalls - 1).min(20);
-                seen.until = seen.until.max(now + span.min(o.demote_most.0));
+                let span = o.initial_demotion.unwrap().0 << (seen.stalls - 1).min(20);
+                seen.until = seen.until.max(now + span.min(o.max_demotion.0));
                 seen.probe = None;
             }
             AttemptOutcome::Failed => seen.suspect = true,
@@ -216,7 +216,10 @@
 
 fn prompt() -> impl Strategy<Value = PromptAffinity> {
     let drawn = (0..9_u64, 0..3_000_u32);
-    drawn.prop_map(|(root, earlier)| PromptAffinity { root, earlier })
+    drawn.prop_map(|(root, earlier)| PromptAffinity {
+        conversation_hash: root,
+        earlier_tokens: earlier,
+    })
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -264,19 +267,21 @@
     let o = RouterOptions::default();
     let meets = |p: PromptAffinity| {
         router
-            .affinity_holder(ask.pool, ask.lora?, p.root)
-            .map(|up| (up, p.earlier))
+            .affinity_holder(ask.pool, ask.lora?, p.conversation_hash)
+            .map(|up| (up, p.earlier_tokens))
     };
     let meeting = ask
         .prompt
         .and_then(meets)
         .filter(|m| m.0 == pick.up && pick.resident);
-    let tokens = meeting.map_or(0, |(_, earlier)| u64::from(earlier + o.first.unwrap()));
+    let tokens = meeting.map_or(0, |(_, earlier)| {
+        u64::from(earlier + o.affinity_tokens.unwrap())
+    });
     let saved = Millis((tokens * o.prefill_us).div_ceil(1_000));
     let waits = ups
         .iter()
         .map(|&u| router.expected_wait(u, ask.lora, now).unwrap());
-    Some(waits.min()? + o.spread + o.slack + saved)
+    Some(waits.min()? + o.copy_margin + o.home_margin + saved)
 }
 
 /// The same holders as the naive version's, and a meeting place among them.
@@ -314,7 +319,7 @@
         pool: PoolIx(*pool),
         lora: *lora,
         prompt: *prompt,
-        left: Millis(*left),
+        time_left: Millis(*left),
         tried,
     };
     let mut open = naive.open(*pool, at, &o);
@@ -325,7 +330,7 @@
     open.retain(|(_, u)| !tried.contains(u));
     let best = open.iter().map(|o| o.0).min();
     let wide = RouteQuery {
-        left: Millis(u64::MAX),
+        time_left: Millis(u64::MAX),
         ..ask
     };
     let RouteDecision::Send(pick) = router.choose(&wide, now) else {
@@ -347,7 +352,7 @@
     }
     match router.choose(&ask, now) {
         RouteDecision::Send(pick) => prop_assert!(pick.wait.0 / 2 <= *left),
-        RouteDecision::Refuse { retry } => prop_assert!(retry >= o.retry),
+        RouteDecision::Refuse { retry_after: retry } => prop_assert!(retry >= o.retry_after),
     }
     if *send {
         router.record_send(pick.up, *lora, now);
@@ -388,11 +393,11 @@
 
     #[test]
     fn agrees_with_naive(batch in 0..=100_u32, ops in prop::collection::vec((op(), 0..4_000_u64), 1..120)) {
-        let o = RouterOptions { holders: UPS as usize, ..RouterOptions::default() };
+        let o = RouterOptions { holder_candidates: UPS as usize, ..RouterOptions::default() };
         let (mut router, mut naive) = (Router::new_ext(o), Naive::default());
         let weights = Weights { stall: 100 - batch, batch };
         router.set_weights(weights);
-        naive.pack = weights.for_batch(o.pack);
+        naive.pack = weights.for_batch(o.idle_penalty);
         let mut now = 0;
         for (op, after) in ops {
             now += after;
@@ -414,7 +419,7 @@
                 apply(router, &op, at);
                 if let Op::Choose { pool, lora, prompt, tried, .. } = &op {
                     let prompt = prompt.filter(|_| heeded);
-                    let ask = RouteQuery { pool: PoolIx(*pool), lora: *lora, prompt, left: Millis(u64::MAX), tried };
+                    let ask = RouteQuery { pool: PoolIx(*pool), lora: *lora, prompt, time_left: Millis(u64::MAX), tried };
                     router.choose(&ask, at);
                 }
             }
--- a/crates/policy/tests/router_rank.rs
+++ b/crates/policy/tests/router_rank.rs
@@ -40,7 +40,7 @@
         pool: POOL,
         lora: None,
         prompt: None,
-        left: Millis(5_000),
+        time_left: Millis(5_000),
         tried,
     }
 }
