--- a/crates/policy/src/router/budget.rs
+++ b/crates/policy/src/router/budget.rs
@@ -1,14 +1,14 @@
-//! Retry budget: retries are a share of requests, so that they can't multiply load.
+//! Retry budget: limits retries to a share of requests, so that retries can't multiply the load.
 
-/// Parts of one token.
-const TOKEN: u64 = 100;
+/// Parts of one retry token; each request adds `percent` parts.
+const PARTS_PER_TOKEN: u64 = 100;
 
 /// Settings of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudgetOptions {
-    /// Retries earned by 100 requests.
+    /// Retries that 100 requests allow.
     pub percent: u32,
-    /// Retries at hand at the start, and saved at most.
+    /// Retries available at the start; also the most that are saved up.
     pub burst: u32,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Tokens for retries: over any time, at most the burst plus the share of requests.
+/// Token bucket for retries: over any period, at most the burst plus the share of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     options: RetryBudgetOptions,
@@ -29,33 +29,33 @@
 }
 
 impl RetryBudget {
-    /// Full budget.
+    /// Creates a full budget.
     #[must_use]
     pub fn new_ext(options: RetryBudgetOptions) -> Self {
-        let parts = u64::from(options.burst) * TOKEN;
+        let parts = u64::from(options.burst) * PARTS_PER_TOKEN;
         Self { options, parts }
     }
 
-    /// Counts a request's first attempt.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self) {
-        let most = u64::from(self.options.burst) * TOKEN;
-        let grown = self.parts + u64::from(self.options.percent);
-        self.parts = grown.min(most);
+        let max_parts = u64::from(self.options.burst) * PARTS_PER_TOKEN;
+        let refilled = self.parts + u64::from(self.options.percent);
+        self.parts = refilled.min(max_parts);
     }
 
-    /// Takes a token for a retry, if there is one.
+    /// Takes a token for a retry; false if there is none.
     #[must_use]
     pub fn try_retry(&mut self) -> bool {
-        let Some(rest) = self.parts.checked_sub(TOKEN) else {
+        let Some(remaining) = self.parts.checked_sub(PARTS_PER_TOKEN) else {
             return false;
         };
-        self.parts = rest;
+        self.parts = remaining;
         true
     }
 
-    /// Retries at hand.
+    /// Retries available now.
     #[must_use]
     pub fn available(&self) -> u64 {
-        self.parts / TOKEN
+        self.parts / PARTS_PER_TOKEN
     }
 }
--- a/crates/policy/src/router/estimate.rs
+++ b/crates/policy/src/router/estimate.rs
@@ -1,55 +1,56 @@
-//! Expected wait of a request at an upstream: queue, one step, and the load if the adapter is absent.
+//! Expected wait of a request at an upstream: the queue, one step, and the load if the adapter is
+//! not resident.
 
 use pumicecleat_types::Millis;
 
 use super::options::RouterOptions;
-use super::upstream::{Hold, Upstream};
+use super::upstream::{Residency, Upstream};
 
 /// Microseconds in a millisecond.
-const MICROS: u64 = 1_000;
+const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Share of a load still to come, at the least, while it is seen to be under way: one part in this.
-const REST: u64 = 4;
+/// A load in progress is assumed to take at least one part in this many of the load time still.
+const MIN_REMAINING_DIVISOR: u64 = 4;
 
-/// Wait of the queue and one step, microseconds.
-pub(super) fn queue_us(up: &Upstream, options: &RouterOptions) -> u64 {
+/// Wait for the queue and one step, microseconds.
+pub(super) fn queue_wait_us(up: &Upstream, options: &RouterOptions) -> u64 {
     let load = &up.load;
-    let own = u64::try_from(up.sends.len()).unwrap_or(u64::MAX);
+    let unreported = u64::try_from(up.unreported_sends.len()).unwrap_or(u64::MAX);
     let busy = u64::from(load.running) + u64::from(load.waiting);
-    let room = u64::from(load.batch).saturating_sub(busy);
-    let extra = own.saturating_sub(room);
-    let queued = u64::from(load.wait_ms) * MICROS;
-    queued + extra * drain_us(up, options) + u64::from(load.step_us)
+    let free = u64::from(load.batch).saturating_sub(busy);
+    let excess = unreported.saturating_sub(free);
+    let queued = u64::from(load.wait_ms) * MICROS_PER_MILLI;
+    queued + excess * drain_interval_us(up, options) + u64::from(load.step_us)
 }
 
-/// Time in which the queue moves by one request, microseconds.
-fn drain_us(up: &Upstream, options: &RouterOptions) -> u64 {
+/// Time in which the queue advances by one request, microseconds.
+fn drain_interval_us(up: &Upstream, options: &RouterOptions) -> u64 {
     let load = &up.load;
     if load.waiting > 0 && load.wait_ms > 0 {
-        return u64::from(load.wait_ms) * MICROS / u64::from(load.waiting);
+        return u64::from(load.wait_ms) * MICROS_PER_MILLI / u64::from(load.waiting);
     }
-    options.service_time.0 * MICROS / u64::from(load.batch.max(1))
+    options.service_time.0 * MICROS_PER_MILLI / u64::from(load.batch.max(1))
 }
 
-/// Wait for the adapter, microseconds.
-pub(super) fn load_us(
+/// Wait for the adapter load, microseconds.
+pub(super) fn load_wait_us(
     up: &Upstream,
-    hold: Hold,
-    load: Millis,
-    o: &RouterOptions,
+    residency: Residency,
+    load_time: Millis,
+    options: &RouterOptions,
     now: Millis,
 ) -> u64 {
-    match hold {
-        Hold::Resident => 0,
-        Hold::Coming(since) => {
-            let rest = load.since(now.since(since));
-            rest.0.max(load.0 / REST) * MICROS
+    match residency {
+        Residency::Resident => 0,
+        Residency::Pending(since) => {
+            let remaining = load_time.since(now.since(since));
+            remaining.0.max(load_time.0 / MIN_REMAINING_DIVISOR) * MICROS_PER_MILLI
         }
-        Hold::Absent => (load + slot_wait(up, o)).0 * MICROS,
+        Residency::Absent => (load_time + slot_wait(up, options)).0 * MICROS_PER_MILLI,
     }
 }
 
-/// Wait for a slot, where each holds an adapter in use.
+/// Wait for a slot if every slot holds an adapter in use.
 fn slot_wait(up: &Upstream, options: &RouterOptions) -> Millis {
     let full = up.load.slots > 0 && up.load.spare == 0;
     Millis(if full { options.service_time.0 / 2 } else { 0 })
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -1,168 +1,175 @@
-//! The entry's choice of upstream.
+//! Selection of an upstream at an entry.
 //!
-//! [`Router`] keeps what an entry hears of upstreams as soft state: reports and ends of its own
-//! attempts. It may be wrong for seconds; the side beside an upstream has the last word by
-//! its refusal. A choice looks at a few candidates only: a sample of an adapter's holders, and its
-//! homes on a hash ring. So its cost grows with neither the upstreams nor the adapters, but for the
-//! depth of ordered sets.
+//! [`Router`] keeps soft state about upstreams, built from their reports and from the outcomes of
+//! this entry's own attempts. It can be out of date by seconds; the side next to an upstream
+//! decides finally by refusing an attempt. A decision looks at a few candidates only: a sample of
+//! the upstreams that hold the adapter, and the adapter's homes on a hash ring. Its cost therefore
+//! does not grow with the number of upstreams or adapters, except for the depth of ordered sets.
 //!
-//! `ask` holds the question and the answer, `upstream` what is known of one upstream, `pool`, `ring`
-//! and `holders` where candidates come from, `estimate` the expected wait, `choose` the choice, `pack`
-//! the preference for upstreams with company, `demotion` the order of stalled upstreams, `place` keeps
-//! the pools' indices, `outcome` what attempts teach, `prefix` affinity to cached prompts, `rank` homes
-//! of other work, and `budget` the bound on retries.
-
-mod ask;
+//! - `query`: the query, the decision and the outcome of an attempt
+//! - `upstream`: the state of one upstream
+//! - `pool`, `ring`, `holders`: the indices that candidates are taken from
+//! - `indexing`: keeps these indices in step with the state of upstreams
+//! - `estimate`: the expected wait
+//! - `choose`: the decision
+//! - `batching`: the preference for upstreams that are already running a batch
+//! - `demotion`: the ranking of stalled upstreams
+//! - `outcome`: updates from attempts
+//! - `prefix`: affinity to cached prompt prefixes
+//! - `rank`: rendezvous hashing for work that is not bound to an adapter
+//! - `budget`: the retry budget
+
+mod batching;
 mod budget;
 mod choose;
 mod demotion;
-mod draw;
 mod estimate;
 mod holders;
+mod indexing;
 mod key;
 mod options;
 mod outcome;
-mod pack;
-mod place;
 mod pool;
 mod prefix;
+mod query;
 mod rank;
 mod ring;
+mod rng;
 mod upstream;
 
-pub use ask::{AttemptOutcome, RouteDecision, RouteQuery, SelectedUpstream, UpstreamStatus};
 pub use budget::{RetryBudget, RetryBudgetOptions};
 pub use key::{lora_key, name_key, part_key, upstream_key};
 pub use options::RouterOptions;
 pub use prefix::PromptAffinity;
+pub use query::{AttemptOutcome, RouteDecision, RouteQuery, SelectedUpstream, UpstreamStatus};
 
 use pumicecleat_types::Millis;
 
 use crate::{LoraIx, PoolIx, UpstreamIx, Weights};
-use draw::Draw;
 use key::index_key;
 use pool::Pool;
+use rng::SplitMix64;
 use upstream::Upstream;
 
-/// Choice of upstream for one entry.
+/// Selects upstreams for one entry.
 #[derive(Clone, Debug)]
 pub struct Router {
     options: RouterOptions,
-    load: Millis,
-    /// Time that an idle upstream costs more than one with company.
-    pack: Millis,
-    draw: Draw,
+    load_time: Millis,
+    /// Cost added to an upstream whose batch is empty.
+    idle_penalty: Millis,
+    rng: SplitMix64,
     upstreams: Vec<Upstream>,
     pools: Vec<Pool>,
-    /// Keys of adapters by index; 0 where not named.
-    loras: Vec<u64>,
+    /// Keys of adapters by index; 0 where no key was set.
+    lora_keys: Vec<u64>,
 }
 
 impl Router {
-    /// Router that knows no upstream yet.
+    /// Creates a router that knows no upstreams.
     #[must_use]
     pub fn new_ext(options: RouterOptions) -> Self {
         Self {
             options,
-            load: options.load_time,
-            pack: Millis(0),
-            draw: Draw::new(options.seed),
+            load_time: options.load_time,
+            idle_penalty: Millis(0),
+            rng: SplitMix64::new(options.seed),
             upstreams: Vec::new(),
             pools: Vec::new(),
-            loras: Vec::new(),
+            lora_keys: Vec::new(),
         }
     }
 
-    /// Gives an upstream its key, see [`upstream_key`]; without one, entries don't agree on homes.
+    /// Sets the key of an upstream, see [`upstream_key`]. Without it, entries don't agree on homes.
     pub fn set_upstream_key(&mut self, up: UpstreamIx, key: u64) {
-        self.upstream(up);
-        self.change(up, |u| u.key = key);
+        self.ensure_upstream(up);
+        self.update_upstream(up, |u| u.key = key);
     }
 
-    /// Gives an adapter its key, see [`lora_key`]; without one, entries don't agree on its homes.
+    /// Sets the key of an adapter, see [`lora_key`]. Without it, entries don't agree on its homes.
     pub fn set_lora_key(&mut self, lora: LoraIx, key: u64) {
-        let at = lora.0 as usize;
-        if at >= self.loras.len() {
-            self.loras.resize(at + 1, 0);
+        let index = lora.0 as usize;
+        if index >= self.lora_keys.len() {
+            self.lora_keys.resize(index + 1, 0);
         }
-        self.loras[at] = key;
+        self.lora_keys[index] = key;
     }
 
-    /// Sets the time that a load is expected to take now.
-    pub fn set_load_time(&mut self, load: Millis) {
-        self.load = load;
+    /// Sets the expected time of an adapter load.
+    pub fn set_load_time(&mut self, load_time: Millis) {
+        self.load_time = load_time;
     }
 
-    /// Sets the deployment's weights; full batches weigh nothing until then.
+    /// Sets the deployment's weights. Until then, upstreams with an empty batch cost nothing extra.
     pub fn set_weights(&mut self, weights: Weights) {
-        self.pack = weights.for_batch(self.options.idle_penalty);
+        self.idle_penalty = weights.for_batch(self.options.idle_penalty);
     }
 
-    /// Takes in a report; `resident` is `None` if unchanged.
+    /// Applies a report; `resident` is `None` if the resident adapters are unchanged.
     pub fn report(
         &mut self,
         up: UpstreamIx,
         pool: PoolIx,
-        figures: &UpstreamStatus,
+        status: &UpstreamStatus,
         resident: Option<&[LoraIx]>,
         loading: Option<LoraIx>,
         now: Millis,
     ) {
-        let lag = self.options.report_lag;
-        let late = lag + self.load + self.load;
-        self.pool(pool);
-        self.upstream(up);
-        self.change(up, |u| {
+        let report_lag = self.options.report_lag;
+        let load_timeout = report_lag + self.load_time + self.load_time;
+        self.ensure_pool(pool);
+        self.ensure_upstream(up);
+        self.update_upstream(up, |u| {
             u.pool = pool;
-            u.load = figures.load;
-            u.usable = figures.healthy && !figures.leaving;
+            u.load = status.load;
+            u.usable = status.healthy && !status.leaving;
             u.suspect = false;
-            u.seen = Some(now);
+            u.last_seen = Some(now);
             if let Some(loras) = resident {
                 u.set_resident(loras);
             }
             u.set_loading(loading, now);
-            u.settle(now, lag);
-            u.settle_coming(now, late);
+            u.drop_reported_sends(now, report_lag);
+            u.drop_settled_loads(now, load_timeout);
         });
     }
 
-    /// Gives an upstream no new work from now on, whatever its reports say, until it is forgotten.
+    /// Excludes an upstream from new work, whatever its reports say, until it is forgotten.
     pub fn mark_leaving(&mut self, up: UpstreamIx) {
-        self.upstream(up);
-        self.change(up, |u| u.leaving = true);
+        self.ensure_upstream(up);
+        self.update_upstream(up, |u| u.leaving = true);
     }
 
-    /// Forgets an upstream; its index may be used for another.
+    /// Drops the state of an upstream; its index may be reused for another one.
     pub fn forget(&mut self, up: UpstreamIx) {
         if self.upstreams.get(up.0 as usize).is_some() {
-            self.change(up, |u| *u = Upstream::new(up));
+            self.update_upstream(up, |u| *u = Upstream::new(up));
         }
     }
 
-    /// Moves upstreams that have been silent behind the others, and forgets them later.
+    /// Marks upstreams without recent reports or answers as suspect, and later forgets them.
     ///
-    /// Returns those forgotten.
+    /// Returns the forgotten ones.
     pub fn expire(&mut self, now: Millis) -> Vec<UpstreamIx> {
         let mut forgotten = Vec::new();
         for ix in 0..u32::try_from(self.upstreams.len()).unwrap_or(u32::MAX) {
             let up = UpstreamIx(ix);
             let upstream = &self.upstreams[ix as usize];
-            let Some(seen) = upstream.seen else {
+            let Some(last_seen) = upstream.last_seen else {
                 continue;
             };
-            let age = now.since(seen);
+            let age = now.since(last_seen);
             if age > self.options.forget_after {
                 self.forget(up);
                 forgotten.push(up);
             } else if age > self.options.suspect_after && !upstream.suspect {
-                self.change(up, |u| u.suspect = true);
+                self.update_upstream(up, |u| u.suspect = true);
             }
         }
         forgotten
     }
 
-    /// Upstreams of a pool that may get work, suspect ones included.
+    /// Number of upstreams in a pool that may get work, suspect ones included.
     #[must_use]
     pub fn usable_count(&self, pool: PoolIx) -> usize {
         self.pools.get(pool.0 as usize).map_or(0, Pool::usable)
@@ -175,7 +182,7 @@
         pool.map_or(&[], |p| p.holders.of(lora))
     }
 
-    /// Homes for one more copy of an adapter in a pool, the first one best.
+    /// Upstreams preferred for one more copy of an adapter in a pool, best first.
     #[must_use]
     pub fn homes(&self, pool: PoolIx, lora: LoraIx) -> Vec<UpstreamIx> {
         let key = self.lora_key(lora);
@@ -186,21 +193,21 @@
     }
 
     fn lora_key(&self, lora: LoraIx) -> u64 {
-        match self.loras.get(lora.0 as usize) {
+        match self.lora_keys.get(lora.0 as usize) {
             Some(&key) if key != 0 => key,
             _ => index_key(lora.0),
         }
     }
 
-    fn pool(&mut self, pool: PoolIx) {
-        let at = pool.0 as usize;
-        if at >= self.pools.len() {
+    fn ensure_pool(&mut self, pool: PoolIx) {
+        let index = pool.0 as usize;
+        if index >= self.pools.len() {
             let points = self.options.ring_points;
-            self.pools.resize_with(at + 1, || Pool::new(points));
+            self.pools.resize_with(index + 1, || Pool::new(points));
         }
     }
 
-    fn upstream(&mut self, up: UpstreamIx) {
+    fn ensure_upstream(&mut self, up: UpstreamIx) {
         while self.upstreams.len() <= up.0 as usize {
             let next = u32::try_from(self.upstreams.len()).unwrap_or(u32::MAX);
             self.upstreams.push(Upstream::new(UpstreamIx(next)));
--- a/crates/policy/src/router/prefix.rs
+++ b/crates/policy/src/router/prefix.rs
@@ -1,78 +1,95 @@
-//! Affinity to cached prompt prefixes: the holder at which a conversation's turns meet.
+//! Affinity to cached prompt prefixes.
 //!
-//! Among an adapter's holders each conversation has one by hash, the same at every entry, so that
-//! nothing is kept or told. It only costs time where it is wrong.
+//! Each conversation is assigned one of its adapter's holders by hash, so that its turns reach an
+//! engine that has the earlier ones cached. Every entry computes the same holder, without stored
+//! state or messages between entries. A wrong assignment only costs time.
 
 use super::Router;
-use super::upstream::Hold;
+use super::upstream::Residency;
 use crate::{LoraIx, PoolIx, UpstreamIx};
 
-/// Holders up to which a conversation's own is found by comparing all.
-const COMPARED: usize = 128;
+/// Most holders that are all compared by rendezvous hash; above it, the hash ring is searched.
+const MAX_RENDEZVOUS_HOLDERS: usize = 128;
 
-/// A chat's prompt, as far as affinity goes.
+/// Properties of a chat prompt that prefix affinity depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptAffinity {
-    /// Hash that all turns of a conversation share, of its first messages and the adapter's version.
+    /// Hash of the conversation's first messages and the adapter's version; the same for all its
+    /// turns.
     pub conversation_hash: u64,
-    /// Tokens of its earlier turns, about; 0 in a first one.
+    /// Approximate number of tokens in the earlier turns; 0 in the first turn.
     pub earlier_tokens: u32,
 }
 
-/// What a choice aims at beside a short wait.
+/// Holder preferred for a cached prefix, and what it saves.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Aim {
-    meeting: Option<UpstreamIx>,
-    /// Time that is saved there, microseconds.
-    saved: u64,
+pub(super) struct AffinityTarget {
+    holder: Option<UpstreamIx>,
+    /// Prefill time saved at the holder, microseconds.
+    saved_us: u64,
 }
 
-impl Aim {
-    /// Candidate.
-    pub(super) fn meeting(&self) -> Option<UpstreamIx> {
-        self.meeting
+impl AffinityTarget {
+    /// Holder to add to the candidates.
+    pub(super) fn holder(&self) -> Option<UpstreamIx> {
+        self.holder
     }
 }
 
 impl Router {
-    /// Holder at which the turns of a conversation meet, whatever entry they come to.
+    /// Holder that the turns of a conversation are assigned to, at every entry.
     #[must_use]
-    pub fn affinity_holder(&self, pool: PoolIx, lora: LoraIx, root: u64) -> Option<UpstreamIx> {
+    pub fn affinity_holder(
+        &self,
+        pool: PoolIx,
+        lora: LoraIx,
+        conversation_hash: u64,
+    ) -> Option<UpstreamIx> {
         let pool = self.pools.get(pool.0 as usize)?;
         let holders = pool.holders.of(lora);
-        if holders.len() > COMPARED {
-            return pool.ring.first_of(root, holders);
+        if holders.len() > MAX_RENDEZVOUS_HOLDERS {
+            return pool.ring.first_holder_after(conversation_hash, holders);
         }
         let holders = holders.iter().copied();
-        holders.max_by_key(|up| self.rank(*up, root))
+        holders.max_by_key(|up| self.rendezvous_rank(*up, conversation_hash))
     }
 
-    pub(super) fn aim(
+    pub(super) fn affinity_target(
         &self,
         pool: PoolIx,
         lora: Option<LoraIx>,
         prompt: Option<PromptAffinity>,
-    ) -> Aim {
-        let (Some(lora), Some(prompt), Some(first)) = (lora, prompt, self.options.affinity_tokens)
+    ) -> AffinityTarget {
+        let (Some(lora), Some(prompt), Some(holder_tokens)) =
+            (lora, prompt, self.options.affinity_tokens)
         else {
-            return Aim::default();
+            return AffinityTarget::default();
         };
-        let tokens = u64::from(prompt.earlier_tokens) + u64::from(first);
-        Aim {
-            meeting: self.affinity_holder(pool, lora, prompt.conversation_hash),
-            saved: tokens * self.options.prefill_us,
+        let tokens = u64::from(prompt.earlier_tokens) + u64::from(holder_tokens);
+        AffinityTarget {
+            holder: self.affinity_holder(pool, lora, prompt.conversation_hash),
+            saved_us: tokens * self.options.prefill_us,
         }
     }
 
-    /// Time saved at an upstream by what it has cached, microseconds. Nothing where the adapter is
-    /// not resident or the batch has no room, so that no request waits for a load or in a queue for
-    /// the sake of a prefix.
-    pub(super) fn saved_us(&self, up: UpstreamIx, hold: Hold, aim: &Aim) -> u64 {
-        let there = aim.meeting == Some(up) && hold == Hold::Resident;
-        let room = self
+    /// Prefill time saved by the prefix cached at an upstream, microseconds. It is 0 if the adapter
+    /// is not resident or the batch has no room, so that no request waits for a load or in a queue
+    /// because of a cached prefix.
+    pub(super) fn prefix_saving_us(
+        &self,
+        up: UpstreamIx,
+        residency: Residency,
+        target: &AffinityTarget,
+    ) -> u64 {
+        let is_target = target.holder == Some(up) && residency == Residency::Resident;
+        let has_room = self
             .upstreams
             .get(up.0 as usize)
-            .is_some_and(|u| u.room() > 0);
-        if there && room { aim.saved } else { 0 }
+            .is_some_and(|u| u.batch_room() > 0);
+        if is_target && has_room {
+            target.saved_us
+        } else {
+            0
+        }
     }
 }
--- a/crates/policy/src/router/ask.rs
+++ b/crates/policy/src/router/query.rs
@@ -1,68 +1,68 @@
-//! What the router is asked, what it answers, and what it is told of an attempt's end.
+//! Input and output types of the router.
 
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
 use super::prefix::PromptAffinity;
 use crate::{LoraIx, PoolIx, UpstreamIx};
 
-/// State of an upstream, by its side's report.
+/// State of an upstream as reported by its side.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamStatus {
-    /// Load.
+    /// Load at the upstream.
     pub load: LoadFigures,
-    /// Takes no new work.
+    /// The upstream takes no new work.
     pub leaving: bool,
-    /// Upstream answers its side.
+    /// The upstream answers its side.
     pub healthy: bool,
 }
 
-/// Question: where should this request go?
+/// Request to be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteQuery<'a> {
-    /// Pool to choose from.
+    /// Pool to select from.
     pub pool: PoolIx,
-    /// Adapter and version, or `None` for a plain service.
+    /// Adapter and version; `None` for a service without an adapter.
     pub lora: Option<LoraIx>,
-    /// Prompt, of a chat.
+    /// Prompt affinity of a chat request.
     pub prompt: Option<PromptAffinity>,
     /// Time left until the caller's deadline.
     pub time_left: Millis,
-    /// Upstreams that this request was sent to before; never chosen again.
+    /// Upstreams that this request was already sent to; they are not selected again.
     pub tried: &'a [UpstreamIx],
 }
 
-/// Upstream chosen.
+/// Upstream selected for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SelectedUpstream {
-    /// Upstream.
+    /// Index of the upstream.
     pub up: UpstreamIx,
     /// Expected wait until the first step of the request ends.
     pub wait: Millis,
-    /// Adapter is resident there by the last report, or none is needed.
+    /// The adapter is resident there by the last report, or none is needed.
     pub resident: bool,
 }
 
-/// Answer to an [`RouteQuery`].
+/// Result of a [`RouteQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// Send it there.
+    /// Send the request to this upstream.
     Send(SelectedUpstream),
-    /// Nowhere to send it to in time.
+    /// No upstream can serve the request in time.
     Refuse {
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Millis,
     },
 }
 
-/// End of one attempt.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered whole.
+    /// The answer was complete.
     Completed,
-    /// Refused by the side, not run.
+    /// The side refused the attempt without running it.
     Refused(Reason, Option<LoadFigures>),
     /// No answer began within the header timeout.
     Stalled,
-    /// Connection could not be made, or broke.
+    /// The connection could not be made, or broke.
     Failed,
 }
--- a/crates/policy/src/router/rank.rs
+++ b/crates/policy/src/router/rank.rs
@@ -1,48 +1,53 @@
-//! A home for work that several upstreams could do, but that is best done by the same one.
+//! Rendezvous hashing for work that several upstreams can do, but that should stay at one of them.
 
 use pumicecleat_types::Millis;
 
 use super::Router;
-use super::ask::{RouteQuery, SelectedUpstream};
-use super::choose::{Class, MICROS};
-use super::key::point;
+use super::choose::{CandidateClass, MICROS_PER_MILLI};
+use super::key::seeded_hash;
+use super::query::{RouteQuery, SelectedUpstream};
 use crate::UpstreamIx;
 
-/// Part of the time left that the wait at a home may take, so that there is some for another.
-const SHARE: u64 = 2;
+/// An upstream is selected if its wait is at most one part in this many of the time left, so that
+/// there is time for another attempt elsewhere.
+const MAX_WAIT_DIVISOR: u64 = 2;
 
 impl Router {
-    /// Of the pool's upstreams that are ready for an ask, the first by rendezvous rank for `home`:
-    /// all entries that hear of the same upstreams choose the same. `None` if the wait is too long
-    /// at each.
+    /// Selects the ready upstream of the pool with the highest rendezvous rank for `key`. Entries
+    /// that know the same upstreams select the same one. `None` if no upstream is ready or the wait
+    /// is too long at each.
     #[must_use]
     pub fn choose_by_rank(
         &self,
-        ask: &RouteQuery<'_>,
-        home: u64,
+        query: &RouteQuery<'_>,
+        key: u64,
         now: Millis,
     ) -> Option<SelectedUpstream> {
-        let pool = self.pools.get(ask.pool.0 as usize)?;
-        let open = pool.fresh.iter().filter(|u| !ask.tried.contains(u));
-        let ready = open.filter(|u| self.class(ask, **u, now) == Some(Class::Ready));
-        let picks = ready.filter_map(|&up| self.timely(ask, up, now));
-        picks.max_by_key(|p| self.rank(p.up, home))
+        let pool = self.pools.get(query.pool.0 as usize)?;
+        let untried = pool.fresh.iter().filter(|u| !query.tried.contains(u));
+        let ready = untried.filter(|u| self.class(query, **u, now) == Some(CandidateClass::Ready));
+        let picks = ready.filter_map(|&up| self.select_timely(query, up, now));
+        picks.max_by_key(|p| self.rendezvous_rank(p.up, key))
     }
 
-    fn timely(
+    fn select_timely(
         &self,
-        ask: &RouteQuery<'_>,
+        query: &RouteQuery<'_>,
         up: UpstreamIx,
         now: Millis,
     ) -> Option<SelectedUpstream> {
-        let (wait, _) = self.wait_us(up, ask.lora, now)?;
-        let wait = Millis(wait.div_ceil(MICROS));
+        let (wait, _) = self.expected_wait_us(up, query.lora, now)?;
+        let wait = Millis(wait.div_ceil(MICROS_PER_MILLI));
         let resident = true;
-        (wait.0 <= ask.time_left.0 / SHARE).then_some(SelectedUpstream { up, wait, resident })
+        (wait.0 <= query.time_left.0 / MAX_WAIT_DIVISOR).then_some(SelectedUpstream {
+            up,
+            wait,
+            resident,
+        })
     }
 
-    pub(super) fn rank(&self, up: UpstreamIx, home: u64) -> Option<u64> {
+    pub(super) fn rendezvous_rank(&self, up: UpstreamIx, key: u64) -> Option<u64> {
         let upstream = self.upstreams.get(up.0 as usize)?;
-        Some(point(upstream.key, home))
+        Some(seeded_hash(upstream.key, key))
     }
 }
--- a/crates/policy/src/router/upstream.rs
+++ b/crates/policy/src/router/upstream.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one upstream.
+//! State that an entry keeps for one upstream.
 
 use std::collections::VecDeque;
 
@@ -6,29 +6,29 @@
 
 use super::demotion::Demotion;
 use super::key::index_key;
-use super::pool::Standing;
+use super::pool::Availability;
 use crate::{LoraIx, PoolIx, UpstreamIx};
 
-/// Own sends kept per upstream between two reports; more count as this many.
-const SENDS: usize = 256;
+/// Most sends tracked per upstream between two reports; further ones are not counted.
+const MAX_UNREPORTED_SENDS: usize = 256;
 
-/// Adapters expected at an upstream on account of own sends.
-const COMING: usize = 8;
+/// Most adapters expected at an upstream because of this entry's sends.
+const MAX_PENDING_LOADS: usize = 8;
 
-/// An adapter on its way to an upstream.
+/// Adapter whose load at an upstream is in progress or expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Arrival {
+pub(super) struct PendingLoad {
     pub(super) lora: LoraIx,
     pub(super) since: Millis,
 }
 
-/// How an upstream stands to an adapter.
+/// Residency of an adapter at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Hold {
-    /// Resident by the last report, or none needed.
+pub(super) enum Residency {
+    /// Resident by the last report, or no adapter is needed.
     Resident,
-    /// On its way since this time.
-    Coming(Millis),
+    /// Loading, or expected to load, since this time.
+    Pending(Millis),
     /// Would have to be loaded.
     Absent,
 }
@@ -41,17 +41,17 @@
     pub(super) load: LoadFigures,
     /// Healthy and not leaving, by its last report.
     pub(super) usable: bool,
-    /// Leaving by another source than a report; stays so until forgotten.
+    /// Leaving by a source other than a report; stays set until the upstream is forgotten.
     pub(super) leaving: bool,
-    /// Silent for long, or failed since its last report.
+    /// No recent report or answer, or a failure since the last one.
     pub(super) suspect: bool,
-    /// Last report or answer, `None` before the first report.
-    pub(super) seen: Option<Millis>,
+    /// Time of the last report or answer; `None` before the first report.
+    pub(super) last_seen: Option<Millis>,
     pub(super) demotion: Demotion,
     pub(super) resident: Vec<LoraIx>,
-    pub(super) loading: Option<Arrival>,
-    pub(super) coming: Vec<Arrival>,
-    pub(super) sends: VecDeque<Millis>,
+    pub(super) loading: Option<PendingLoad>,
+    pub(super) pending_loads: Vec<PendingLoad>,
+    pub(super) unreported_sends: VecDeque<Millis>,
 }
 
 impl Upstream {
@@ -63,47 +63,51 @@
             usable: false,
             leaving: false,
             suspect: false,
-            seen: None,
+            last_seen: None,
             demotion: Demotion::default(),
             resident: Vec::new(),
             loading: None,
-            coming: Vec::new(),
-            sends: VecDeque::new(),
+            pending_loads: Vec::new(),
+            unreported_sends: VecDeque::new(),
         }
     }
 
-    pub(super) fn standing(&self) -> Standing {
+    pub(super) fn availability(&self) -> Availability {
         if self.leaving || !self.usable {
-            Standing::Out
+            Availability::Excluded
         } else if self.suspect {
-            Standing::Behind
+            Availability::Suspect
         } else {
-            Standing::Fresh
+            Availability::Fresh
         }
     }
 
-    /// Places left in the batch, own sends that no report shows yet taken off.
-    pub(super) fn room(&self) -> u64 {
-        let own = u64::try_from(self.sends.len()).unwrap_or(u64::MAX);
+    /// Free places in the batch, after subtracting this entry's sends that no report shows yet.
+    pub(super) fn batch_room(&self) -> u64 {
+        let unreported = u64::try_from(self.unreported_sends.len()).unwrap_or(u64::MAX);
         let busy = u64::from(self.load.running) + u64::from(self.load.waiting);
-        u64::from(self.load.batch).saturating_sub(busy.saturating_add(own))
+        u64::from(self.load.batch).saturating_sub(busy.saturating_add(unreported))
     }
 
-    pub(super) fn hold(&self, lora: LoraIx) -> Hold {
+    pub(super) fn residency(&self, lora: LoraIx) -> Residency {
         if self.resident.binary_search(&lora).is_ok() {
-            return Hold::Resident;
+            return Residency::Resident;
         }
-        let mut arrivals = self.loading.iter().chain(&self.coming);
-        match arrivals.find(|a| a.lora == lora) {
-            Some(a) => Hold::Coming(a.since),
-            None => Hold::Absent,
+        let mut pending = self.loading.iter().chain(&self.pending_loads);
+        match pending.find(|a| a.lora == lora) {
+            Some(a) => Residency::Pending(a.since),
+            None => Residency::Absent,
         }
     }
 
-    /// Adapters resident or on their way, ascending.
+    /// Adapters resident, loading or expected, in ascending order.
     pub(super) fn held(&self) -> Vec<LoraIx> {
-        let arrivals = self.loading.iter().chain(&self.coming).map(|a| a.lora);
-        let mut held: Vec<LoraIx> = self.resident.iter().copied().chain(arrivals).collect();
+        let pending = self
+            .loading
+            .iter()
+            .chain(&self.pending_loads)
+            .map(|a| a.lora);
+        let mut held: Vec<LoraIx> = self.resident.iter().copied().chain(pending).collect();
         held.sort_unstable();
         held.dedup();
         held
@@ -119,44 +123,48 @@
         let before = self.loading;
         self.loading = lora.map(|lora| match before {
             Some(a) if a.lora == lora => a,
-            _ => Arrival { lora, since: now },
+            _ => PendingLoad { lora, since: now },
         });
     }
 
-    /// Forgets own sends that figures got at `now` must contain.
-    pub(super) fn settle(&mut self, now: Millis, lag: Millis) {
-        while self.sends.front().is_some_and(|&at| now.since(at) > lag) {
-            self.sends.pop_front();
+    /// Drops the sends that load figures received at `now` must include.
+    pub(super) fn drop_reported_sends(&mut self, now: Millis, lag: Millis) {
+        while self
+            .unreported_sends
+            .front()
+            .is_some_and(|&at| now.since(at) > lag)
+        {
+            self.unreported_sends.pop_front();
         }
     }
 
-    /// Forgets expected adapters that a report shows, or should have shown within `late`.
-    pub(super) fn settle_coming(&mut self, now: Millis, late: Millis) {
+    /// Drops the expected adapters that a report shows, or should have shown within `timeout`.
+    pub(super) fn drop_settled_loads(&mut self, now: Millis, timeout: Millis) {
         let (resident, loading) = (&self.resident, self.loading);
-        self.coming.retain(|a| {
-            let arrived = resident.binary_search(&a.lora).is_ok();
-            let seen = loading.is_some_and(|l| l.lora == a.lora);
-            !arrived && !seen && now.since(a.since) <= late
+        self.pending_loads.retain(|a| {
+            let is_resident = resident.binary_search(&a.lora).is_ok();
+            let is_loading = loading.is_some_and(|l| l.lora == a.lora);
+            !is_resident && !is_loading && now.since(a.since) <= timeout
         });
     }
 
-    pub(super) fn note_send(&mut self, now: Millis) {
-        if self.sends.len() < SENDS {
-            self.sends.push_back(now);
+    pub(super) fn add_unreported_send(&mut self, now: Millis) {
+        if self.unreported_sends.len() < MAX_UNREPORTED_SENDS {
+            self.unreported_sends.push_back(now);
         }
     }
 
-    /// Expects an absent adapter to be loaded for a send.
-    pub(super) fn note_coming(&mut self, lora: LoraIx, now: Millis) {
-        if self.coming.len() == COMING {
-            self.coming.remove(0);
+    /// Records that an absent adapter is expected to load because of a send.
+    pub(super) fn add_pending_load(&mut self, lora: LoraIx, now: Millis) {
+        if self.pending_loads.len() == MAX_PENDING_LOADS {
+            self.pending_loads.remove(0);
         }
-        self.coming.push(Arrival { lora, since: now });
+        self.pending_loads.push(PendingLoad { lora, since: now });
     }
 
-    /// Takes one ended attempt out of the count.
-    pub(super) fn note_end(&mut self) {
-        if self.sends.pop_front().is_none() {
+    /// Removes one ended attempt from the load.
+    pub(super) fn remove_attempt(&mut self) {
+        if self.unreported_sends.pop_front().is_none() {
             self.load.running = self.load.running.saturating_sub(1);
         }
     }
