--- a/crates/policy/benches/router_cost/clock.rs
+++ b/crates/policy/benches/router_cost/clock.rs
@@ -1,38 +1,40 @@
-//! Median time of an operation over batches, after a warm-up.
+//! Measures the time of an operation in batches, after a warm-up.
 
 use std::time::Instant;
 
-/// Batches before the measured ones.
-const WARM: usize = 20;
+/// Batches run before the measured ones.
+const WARMUP_BATCHES: usize = 20;
 
-/// Batches measured.
-const BATCHES: usize = 101;
+/// Measured batches.
+const MEASURED_BATCHES: usize = 101;
 
 /// Operations in a batch.
-const BATCH: u32 = 1_000;
+const OPS_PER_BATCH: u32 = 1_000;
 
-/// Median and spread of the mean time in a batch, nanoseconds.
+/// Median and 95th percentile of the batches' mean time per operation, nanoseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Time {
+pub struct Timing {
     pub median: f64,
     pub p95: f64,
 }
 
-/// Times `work`, which gets the number of the operation.
-pub fn time(mut work: impl FnMut(u32)) -> Time {
-    let mut means: Vec<f64> = (0..WARM + BATCHES).map(|_| batch(&mut work)).collect();
-    means.drain(..WARM);
+/// Measures `op`, which is passed the number of the operation in its batch.
+pub fn measure(mut op: impl FnMut(u32)) -> Timing {
+    let mut means: Vec<f64> = (0..WARMUP_BATCHES + MEASURED_BATCHES)
+        .map(|_| mean_ns(&mut op))
+        .collect();
+    means.drain(..WARMUP_BATCHES);
     means.sort_by(f64::total_cmp);
-    Time {
-        median: means[BATCHES / 2],
-        p95: means[BATCHES * 95 / 100],
+    Timing {
+        median: means[MEASURED_BATCHES / 2],
+        p95: means[MEASURED_BATCHES * 95 / 100],
     }
 }
 
-fn batch(work: &mut impl FnMut(u32)) -> f64 {
+fn mean_ns(op: &mut impl FnMut(u32)) -> f64 {
     let start = Instant::now();
-    for n in 0..BATCH {
-        work(n);
+    for n in 0..OPS_PER_BATCH {
+        op(n);
     }
-    start.elapsed().as_secs_f64() * 1e9 / f64::from(BATCH)
+    start.elapsed().as_secs_f64() * 1e9 / f64::from(OPS_PER_BATCH)
 }
--- a/crates/policy/benches/router_cost/cost.rs
+++ b/crates/policy/benches/router_cost/cost.rs
@@ -1,4 +1,4 @@
-//! Time of choices and reports at four sizes of each count.
+//! Time of decisions and reports at four counts of upstreams and of adapters.
 
 use std::hint::black_box;
 
@@ -9,55 +9,58 @@
 use pumicecleat_types::Millis;
 use serde_json::json;
 
-use crate::clock::{Time, time};
-use crate::fleet::{POOL, Popularity, Size, figures, resident, rng, router};
+use crate::clock::{Timing, measure};
+use crate::fleet::{FleetSize, POOL, Popularity, figures, resident, rng, router};
 
-/// Upstreams, each at the full count of adapters.
+/// Counts of upstreams, each measured with the most adapters.
 const UPSTREAMS: [u32; 4] = [975, 1_950, 3_900, 7_800];
 
-/// Adapters, each at the full count of upstreams.
+/// Counts of adapters, each measured with the most upstreams.
 const LORAS: [u32; 4] = [3_000, 6_000, 12_000, 24_000];
 
-/// Time of a choice that is too long, nanoseconds.
-const LIMIT: f64 = 5_000.0;
+/// Decisions must take less than this, nanoseconds.
+const MAX_CHOICE_NS: f64 = 5_000.0;
 
-/// Length of the traces.
-const TRACE: u32 = 1_000;
+/// Queries in a trace.
+const TRACE_LEN: u32 = 1_000;
 
-/// Runs all; whether the bounds hold.
+/// Runs all measurements; returns whether the bounds hold.
 pub fn run() -> bool {
     let by_upstreams = UPSTREAMS.map(|upstreams| {
         let loras = LORAS[3];
-        size(Size { upstreams, loras })
+        measure_size(FleetSize { upstreams, loras })
     });
     let by_loras = LORAS.map(|loras| {
         let upstreams = UPSTREAMS[3];
-        size(Size { upstreams, loras })
+        measure_size(FleetSize { upstreams, loras })
     });
-    let fast = by_upstreams.iter().chain(&by_loras).all(|&ns| ns < LIMIT);
+    let within_limit = by_upstreams
+        .iter()
+        .chain(&by_loras)
+        .all(|&ns| ns < MAX_CHOICE_NS);
     let growth = [by_upstreams[3] / by_upstreams[0], by_loras[3] / by_loras[0]];
     let count = f64::from(UPSTREAMS[3]) / f64::from(UPSTREAMS[0]);
-    let slow_growth = growth.iter().all(|&g| g < count);
+    let sublinear = growth.iter().all(|&g| g < count);
     println!(
         "{}",
         json!({"bench": "growth", "count_times": count, "cost_times_by_upstreams": growth[0],
-            "cost_times_by_adapters": growth[1], "under_5_us": fast, "slower": slow_growth})
+            "cost_times_by_adapters": growth[1], "under_5_us": within_limit, "slower": sublinear})
     );
-    fast && slow_growth
+    within_limit && sublinear
 }
 
-/// Measures one size; the slowest median of the choices, nanoseconds.
-fn size(size: Size) -> f64 {
+/// Measures one fleet size; returns the slowest median of the decisions, nanoseconds.
+fn measure_size(size: FleetSize) -> f64 {
     let mut router = router(size, RouterOptions::default());
-    let warm = warm_trace(size);
-    let cold: Vec<LoraIx> = (0..TRACE)
-        .map(|n| LoraIx(n * (size.loras / TRACE)))
+    let by_popularity = popularity_trace(size);
+    let uniform: Vec<LoraIx> = (0..TRACE_LEN)
+        .map(|n| LoraIx(n * (size.loras / TRACE_LEN)))
         .collect();
     let choices = [
-        ("choose, by popularity", choose(&mut router, &warm)),
-        ("choose, any adapter", choose(&mut router, &cold)),
-        ("choose, sent, ended", attempt(&mut router, &warm)),
-        ("choose, plain service", plain(&mut router)),
+        ("choose, by popularity", choose(&mut router, &by_popularity)),
+        ("choose, any adapter", choose(&mut router, &uniform)),
+        ("choose, sent, ended", attempt(&mut router, &by_popularity)),
+        ("choose, plain service", choose_without_adapter(&mut router)),
     ];
     let reports = [
         ("report, resident unchanged", report(&mut router, size)),
@@ -76,13 +79,13 @@
     choices.iter().map(|(_, t)| t.median).fold(0.0, f64::max)
 }
 
-fn warm_trace(size: Size) -> Vec<LoraIx> {
+fn popularity_trace(size: FleetSize) -> Vec<LoraIx> {
     let popularity = Popularity::new(size.loras);
     let mut rng = rng(2);
-    (0..TRACE).map(|_| popularity.draw(&mut rng)).collect()
+    (0..TRACE_LEN).map(|_| popularity.draw(&mut rng)).collect()
 }
 
-fn ask(lora: Option<LoraIx>) -> RouteQuery<'static> {
+fn query(lora: Option<LoraIx>) -> RouteQuery<'static> {
     RouteQuery {
         pool: POOL,
         lora,
@@ -95,47 +98,47 @@
     }
 }
 
-fn choose(router: &mut Router, trace: &[LoraIx]) -> Time {
-    time(|n| {
-        let ask = ask(Some(trace[n as usize]));
-        black_box(router.choose(&ask, Millis(1)));
+fn choose(router: &mut Router, trace: &[LoraIx]) -> Timing {
+    measure(|n| {
+        let query = query(Some(trace[n as usize]));
+        black_box(router.choose(&query, Millis(1)));
     })
 }
 
-fn plain(router: &mut Router) -> Time {
-    time(|_| {
-        black_box(router.choose(&ask(None), Millis(1)));
+fn choose_without_adapter(router: &mut Router) -> Timing {
+    measure(|_| {
+        black_box(router.choose(&query(None), Millis(1)));
     })
 }
 
-fn attempt(router: &mut Router, trace: &[LoraIx]) -> Time {
-    time(|n| {
+fn attempt(router: &mut Router, trace: &[LoraIx]) -> Timing {
+    measure(|n| {
         let lora = Some(trace[n as usize]);
-        if let RouteDecision::Send(pick) = router.choose(&ask(lora), Millis(1)) {
-            router.record_send(pick.up, lora, Millis(1));
-            router.record_outcome(pick.up, lora, AttemptOutcome::Completed, Millis(1));
+        if let RouteDecision::Send(selected) = router.choose(&query(lora), Millis(1)) {
+            router.record_send(selected.up, lora, Millis(1));
+            router.record_outcome(selected.up, lora, AttemptOutcome::Completed, Millis(1));
         }
     })
 }
 
-fn report(router: &mut Router, size: Size) -> Time {
+fn report(router: &mut Router, size: FleetSize) -> Timing {
     let mut rng = rng(3);
     let figures = figures(&mut rng);
-    time(|n| {
+    measure(|n| {
         let up = UpstreamIx(n * 7 % size.upstreams);
         router.report(up, POOL, &figures, None, None, Millis(1));
     })
 }
 
-fn report_resident(router: &mut Router, size: Size) -> Time {
+fn report_resident(router: &mut Router, size: FleetSize) -> Timing {
     let mut rng = rng(4);
     let popularity = Popularity::new(size.loras);
-    let sets: Vec<Vec<LoraIx>> = (0..TRACE)
+    let sets: Vec<Vec<LoraIx>> = (0..TRACE_LEN)
         .map(|_| resident(&popularity, &mut rng))
         .collect();
     let figures = figures(&mut rng);
     let mut next = 0;
-    time(|n| {
+    measure(|n| {
         next += 1;
         let up = UpstreamIx(n * 7 % size.upstreams);
         let set = &sets[next % (sets.len() - 1)];
--- a/crates/policy/benches/router_cost/fleet.rs
+++ b/crates/policy/benches/router_cost/fleet.rs
@@ -1,58 +1,57 @@
-//! A router that knows a fleet, and a seeded trace of skewed asks.
+//! A router that knows a fleet, and seeded adapters drawn by a skewed popularity.
 
 use pumicecleat_policy::{LoraIx, PoolIx, Router, RouterOptions, UpstreamIx, UpstreamStatus};
 use pumicecleat_types::{LoadFigures, Millis};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Pool of the whole fleet: the worst case, as pools split it.
+/// One pool with the whole fleet, which is the worst case: several pools would split it.
 pub const POOL: PoolIx = PoolIx(0);
 
 /// Adapter slots of an engine.
 pub const SLOTS: u32 = 8;
 
-/// Skew of the popularity.
-const SKEW: f64 = 1.0;
+/// Exponent of the popularity distribution.
+const ZIPF_EXPONENT: f64 = 1.0;
 
-/// Counts of a fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FleetSize {
     pub upstreams: u32,
     pub loras: u32,
 }
 
-/// Draws adapters, the first the most popular.
+/// Zipf distribution of adapters; the first one is the most popular.
 pub struct Popularity {
-    sums: Vec<f64>,
+    cumulative: Vec<f64>,
 }
 
 impl Popularity {
     pub fn new(loras: u32) -> Self {
         let mut sum = 0.0;
-        let weights = (1..=loras).map(|rank| f64::from(rank).powf(-SKEW));
-        let sums = weights.map(|w| {
+        let weights = (1..=loras).map(|rank| f64::from(rank).powf(-ZIPF_EXPONENT));
+        let cumulative = weights.map(|w| {
             sum += w;
             sum
         });
         Self {
-            sums: sums.collect(),
+            cumulative: cumulative.collect(),
         }
     }
 
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> LoraIx {
-        let total = self.sums.last().copied().unwrap_or(0.0);
+        let total = self.cumulative.last().copied().unwrap_or(0.0);
         let at = rng.random_range(0.0..total);
-        let rank = self.sums.partition_point(|&s| s <= at);
+        let rank = self.cumulative.partition_point(|&s| s <= at);
         LoraIx(u32::try_from(rank).expect("fits"))
     }
 }
 
-/// Seeded generator.
 pub fn rng(seed: u64) -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
 
-/// Figures of a half busy engine.
+/// Random status of a partly loaded engine.
 pub fn figures(rng: &mut ChaCha8Rng) -> UpstreamStatus {
     let load = LoadFigures {
         running: rng.random_range(0..8),
@@ -70,13 +69,13 @@
     }
 }
 
-/// Adapters resident at one engine: drawn by popularity.
+/// Random adapters resident at one engine, by popularity.
 pub fn resident(popularity: &Popularity, rng: &mut ChaCha8Rng) -> Vec<LoraIx> {
     (0..SLOTS).map(|_| popularity.draw(rng)).collect()
 }
 
-/// Router with every upstream of `size` reported.
-pub fn router(size: Size, options: RouterOptions) -> Router {
+/// Router that has a report of every upstream in a fleet of this size.
+pub fn router(size: FleetSize, options: RouterOptions) -> Router {
     let mut rng = rng(1);
     let popularity = Popularity::new(size.loras);
     let mut router = Router::new_ext(options);
--- a/crates/policy/benches/router_cost/groups.rs
+++ b/crates/policy/benches/router_cost/groups.rs
@@ -1,15 +1,15 @@
-//! The other way weighed: rendezvous hashing in two levels, by groups, and its plain form with one
-//! group.
+//! Two-level rendezvous hashing by groups, compared with the hash ring. With one group, it is plain
+//! rendezvous hashing.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Upstreams in groups by their keys.
+/// Upstreams grouped by their keys.
 pub struct Groups {
     groups: Vec<Vec<u64>>,
 }
 
 impl Groups {
-    /// Groups of `keys`, as many as `count`, fixed in advance at every entry.
+    /// Divides `keys` into `count` groups; the count is the same at every entry.
     pub fn new(keys: &[u64], count: usize) -> Self {
         let mut groups = vec![Vec::new(); count];
         for &key in keys {
@@ -19,11 +19,12 @@
         Self { groups }
     }
 
-    /// Homes of an adapter: the best upstream of each of its `count` best groups with any.
+    /// Homes of an adapter: the highest ranked upstream of each of its `count` highest ranked
+    /// non-empty groups.
     pub fn homes(&self, lora: u64, count: usize) -> Vec<u64> {
         let rank = |n: u64| xxh3_64_with_seed(&lora.to_le_bytes(), n);
-        let used = (0..self.groups.len()).filter(|&g| !self.groups[g].is_empty());
-        let mut ranked: Vec<(u64, usize)> = used.map(|g| (rank(g as u64), g)).collect();
+        let non_empty = (0..self.groups.len()).filter(|&g| !self.groups[g].is_empty());
+        let mut ranked: Vec<(u64, usize)> = non_empty.map(|g| (rank(g as u64), g)).collect();
         if ranked.len() > count {
             ranked.select_nth_unstable_by(count, |a, b| b.cmp(a));
             ranked.truncate(count);
--- a/crates/policy/benches/router_cost/main.rs
+++ b/crates/policy/benches/router_cost/main.rs
@@ -1,8 +1,8 @@
-//! Cost of the router: time of a choice and of a report at four sizes of each count, memory, and how
-//! well homes are spread and agreed on, beside the ways that were weighed.
+//! Cost of the router: time of a decision and of a report at four counts of upstreams and of
+//! adapters, memory, and how well homes are spread and agreed on, compared with rendezvous hashing.
 //!
-//! Prints JSON lines. Ends with an error if a choice takes 5 microseconds or more, or if its cost
-//! grows as fast as a count.
+//! Prints JSON lines. Exits with an error if a decision takes 5 microseconds or more, or if its
+//! time grows as fast as the count of upstreams or adapters.
 
 mod clock;
 mod cost;
--- a/crates/policy/benches/router_trial/engine.rs
+++ b/crates/policy/benches/router_trial/engine.rs
@@ -1,5 +1,4 @@
-//! Model of one engine with its side: a batch, a queue, slots, and a freeze in which no answer
-//! begins.
+//! Model of one engine with its side: a batch, a queue and adapter slots.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,97 +6,97 @@
 use pumicecleat_types::LoadFigures;
 
 /// Requests that run at once.
-pub const BATCH: usize = 8;
+pub const BATCH_SIZE: usize = 8;
 
 /// Adapter slots.
 pub const SLOTS: usize = 8;
 
 /// Mean run time of a request, milliseconds.
-pub const SERVICE: u64 = 2_000;
+pub const SERVICE_MS: u64 = 2_000;
 
 /// Step time, milliseconds.
-pub const STEP: u64 = 10;
+pub const STEP_MS: u64 = 10;
 
 /// One engine.
 #[derive(Default)]
 pub struct Engine {
-    /// Attempts that run, with their adapters.
+    /// Running attempts with their adapters.
     pub running: BTreeMap<usize, LoraIx>,
     queue: VecDeque<(usize, LoraIx)>,
-    /// Resident adapters with the time from which they are usable, least recently used first.
+    /// Adapters in slots with the time from which they are usable, least recently used first.
     slots: Vec<(LoraIx, u64)>,
 }
 
-/// An attempt that begins to run.
-pub struct Begun {
+/// Attempt that has started to run.
+pub struct StartedAttempt {
     pub attempt: usize,
     /// Time from which its adapter is usable.
-    pub ready: u64,
+    pub ready_at: u64,
 }
 
-/// The weight store: one load at a time.
+/// Weight store, which serves one load at a time.
 pub struct Store {
-    pub load: u64,
-    pub free: u64,
-    pub loads: u64,
+    pub load_ms: u64,
+    pub free_at: u64,
+    pub load_count: u64,
 }
 
 impl Store {
     fn load(&mut self, now: u64) -> u64 {
-        self.free = self.free.max(now) + self.load;
-        self.loads += 1;
-        self.free
+        self.free_at = self.free_at.max(now) + self.load_ms;
+        self.load_count += 1;
+        self.free_at
     }
 }
 
 impl Engine {
-    /// Holds an adapter from the start, if there is a slot left.
-    pub fn warm(&mut self, lora: LoraIx) {
+    /// Makes an adapter resident from the start of the run, if there is a free slot.
+    pub fn preload(&mut self, lora: LoraIx) {
         if self.slots.len() < SLOTS {
             self.slots.push((lora, 0));
         }
     }
 
-    pub fn push(&mut self, attempt: usize, lora: LoraIx) {
+    pub fn enqueue(&mut self, attempt: usize, lora: LoraIx) {
         self.queue.push_back((attempt, lora));
     }
 
-    /// Takes an attempt out, whether it runs or waits.
+    /// Removes an attempt, whether it is running or queued.
     pub fn remove(&mut self, attempt: usize) {
         self.running.remove(&attempt);
         self.queue.retain(|q| q.0 != attempt);
     }
 
-    /// Begins what fits into the batch.
-    pub fn begin(&mut self, store: &mut Store, now: u64) -> Vec<Begun> {
-        let mut begun = Vec::new();
-        while self.running.len() < BATCH {
+    /// Starts queued attempts while the batch has room.
+    pub fn start_queued(&mut self, store: &mut Store, now: u64) -> Vec<StartedAttempt> {
+        let mut started = Vec::new();
+        while self.running.len() < BATCH_SIZE {
             let Some((attempt, lora)) = self.queue.pop_front() else {
                 break;
             };
-            let ready = self.hold(lora, store, now);
+            let ready_at = self.ensure_resident(lora, store, now);
             self.running.insert(attempt, lora);
-            begun.push(Begun { attempt, ready });
+            started.push(StartedAttempt { attempt, ready_at });
         }
-        begun
+        started
     }
 
-    fn hold(&mut self, lora: LoraIx, store: &mut Store, now: u64) -> u64 {
+    fn ensure_resident(&mut self, lora: LoraIx, store: &mut Store, now: u64) -> u64 {
         if let Some(at) = self.slots.iter().position(|s| s.0 == lora) {
             let slot = self.slots.remove(at);
             self.slots.push(slot);
             return slot.1;
         }
         if self.slots.len() >= SLOTS {
-            let unused = self.slots.iter().position(|s| !self.uses(s.0));
+            let unused = self.slots.iter().position(|s| !self.is_in_use(s.0));
             self.slots.remove(unused.unwrap_or(0));
         }
-        let ready = store.load(now);
-        self.slots.push((lora, ready));
-        ready
+        let ready_at = store.load(now);
+        self.slots.push((lora, ready_at));
+        ready_at
     }
 
-    fn uses(&self, lora: LoraIx) -> bool {
+    fn is_in_use(&self, lora: LoraIx) -> bool {
         self.running.values().any(|&l| l == lora)
     }
 
@@ -113,15 +112,15 @@
     }
 
     pub fn figures(&self) -> UpstreamStatus {
-        let spare = self.slots.iter().filter(|s| !self.uses(s.0)).count();
-        let wait = self.queue.len() as u64 * SERVICE / BATCH as u64;
+        let spare = self.slots.iter().filter(|s| !self.is_in_use(s.0)).count();
+        let wait = self.queue.len() as u64 * SERVICE_MS / BATCH_SIZE as u64;
         let load = LoadFigures {
-            running: short(self.running.len()),
-            waiting: short(self.queue.len()),
-            batch: short(BATCH),
-            slots: short(SLOTS),
-            spare: short(spare + SLOTS - self.slots.len()),
-            step_us: short(usize::try_from(STEP).unwrap_or(0) * 1_000),
+            running: to_u32(self.running.len()),
+            waiting: to_u32(self.queue.len()),
+            batch: to_u32(BATCH_SIZE),
+            slots: to_u32(SLOTS),
+            spare: to_u32(spare + SLOTS - self.slots.len()),
+            step_us: to_u32(usize::try_from(STEP_MS).unwrap_or(0) * 1_000),
             wait_ms: u32::try_from(wait).unwrap_or(u32::MAX),
         };
         UpstreamStatus {
@@ -132,6 +131,6 @@
     }
 }
 
-fn short(n: usize) -> u32 {
+fn to_u32(n: usize) -> u32 {
     u32::try_from(n).unwrap_or(u32::MAX)
 }
--- a/crates/policy/benches/router_trial/main.rs
+++ b/crates/policy/benches/router_trial/main.rs
@@ -1,5 +1,5 @@
-//! Trial of the router over ten seeds: engines that freeze, with and without the demotion of stalled
-//! upstreams, and busy sites under other settings. Prints JSON lines.
+//! Simulates sites with the router over ten seeds: engines that freeze, with and without demotion
+//! of stalled upstreams, and busy sites with different settings. Prints JSON lines.
 
 mod engine;
 mod site;
@@ -9,93 +9,93 @@
 use pumicecleat_types::Millis;
 use serde_json::json;
 
-use site::{LONG, SHORT, Site, Tally};
-use trial::{HEADER, run};
+use site::{LONG_FREEZE_MS, SHORT_FREEZES_MS, Site, Tally};
+use trial::{HEADER_TIMEOUT_MS, run};
 
-/// Seeds of each figure.
+/// Seeds for each result.
 const SEEDS: u64 = 10;
 
-/// A site of today's size.
+/// Site with few engines.
 const SMALL: Site = Site {
     name: "small, frozen engine reports",
     entries: 3,
     engines: 9,
     loras: 80,
-    rate: 10.0,
-    load: 500,
-    frozen: 1,
-    freezes: &LONG,
-    reports: true,
+    requests_per_second: 10.0,
+    load_ms: 500,
+    frozen_engines: 1,
+    freezes_ms: &LONG_FREEZE_MS,
+    frozen_report: true,
 };
 
-/// A larger site, with a faster store.
+/// Site with many engines and a faster store.
 const LARGE: Site = Site {
     name: "large, ten frozen engines report",
     entries: 8,
     engines: 200,
     loras: 1_800,
-    rate: 220.0,
-    load: 50,
-    frozen: 10,
-    freezes: &LONG,
-    reports: true,
+    requests_per_second: 220.0,
+    load_ms: 50,
+    frozen_engines: 10,
+    freezes_ms: &LONG_FREEZE_MS,
+    frozen_report: true,
 };
 
 const SITES: [Site; 6] = [
     SMALL,
     Site {
         name: "small, frozen engine silent",
-        reports: false,
+        frozen_report: false,
         ..SMALL
     },
     Site {
         name: "small, short freezes",
-        freezes: &SHORT,
+        freezes_ms: &SHORT_FREEZES_MS,
         ..SMALL
     },
     Site {
         name: "small, none frozen",
-        frozen: 0,
+        frozen_engines: 0,
         ..SMALL
     },
     LARGE,
     Site {
         name: "large, none frozen",
-        frozen: 0,
+        frozen_engines: 0,
         ..LARGE
     },
 ];
 
-/// Busy sites without a fault, for the settings.
+/// Busy sites without frozen engines, to compare settings.
 const BUSY: [Site; 2] = [
     Site {
         name: "small, busy",
-        frozen: 0,
-        rate: 18.0,
+        frozen_engines: 0,
+        requests_per_second: 18.0,
         ..SMALL
     },
     Site {
         name: "large, busy",
-        frozen: 0,
-        rate: 450.0,
+        frozen_engines: 0,
+        requests_per_second: 450.0,
         ..LARGE
     },
 ];
 
 fn main() {
     for site in SITES {
-        for (way, options) in demotions() {
-            print("stall", site, way, options);
+        for (way, options) in demotion_settings() {
+            print_results("stall", site, way, options);
         }
     }
     for site in BUSY {
         for (way, options) in settings() {
-            print("settings", site, way, options);
+            print_results("settings", site, way, options);
         }
     }
 }
 
-/// One setting changed at a time.
+/// Settings to compare, with one changed at a time.
 fn settings() -> [(&'static str, RouterOptions); 8] {
     let base = RouterOptions::default();
     let holders = |holders| RouterOptions {
@@ -122,47 +122,59 @@
     ]
 }
 
-/// No demotion, the rule of one header timeout, and what was tried beyond it.
-fn demotions() -> [(&'static str, RouterOptions); 5] {
-    let demoted = |demote: Option<u64>, most: u64, probe| RouterOptions {
+/// Demotion settings to compare: none, one header timeout, and longer ones.
+fn demotion_settings() -> [(&'static str, RouterOptions); 5] {
+    let options_with = |demote: Option<u64>, most: u64, probe| RouterOptions {
         initial_demotion: demote.map(Millis),
         max_demotion: Millis(most),
         single_probe: probe,
         ..RouterOptions::default()
     };
-    let long = 8 * HEADER;
+    let max_demotion = 8 * HEADER_TIMEOUT_MS;
     [
-        ("no demotion", demoted(None, HEADER, false)),
-        ("one header timeout", demoted(Some(HEADER), HEADER, false)),
-        ("eight header timeouts", demoted(Some(long), long, false)),
-        ("doubling up to eight", demoted(Some(HEADER), long, false)),
-        ("doubling, one probe", demoted(Some(HEADER), long, true)),
+        ("no demotion", options_with(None, HEADER_TIMEOUT_MS, false)),
+        (
+            "one header timeout",
+            options_with(Some(HEADER_TIMEOUT_MS), HEADER_TIMEOUT_MS, false),
+        ),
+        (
+            "eight header timeouts",
+            options_with(Some(max_demotion), max_demotion, false),
+        ),
+        (
+            "doubling up to eight",
+            options_with(Some(HEADER_TIMEOUT_MS), max_demotion, false),
+        ),
+        (
+            "doubling, one probe",
+            options_with(Some(HEADER_TIMEOUT_MS), max_demotion, true),
+        ),
     ]
 }
 
-fn print(bench: &str, site: Site, way: &str, options: RouterOptions) {
+fn print_results(bench: &str, site: Site, way: &str, options: RouterOptions) {
     let mut tallies: Vec<Tally> = (0..SEEDS).map(|seed| run(site, options, seed)).collect();
     for tally in &mut tallies {
-        tally.waits.sort_unstable();
+        tally.waits_ms.sort_unstable();
     }
-    let spread = |figure: &dyn Fn(&Tally) -> u64| {
-        let mut all: Vec<u64> = tallies.iter().map(figure).collect();
-        all.sort_unstable();
-        let mean = all.iter().sum::<u64>() / SEEDS;
-        json!({"mean": mean, "least": all[0], "most": all[all.len() - 1]})
+    let spread = |value: &dyn Fn(&Tally) -> u64| {
+        let mut values: Vec<u64> = tallies.iter().map(value).collect();
+        values.sort_unstable();
+        let mean = values.iter().sum::<u64>() / SEEDS;
+        json!({"mean": mean, "least": values[0], "most": values[values.len() - 1]})
     };
     println!(
         "{}",
         json!({"bench": bench, "site": site.name, "way": way, "seeds": SEEDS,
-            "hits": spread(&|t| t.hits), "failed": spread(&|t| t.failed),
+            "hits": spread(&|t| t.frozen_hits), "failed": spread(&|t| t.failed),
             "requests": spread(&|t| t.requests), "loads": spread(&|t| t.loads),
-            "wait_p50_ms": spread(&|t| quantile(&t.waits, 50)),
-            "wait_p95_ms": spread(&|t| quantile(&t.waits, 95)),
-            "wait_p99_ms": spread(&|t| quantile(&t.waits, 99))})
+            "wait_p50_ms": spread(&|t| percentile(&t.waits_ms, 50)),
+            "wait_p95_ms": spread(&|t| percentile(&t.waits_ms, 95)),
+            "wait_p99_ms": spread(&|t| percentile(&t.waits_ms, 99))})
     );
 }
 
-fn quantile(sorted: &[u64], percent: usize) -> u64 {
+fn percentile(sorted: &[u64], percent: usize) -> u64 {
     sorted
         .get(sorted.len() * percent / 100)
         .copied()
--- a/crates/policy/src/router/rank.rs
+++ b/crates/policy/src/router/rank.rs
@@ -26,8 +26,8 @@
         let pool = self.pools.get(query.pool.0 as usize)?;
         let untried = pool.fresh.iter().filter(|u| !query.tried.contains(u));
         let ready = untried.filter(|u| self.class(query, **u, now) == Some(CandidateClass::Ready));
-        let picks = ready.filter_map(|&up| self.select_timely(query, up, now));
-        picks.max_by_key(|p| self.rendezvous_rank(p.up, key))
+        let selected = ready.filter_map(|&up| self.select_timely(query, up, now));
+        selected.max_by_key(|p| self.rendezvous_rank(p.up, key))
     }
 
     fn select_timely(
--- a/crates/policy/tests/router_budget.rs
+++ b/crates/policy/tests/router_budget.rs
@@ -1,4 +1,5 @@
-//! Retries never exceed the burst and the share of requests, over any stretch of time.
+//! Bounds of the retry budget: over any period, retries never exceed the burst plus the share of
+//! requests.
 
 use proptest::prelude::*;
 use pumicecleat_policy::{RetryBudget, RetryBudgetOptions};
--- a/crates/policy/tests/router_homes.rs
+++ b/crates/policy/tests/router_homes.rs
@@ -1,4 +1,5 @@
-//! Homes: entries agree on them, and a hot adapter gets past its first ones.
+//! Homes of adapters and affinity holders of conversations: entries agree on them, and a hot
+//! adapter spreads beyond its first homes.
 
 use pumicecleat_policy::{
     LoraIx, PoolIx, RouteDecision, RouteQuery, Router, RouterOptions, UpstreamIx, UpstreamStatus,
@@ -23,7 +24,7 @@
     }
 }
 
-/// Entry that knows these VMs, and has adapters by indices shifted by `shift`.
+/// Router of an entry that knows these VMs, with adapter indices shifted by `shift`.
 fn entry(seed: u64, vms: &[u32], shift: u32) -> Router {
     let options = RouterOptions {
         seed,
@@ -42,15 +43,15 @@
 }
 
 fn chosen(router: &mut Router, lora: u32, now: Millis) -> UpstreamIx {
-    let ask = RouteQuery {
+    let query = RouteQuery {
         pool: POOL,
         lora: Some(LoraIx(lora)),
         prompt: None,
         time_left: Millis(60_000),
         tried: &[],
     };
-    match router.choose(&ask, now) {
-        RouteDecision::Send(pick) => pick.up,
+    match router.choose(&query, now) {
+        RouteDecision::Send(selected) => selected.up,
         RouteDecision::Refuse { .. } => panic!("refused"),
     }
 }
@@ -98,66 +99,75 @@
     assert_eq!(wait(&router, Millis(1_101)), idle);
 }
 
-/// Conversations of a case.
-const ROOTS: u64 = 2_000;
+/// Conversations in a case.
+const CONVERSATIONS: u64 = 2_000;
 
-struct Meeting {
-    /// VMs that hold the adapter, one in so many.
-    each: u32,
-    /// Least part of conversations on which entries agree, and most that one holder gets, percent.
-    agree: usize,
-    most: usize,
+struct AffinityCase {
+    /// One in this many VMs holds the adapter.
+    holder_interval: u32,
+    /// Smallest share of conversations on which entries must agree, percent.
+    min_agreement: usize,
+    /// Largest share of conversations that one holder may get, percent.
+    max_share: usize,
 }
 
 #[rustfmt::skip]
-const MEETINGS: &[Meeting] = &[
-    Meeting { each: 66, agree: 100, most: 25 },
-    Meeting { each: 20, agree: 100, most: 10 },
-    Meeting { each: 2, agree: 95, most: 3 },
+const AFFINITY_CASES: &[AffinityCase] = &[
+    AffinityCase { holder_interval: 66, min_agreement: 100, max_share: 25 },
+    AffinityCase { holder_interval: 20, min_agreement: 100, max_share: 10 },
+    AffinityCase { holder_interval: 2, min_agreement: 95, max_share: 3 },
 ];
 
-/// Names of the VMs at which conversations meet, at an entry that knows these VMs.
-fn meetings(vms: &[u32], each: u32, gone: Option<u32>) -> Vec<u32> {
+/// VMs that conversations are assigned to, at an entry that knows these VMs.
+fn affinity_holders(vms: &[u32], holder_interval: u32, removed_vm: Option<u32>) -> Vec<u32> {
     let mut router = entry(1, vms, 0);
     for (ix, vm) in (0..).map(UpstreamIx).zip(vms) {
-        let holds = vm % each == 0 && Some(*vm) != gone;
+        let holds = vm % holder_interval == 0 && Some(*vm) != removed_vm;
         let resident: &[LoraIx] = if holds { &[LoraIx(0)] } else { &[] };
         router.report(ix, POOL, &figures(0), Some(resident), None, Millis(0));
     }
-    let meeting = |root| {
+    let holder = |hash| {
         router
-            .affinity_holder(POOL, LoraIx(0), root)
+            .affinity_holder(POOL, LoraIx(0), hash)
             .expect("a holder")
     };
     let vm = |up: UpstreamIx| vms[up.0 as usize];
-    (0..ROOTS)
-        .map(|root| vm(meeting(root.wrapping_mul(0x9E37_79B9_7F4A_7C15))))
+    (0..CONVERSATIONS)
+        .map(|hash| vm(holder(hash.wrapping_mul(0x9E37_79B9_7F4A_7C15))))
         .collect()
 }
 
 #[test]
-fn conversations_meet_at_one_holder_whatever_entry_they_come_to() {
+fn conversations_have_one_affinity_holder_at_every_entry() {
     let one: Vec<u32> = (0..398).collect();
     let other: Vec<u32> = (1..398).rev().chain([0, 401]).collect();
-    for Meeting { each, agree, most } in MEETINGS {
-        let here = meetings(&one, *each, None);
-        let there = meetings(&other, *each, None);
-        let same = here.iter().zip(&there).filter(|(a, b)| a == b).count();
+    for AffinityCase {
+        holder_interval,
+        min_agreement,
+        max_share,
+    } in AFFINITY_CASES
+    {
+        let ours = affinity_holders(&one, *holder_interval, None);
+        let theirs = affinity_holders(&other, *holder_interval, None);
+        let same = ours.iter().zip(&theirs).filter(|(a, b)| a == b).count();
         assert!(
-            same * 100 >= agree * here.len(),
-            "{same} with one in {each}"
+            same * 100 >= min_agreement * ours.len(),
+            "{same} with one in {holder_interval}"
         );
 
-        let first = here[0];
-        let count = |vm: u32| here.iter().filter(|m| **m == vm).count();
+        let first = ours[0];
+        let count = |vm: u32| ours.iter().filter(|m| **m == vm).count();
         let busiest = one.iter().map(|vm| count(*vm)).max().unwrap();
         assert!(
-            busiest * 100 <= most * here.len(),
-            "{busiest} with one in {each}"
+            busiest * 100 <= max_share * ours.len(),
+            "{busiest} with one in {holder_interval}"
         );
 
-        let after = meetings(&one, *each, Some(first));
-        let mut pairs = here.iter().zip(&after);
-        assert!(pairs.all(|(a, b)| a == b || *a == first), "one in {each}");
+        let after = affinity_holders(&one, *holder_interval, Some(first));
+        let mut pairs = ours.iter().zip(&after);
+        assert!(
+            pairs.all(|(a, b)| a == b || *a == first),
+            "one in {holder_interval}"
+        );
     }
 }
--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -1,4 +1,4 @@
-//! The router against a naive one that scans every upstream.
+//! Compares the router with a naive one that scans every upstream.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
-const UPS: u32 = 12;
+const UPSTREAMS: u32 = 12;
 const LORAS: u32 = 5;
 const POOLS: u32 = 2;
 
@@ -36,62 +36,70 @@
     },
 }
 
-/// Order in which upstreams may be chosen.
+/// Preference between upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Rank {
+enum CandidateClass {
     Ready,
     Stalled,
     Suspect,
 }
 
-/// Naive view of one upstream.
+/// State of one upstream in the naive router.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct UpstreamState {
     pool: u32,
     usable: bool,
     suspect: bool,
-    heard: u64,
-    until: u64,
-    probe: Option<u64>,
-    stalls: u32,
+    last_seen: u64,
+    demoted_until: u64,
+    probe_sent_at: Option<u64>,
+    consecutive_stalls: u32,
     resident: Vec<LoraIx>,
     loading: Option<LoraIx>,
-    coming: Vec<(LoraIx, u64)>,
+    pending_loads: Vec<(LoraIx, u64)>,
 }
 
 #[derive(Default)]
-struct Naive {
-    pack: Millis,
-    ups: BTreeMap<u32, Seen>,
+struct NaiveRouter {
+    idle_penalty: Millis,
+    ups: BTreeMap<u32, UpstreamState>,
     leaving: Vec<u32>,
 }
 
-impl Naive {
-    fn rank(&self, up: u32, now: u64, o: &RouterOptions) -> Option<Rank> {
-        let seen = self.ups.get(&up)?;
-        let probed = seen.probe.is_some_and(|at| now - at < o.max_demotion.0);
-        match seen {
-            _ if self.leaving.contains(&up) || !seen.usable => None,
-            _ if seen.suspect => Some(Rank::Suspect),
-            _ if seen.until > now || probed => Some(Rank::Stalled),
-            _ => Some(Rank::Ready),
+impl NaiveRouter {
+    fn class(&self, up: u32, now: u64, options: &RouterOptions) -> Option<CandidateClass> {
+        let state = self.ups.get(&up)?;
+        let is_probing = state
+            .probe_sent_at
+            .is_some_and(|at| now - at < options.max_demotion.0);
+        match state {
+            _ if self.leaving.contains(&up) || !state.usable => None,
+            _ if state.suspect => Some(CandidateClass::Suspect),
+            _ if state.demoted_until > now || is_probing => Some(CandidateClass::Stalled),
+            _ => Some(CandidateClass::Ready),
         }
     }
 
-    fn open(&self, pool: u32, now: u64, o: &RouterOptions) -> Vec<(Rank, UpstreamIx)> {
+    fn candidates(
+        &self,
+        pool: u32,
+        now: u64,
+        options: &RouterOptions,
+    ) -> Vec<(CandidateClass, UpstreamIx)> {
         let all = self.ups.iter().filter(|(_, s)| s.pool == pool);
-        let ranked = all.filter_map(|(&up, _)| Some((self.rank(up, now, o)?, UpstreamIx(up))));
-        ranked.collect()
+        let classed =
+            all.filter_map(|(&up, _)| Some((self.class(up, now, options)?, UpstreamIx(up))));
+        classed.collect()
     }
 
     fn holds(&self, up: u32, lora: LoraIx) -> bool {
         self.ups.get(&up).is_some_and(|s| {
-            let coming = s.coming.iter().any(|c| c.0 == lora);
-            coming || s.loading == Some(lora) || s.resident.contains(&lora)
+            let is_pending = s.pending_loads.iter().any(|c| c.0 == lora);
+            is_pending || s.loading == Some(lora) || s.resident.contains(&lora)
         })
     }
 
-    fn apply(&mut self, op: &Op, now: u64, o: &RouterOptions) {
+    fn apply(&mut self, op: &Op, now: u64, options: &RouterOptions) {
         match op {
             Op::Report {
                 up,
@@ -100,24 +108,24 @@
                 resident,
                 loading,
             } => {
-                let seen = self.ups.entry(*up).or_default();
-                seen.pool = *pool;
-                seen.usable = figures.healthy && !figures.leaving;
-                (seen.suspect, seen.heard) = (false, now);
+                let state = self.ups.entry(*up).or_default();
+                state.pool = *pool;
+                state.usable = figures.healthy && !figures.leaving;
+                (state.suspect, state.last_seen) = (false, now);
                 if let Some(loras) = resident {
-                    seen.resident.clone_from(loras);
+                    state.resident.clone_from(loras);
                 }
-                seen.loading = *loading;
-                let late = o.report_lag.0 + 2 * o.load_time.0;
-                let (resident, loading) = (&seen.resident, seen.loading);
-                seen.coming.retain(|&(lora, at)| {
-                    !resident.contains(&lora) && loading != Some(lora) && now - at <= late
+                state.loading = *loading;
+                let load_timeout = options.report_lag.0 + 2 * options.load_time.0;
+                let (resident, loading) = (&state.resident, state.loading);
+                state.pending_loads.retain(|&(lora, at)| {
+                    !resident.contains(&lora) && loading != Some(lora) && now - at <= load_timeout
                 });
             }
             Op::Leaving(up) => self.leaving.push(*up),
             Op::Forget(up) => self.forget(*up),
-            Op::Expire => self.expire(now, o),
-            Op::Ended(up, outcome) => self.ended(*up, *outcome, now, o),
+            Op::Expire => self.expire(now, options),
+            Op::Ended(up, outcome) => self.record_outcome(*up, *outcome, now, options),
             Op::Choose { .. } => {}
         }
     }
@@ -127,18 +135,24 @@
         self.leaving.retain(|&l| l != up);
     }
 
-    fn expire(&mut self, now: u64, o: &RouterOptions) {
-        for up in 0..UPS {
+    fn expire(&mut self, now: u64, options: &RouterOptions) {
+        for up in 0..UPSTREAMS {
             match self.ups.get_mut(&up) {
-                Some(s) if now - s.heard > o.forget_after.0 => self.forget(up),
-                Some(s) if now - s.heard > o.suspect_after.0 => s.suspect = true,
+                Some(s) if now - s.last_seen > options.forget_after.0 => self.forget(up),
+                Some(s) if now - s.last_seen > options.suspect_after.0 => s.suspect = true,
                 _ => {}
             }
         }
     }
 
-    fn ended(&mut self, up: u32, outcome: AttemptOutcome, now: u64, o: &RouterOptions) {
-        let Some(seen) = self.ups.get_mut(&up) else {
+    fn record_outcome(
+        &mut self,
+        up: u32,
+        outcome: AttemptOutcome,
+        now: u64,
+        options: &RouterOptions,
+    ) {
+        let Some(state) = self.ups.get_mut(&up) else {
             if outcome == AttemptOutcome::Refused(Reason::Leaving, None) {
                 self.leaving.push(up);
             }
@@ -146,33 +160,40 @@
         };
         match outcome {
             AttemptOutcome::Completed => {
-                (seen.stalls, seen.until, seen.probe) = (0, 0, None);
-                (seen.suspect, seen.heard) = (false, now);
+                (
+                    state.consecutive_stalls,
+                    state.demoted_until,
+                    state.probe_sent_at,
+                ) = (0, 0, None);
+                (state.suspect, state.last_seen) = (false, now);
             }
             AttemptOutcome::Refused(reason, _) => {
-                seen.heard = now;
-                seen.suspect = reason == Reason::UpstreamDown;
+                state.last_seen = now;
+                state.suspect = reason == Reason::UpstreamDown;
                 if reason == Reason::Leaving {
                     self.leaving.push(up);
                 }
             }
             AttemptOutcome::Stalled => {
-                seen.stalls += u32::from(seen.until <= now);
-                let span = o.initial_demotion.unwrap().0 << (seen.stalls - 1).min(20);
-                seen.until = seen.until.max(now + span.min(o.max_demotion.0));
-                seen.probe = None;
+                state.consecutive_stalls += u32::from(state.demoted_until <= now);
+                let duration =
+                    options.initial_demotion.unwrap().0 << (state.consecutive_stalls - 1).min(20);
+                state.demoted_until = state
+                    .demoted_until
+                    .max(now + duration.min(options.max_demotion.0));
+                state.probe_sent_at = None;
             }
-            AttemptOutcome::Failed => seen.suspect = true,
+            AttemptOutcome::Failed => state.suspect = true,
         }
     }
 
-    fn sent(&mut self, up: u32, lora: Option<LoraIx>, now: u64) {
+    fn record_send(&mut self, up: u32, lora: Option<LoraIx>, now: u64) {
         let absent = lora.filter(|&l| !self.holds(up, l));
-        let seen = self.ups.get_mut(&up).unwrap();
-        if seen.stalls > 0 && seen.until <= now {
-            seen.probe = Some(now);
+        let state = self.ups.get_mut(&up).unwrap();
+        if state.consecutive_stalls > 0 && state.demoted_until <= now {
+            state.probe_sent_at = Some(now);
         }
-        seen.coming.extend(absent.map(|l| (l, now)));
+        state.pending_loads.extend(absent.map(|l| (l, now)));
     }
 }
 
@@ -182,8 +203,8 @@
 
 fn figures() -> impl Strategy<Value = UpstreamStatus> {
     let load = (0..9_u32, 0..3_u32, 0..3_u32, 0..1_500_u32);
-    let state = (prop::bool::weighted(0.1), prop::bool::weighted(0.9));
-    (load, state).prop_map(|(load, (leaving, healthy))| {
+    let flags = (prop::bool::weighted(0.1), prop::bool::weighted(0.9));
+    (load, flags).prop_map(|(load, (leaving, healthy))| {
         let (running, waiting, spare, wait_ms) = load;
         let load = LoadFigures {
             running,
@@ -225,15 +246,15 @@
 fn op() -> impl Strategy<Value = Op> {
     let resident = prop::option::of(prop::collection::vec(lora(), 0..4));
     let report = (
-        0..UPS,
+        0..UPSTREAMS,
         0..POOLS,
         figures(),
         resident,
         prop::option::of(lora()),
     );
-    let tried = prop::collection::vec((0..UPS).prop_map(UpstreamIx), 0..4);
+    let tried = prop::collection::vec((0..UPSTREAMS).prop_map(UpstreamIx), 0..4);
     let lora = prop::option::weighted(0.8, lora());
-    let ask = (
+    let query = (
         0..POOLS,
         lora,
         prop::option::of(prompt()),
@@ -245,64 +266,73 @@
         8 => report.prop_map(|(up, pool, figures, resident, loading)| Op::Report {
             up, pool, figures, resident, loading,
         }),
-        1 => (0..UPS).prop_map(Op::Leaving),
-        1 => (0..UPS).prop_map(Op::Forget),
+        1 => (0..UPSTREAMS).prop_map(Op::Leaving),
+        1 => (0..UPSTREAMS).prop_map(Op::Forget),
         1 => Just(Op::Expire),
-        4 => (0..UPS, outcome()).prop_map(|(up, outcome)| Op::Ended(up, outcome)),
-        8 => ask.prop_map(|(pool, lora, prompt, tried, left, send)| Op::Choose {
+        4 => (0..UPSTREAMS, outcome()).prop_map(|(up, outcome)| Op::Ended(up, outcome)),
+        8 => query.prop_map(|(pool, lora, prompt, tried, left, send)| Op::Choose {
             pool, lora, prompt, tried, left, send,
         }),
     ]
 }
 
-/// Longest wait that a choice may have: that of the best candidate of its class, and the margins;
-/// where the conversation meets, and only with the adapter resident, what its prompt saves as well.
-fn bound(
+/// Longest wait that a decision may have: the shortest one among `ups` plus the margins; at the
+/// conversation's affinity holder, if the adapter is resident there, also the prefill time saved.
+fn max_wait(
     router: &Router,
-    ask: &RouteQuery<'_>,
-    pick: &SelectedUpstream,
+    query: &RouteQuery<'_>,
+    selected: &SelectedUpstream,
     ups: &[UpstreamIx],
     now: Millis,
 ) -> Option<Millis> {
-    let o = RouterOptions::default();
-    let meets = |p: PromptAffinity| {
+    let options = RouterOptions::default();
+    let holder_and_tokens = |p: PromptAffinity| {
         router
-            .affinity_holder(ask.pool, ask.lora?, p.conversation_hash)
+            .affinity_holder(query.pool, query.lora?, p.conversation_hash)
             .map(|up| (up, p.earlier_tokens))
     };
-    let meeting = ask
+    let holder = query
         .prompt
-        .and_then(meets)
-        .filter(|m| m.0 == pick.up && pick.resident);
-    let tokens = meeting.map_or(0, |(_, earlier)| {
-        u64::from(earlier + o.affinity_tokens.unwrap())
+        .and_then(holder_and_tokens)
+        .filter(|m| m.0 == selected.up && selected.resident);
+    let tokens = holder.map_or(0, |(_, earlier)| {
+        u64::from(earlier + options.affinity_tokens.unwrap())
     });
-    let saved = Millis((tokens * o.prefill_us).div_ceil(1_000));
+    let saved = Millis((tokens * options.prefill_us).div_ceil(1_000));
     let waits = ups
         .iter()
-        .map(|&u| router.expected_wait(u, ask.lora, now).unwrap());
-    Some(waits.min()? + o.copy_margin + o.home_margin + saved)
+        .map(|&u| router.expected_wait(u, query.lora, now).unwrap());
+    Some(waits.min()? + options.copy_margin + options.home_margin + saved)
 }
 
-/// The same holders as the naive version's, and a meeting place among them.
+/// Checks that the holders are those of the naive router and that the affinity holder is one of
+/// them.
 fn check_holders(
     router: &Router,
-    naive: &Naive,
-    ask: &RouteQuery<'_>,
+    naive: &NaiveRouter,
+    query: &RouteQuery<'_>,
     lora: LoraIx,
-    open: &[(Rank, UpstreamIx)],
+    candidates: &[(CandidateClass, UpstreamIx)],
     at: u64,
 ) -> Result<(), TestCaseError> {
-    let holding = open.iter().map(|o| o.1).filter(|u| naive.holds(u.0, lora));
-    let holding: Vec<_> = holding.collect();
-    prop_assert_eq!(router.holders(ask.pool, lora), &holding[..]);
-    let meeting = router.affinity_holder(ask.pool, lora, at);
-    prop_assert_eq!(meeting.is_some(), !holding.is_empty());
-    prop_assert!(meeting.is_none_or(|up| holding.contains(&up)));
+    let holders = candidates
+        .iter()
+        .map(|c| c.1)
+        .filter(|u| naive.holds(u.0, lora));
+    let holders: Vec<_> = holders.collect();
+    prop_assert_eq!(router.holders(query.pool, lora), &holders[..]);
+    let holder = router.affinity_holder(query.pool, lora, at);
+    prop_assert_eq!(holder.is_some(), !holders.is_empty());
+    prop_assert!(holder.is_none_or(|up| holders.contains(&up)));
     Ok(())
 }
 
-fn check(router: &mut Router, naive: &mut Naive, op: &Op, at: u64) -> Result<(), TestCaseError> {
+fn check(
+    router: &mut Router,
+    naive: &mut NaiveRouter,
+    op: &Op,
+    at: u64,
+) -> Result<(), TestCaseError> {
     let Op::Choose {
         pool,
         lora,
@@ -314,49 +344,54 @@
     else {
         return Ok(());
     };
-    let (now, o) = (Millis(at), RouterOptions::default());
-    let ask = RouteQuery {
+    let (now, options) = (Millis(at), RouterOptions::default());
+    let query = RouteQuery {
         pool: PoolIx(*pool),
         lora: *lora,
         prompt: *prompt,
         time_left: Millis(*left),
         tried,
     };
-    let mut open = naive.open(*pool, at, &o);
-    prop_assert_eq!(router.usable_count(ask.pool), open.len());
+    let mut candidates = naive.candidates(*pool, at, &options);
+    prop_assert_eq!(router.usable_count(query.pool), candidates.len());
     if let Some(lora) = *lora {
-        check_holders(router, naive, &ask, lora, &open, at)?;
+        check_holders(router, naive, &query, lora, &candidates, at)?;
     }
-    open.retain(|(_, u)| !tried.contains(u));
-    let best = open.iter().map(|o| o.0).min();
-    let wide = RouteQuery {
+    candidates.retain(|(_, u)| !tried.contains(u));
+    let best = candidates.iter().map(|c| c.0).min();
+    let unlimited = RouteQuery {
         time_left: Millis(u64::MAX),
-        ..ask
+        ..query
     };
-    let RouteDecision::Send(pick) = router.choose(&wide, now) else {
+    let RouteDecision::Send(selected) = router.choose(&unlimited, now) else {
         prop_assert_eq!(best, None);
         return Ok(());
     };
-    prop_assert_eq!(naive.rank(pick.up.0, at, &o), best);
-    prop_assert!(open.iter().any(|o| o.1 == pick.up));
-    prop_assert_eq!(Some(pick.wait), router.expected_wait(pick.up, *lora, now));
-    let resident = lora.is_none_or(|l| naive.ups[&pick.up.0].resident.contains(&l));
-    prop_assert_eq!(pick.resident, resident);
-    let homes = lora.map_or_else(Vec::new, |l| router.homes(ask.pool, l));
+    prop_assert_eq!(naive.class(selected.up.0, at, &options), best);
+    prop_assert!(candidates.iter().any(|c| c.1 == selected.up));
+    prop_assert_eq!(
+        Some(selected.wait),
+        router.expected_wait(selected.up, *lora, now)
+    );
+    let resident = lora.is_none_or(|l| naive.ups[&selected.up.0].resident.contains(&l));
+    prop_assert_eq!(selected.resident, resident);
+    let homes = lora.map_or_else(Vec::new, |l| router.homes(query.pool, l));
     let holds = |u: UpstreamIx| lora.is_some_and(|l| naive.holds(u.0, l));
-    let peers = open.iter().filter(|o| Some(o.0) == best).map(|o| o.1);
-    let near: Vec<_> = peers.filter(|&u| homes.contains(&u) || holds(u)).collect();
-    if let Some(most) = bound(router, &ask, &pick, &near, now) {
-        let most = most + lora.map_or(Millis(0), |_| naive.pack);
-        prop_assert!(pick.wait <= most, "{pick:?} over {most:?}");
+    let same_class = candidates.iter().filter(|c| Some(c.0) == best).map(|c| c.1);
+    let known: Vec<_> = same_class
+        .filter(|&u| homes.contains(&u) || holds(u))
+        .collect();
+    if let Some(limit) = max_wait(router, &query, &selected, &known, now) {
+        let limit = limit + lora.map_or(Millis(0), |_| naive.idle_penalty);
+        prop_assert!(selected.wait <= limit, "{selected:?} over {limit:?}");
     }
-    match router.choose(&ask, now) {
-        RouteDecision::Send(pick) => prop_assert!(pick.wait.0 / 2 <= *left),
-        RouteDecision::Refuse { retry_after: retry } => prop_assert!(retry >= o.retry_after),
+    match router.choose(&query, now) {
+        RouteDecision::Send(selected) => prop_assert!(selected.wait.0 / 2 <= *left),
+        RouteDecision::Refuse { retry_after: retry } => prop_assert!(retry >= options.retry_after),
     }
     if *send {
-        router.record_send(pick.up, *lora, now);
-        naive.sent(pick.up.0, *lora, at);
+        router.record_send(selected.up, *lora, now);
+        naive.record_send(selected.up.0, *lora, at);
     }
     Ok(())
 }
@@ -393,34 +428,35 @@
 
     #[test]
     fn agrees_with_naive(batch in 0..=100_u32, ops in prop::collection::vec((op(), 0..4_000_u64), 1..120)) {
-        let o = RouterOptions { holder_candidates: UPS as usize, ..RouterOptions::default() };
-        let (mut router, mut naive) = (Router::new_ext(o), Naive::default());
+        let options = RouterOptions { holder_candidates: UPSTREAMS as usize, ..RouterOptions::default() };
+        let (mut router, mut naive) = (Router::new_ext(options), NaiveRouter::default());
         let weights = Weights { stall: 100 - batch, batch };
         router.set_weights(weights);
-        naive.pack = weights.for_batch(o.idle_penalty);
+        naive.idle_penalty = weights.for_batch(options.idle_penalty);
         let mut now = 0;
-        for (op, after) in ops {
-            now += after;
+        for (op, delay) in ops {
+            now += delay;
             apply(&mut router, &op, Millis(now));
-            naive.apply(&op, now, &o);
+            naive.apply(&op, now, &options);
             check(&mut router, &mut naive, &op, now)?;
         }
     }
 
-    /// Whatever is asked, a router keeps of prompts nothing: it ends as one that was asked without.
+    /// Prompts leave no state behind: the router ends up equal to one that was queried without
+    /// them.
     #[test]
     fn prompts_leave_nothing_behind(ops in prop::collection::vec((op(), 0..4_000_u64), 1..60)) {
         let (mut with, mut without) = (Router::new_ext(RouterOptions::default()), Router::new_ext(RouterOptions::default()));
         let mut now = 0;
-        for (op, after) in ops {
-            now += after;
+        for (op, delay) in ops {
+            now += delay;
             let at = Millis(now);
-            for (router, heeded) in [(&mut with, true), (&mut without, false)] {
+            for (router, uses_prompts) in [(&mut with, true), (&mut without, false)] {
                 apply(router, &op, at);
                 if let Op::Choose { pool, lora, prompt, tried, .. } = &op {
-                    let prompt = prompt.filter(|_| heeded);
-                    let ask = RouteQuery { pool: PoolIx(*pool), lora: *lora, prompt, time_left: Millis(u64::MAX), tried };
-                    router.choose(&ask, at);
+                    let prompt = prompt.filter(|_| uses_prompts);
+                    let query = RouteQuery { pool: PoolIx(*pool), lora: *lora, prompt, time_left: Millis(u64::MAX), tried };
+                    router.choose(&query, at);
                 }
             }
         }
--- a/crates/policy/tests/router_rank.rs
+++ b/crates/policy/tests/router_rank.rs
@@ -1,4 +1,5 @@
-//! Homes of parts of keys: entries agree on them, and go on to the next where one is not ready.
+//! Homes of idempotency key parts: entries agree on them, and move on to the next home if one is
+//! not ready.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// Entry that knows these VMs, in the order given.
+/// Router of an entry that knows these VMs, in the given order.
 fn entry(vms: &[u32]) -> Router {
     let mut router = Router::new_ext(RouterOptions::default());
     for (ix, vm) in (0..).map(UpstreamIx).zip(vms) {
@@ -35,7 +36,7 @@
     router
 }
 
-fn ask(tried: &[UpstreamIx]) -> RouteQuery<'_> {
+fn query(tried: &[UpstreamIx]) -> RouteQuery<'_> {
     RouteQuery {
         pool: POOL,
         lora: None,
@@ -47,16 +48,16 @@
 
 fn home(router: &Router, part: u32, tried: &[UpstreamIx]) -> Option<UpstreamIx> {
     let key = part_key(&"booking".into(), part);
-    let pick = router.choose_by_rank(&ask(tried), key, Millis(0));
-    pick.map(|p| p.up)
+    let selected = router.choose_by_rank(&query(tried), key, Millis(0));
+    selected.map(|p| p.up)
 }
 
 #[test]
 fn entries_agree_and_a_change_moves_few_parts() {
     let vms: Vec<u32> = (0..8).collect();
-    let mut turned = vms.clone();
-    turned.reverse();
-    let (one, other, fewer) = (entry(&vms), entry(&turned), entry(&vms[..7]));
+    let mut reversed = vms.clone();
+    reversed.reverse();
+    let (one, other, fewer) = (entry(&vms), entry(&reversed), entry(&vms[..7]));
     let mut counts = BTreeMap::new();
     let mut moved = 0;
     for part in 0..PARTS {
@@ -67,7 +68,7 @@
         moved += u32::from(after != up);
         assert!(
             after == up || up == UpstreamIx(7),
-            "part {part} moved for nothing"
+            "part {part} moved although its home stayed"
         );
     }
     assert_eq!(moved, counts[&UpstreamIx(7)]);
@@ -76,22 +77,22 @@
 
 struct Case {
     name: &'static str,
-    /// What the first home of the part meets.
+    /// Event at the part's first home.
     edit: fn(&mut Router, UpstreamIx),
-    /// Whether the part goes on to its next home.
-    goes_on: bool,
+    /// Whether the part moves on to its next home.
+    moves_on: bool,
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "nothing",
         edit: |_, _| {},
-        goes_on: false,
+        moves_on: false,
     },
     Case {
         name: "leaving",
         edit: |r, up| r.mark_leaving(up),
-        goes_on: true,
+        moves_on: true,
     },
     Case {
         name: "upstream down",
@@ -103,27 +104,27 @@
                 Millis(0),
             );
         },
-        goes_on: true,
+        moves_on: true,
     },
     Case {
         name: "failed",
         edit: |r, up| r.record_outcome(up, None, AttemptOutcome::Failed, Millis(0)),
-        goes_on: true,
+        moves_on: true,
     },
     Case {
         name: "a wait of more than half of the time left",
         edit: |r, up| r.report(up, POOL, &figures(2_600), None, None, Millis(0)),
-        goes_on: true,
+        moves_on: true,
     },
     Case {
         name: "a short wait",
         edit: |r, up| r.report(up, POOL, &figures(2_000), None, None, Millis(0)),
-        goes_on: false,
+        moves_on: false,
     },
     Case {
         name: "forgotten",
         edit: |r, up| r.forget(up),
-        goes_on: true,
+        moves_on: true,
     },
 ];
 
@@ -136,8 +137,8 @@
             let next = home(&router, part, &[first]).unwrap();
             assert_ne!(first, next);
             (case.edit)(&mut router, first);
-            let want = if case.goes_on { next } else { first };
-            assert_eq!(home(&router, part, &[]), Some(want), "{}", case.name);
+            let expected = if case.moves_on { next } else { first };
+            assert_eq!(home(&router, part, &[]), Some(expected), "{}", case.name);
         }
     }
     let router = entry(&[0]);
