--- a/crates/entry/src/directory/mod.rs
+++ b/crates/entry/src/directory/mod.rs
@@ -15,7 +15,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pumicecleat_policy::{
-    Ask, Choice, LoraIx, Outcome, PoolIx, Router, RouterOptions, UpstreamIx, lora_key,
+    AttemptOutcome, LoraIx, PoolIx, RouteDecision, RouteQuery, Router, RouterOptions, UpstreamIx,
+    lora_key,
 };
 use pumicecleat_types::{LoadFigures, Lora, Millis, PoolId, VmId};
 
@@ -85,7 +86,7 @@
     pub(crate) fn best_pool(&mut self, pools: Vec<PoolId>) -> Option<PoolId> {
         let mut best: Option<(usize, PoolId)> = None;
         for pool in pools {
-            let count = self.router.usable(self.names.pool(&pool));
+            let count = self.router.usable_count(self.names.pool(&pool));
             if best.as_ref().is_none_or(|(most, _)| count > *most) {
                 best = Some((count, pool));
             }
@@ -97,25 +98,32 @@
     pub(crate) fn lora(&mut self, lora: &Lora) -> LoraIx {
         let given = self.names.lora(lora.base.as_str(), &lora.engine_name());
         if given.fresh {
-            self.router.name_lora(given.lora, lora_key(lora));
+            self.router.set_lora_key(given.lora, lora_key(lora));
         }
         given.lora
     }
 
     /// Where a request should go: to the first side by rank for its `home`, if it has one and a
     /// side is ready for it, else by load.
-    pub(crate) fn choose(&mut self, ask: &Ask<'_>, home: Option<u64>, now: Millis) -> Chosen {
-        let ranked = home.and_then(|home| self.router.ranked(ask, home, now));
+    pub(crate) fn choose(
+        &mut self,
+        ask: &RouteQuery<'_>,
+        home: Option<u64>,
+        now: Millis,
+    ) -> Chosen {
+        let ranked = home.and_then(|home| self.router.choose_by_rank(ask, home, now));
         let choice = match ranked {
-            Some(pick) => Choice::Send(pick),
+            Some(pick) => RouteDecision::Send(pick),
             None => self.router.choose(ask, now),
         };
         match choice {
-            Choice::Refuse { retry } if self.router.usable(ask.pool) == 0 => {
+            RouteDecision::Refuse { retry_after: retry }
+                if self.router.usable_count(ask.pool) == 0 =>
+            {
                 Chosen::Nowhere { retry }
             }
-            Choice::Refuse { retry } => Chosen::Late { retry },
-            Choice::Send(pick) => match self.destination(pick.up) {
+            RouteDecision::Refuse { retry_after: retry } => Chosen::Late { retry },
+            RouteDecision::Send(pick) => match self.destination(pick.up) {
                 Some(destination) => Chosen::Send(destination),
                 None => Chosen::Nowhere { retry: Millis(0) },
             },
@@ -124,7 +132,7 @@
 
     /// Counts an attempt sent.
     pub(crate) fn sent(&mut self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) {
-        self.router.sent(up, lora, now);
+        self.router.record_send(up, lora, now);
     }
 
     /// Learns from the end of an attempt.
@@ -132,20 +140,20 @@
         &mut self,
         up: UpstreamIx,
         lora: Option<LoraIx>,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         now: Millis,
     ) {
-        self.router.ended(up, lora, outcome, now);
+        self.router.record_outcome(up, lora, outcome, now);
     }
 
     /// Takes in load figures that came with an answer.
     pub(crate) fn heard(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
-        self.router.heard(up, load, now);
+        self.router.update_load(up, load, now);
     }
 
     /// Expected time of a load.
     pub(crate) fn set_load(&mut self, load: Millis) {
-        self.router.set_load(load);
+        self.router.set_load_time(load);
     }
 
     /// VM of an upstream, for logs.
--- a/crates/entry/src/directory/report.rs
+++ b/crates/entry/src/directory/report.rs
@@ -1,7 +1,7 @@
 //! Sides' reports.
 
 use pumicecleat_config::model::{Config, PoolKind};
-use pumicecleat_policy::{LoraIx, UpstreamFigures, UpstreamIx, Weights, upstream_key};
+use pumicecleat_policy::{LoraIx, UpstreamIx, UpstreamStatus, Weights, upstream_key};
 use pumicecleat_types::{Lora, Millis, Report, VmId};
 
 use super::Directory;
@@ -139,7 +139,7 @@
     }
 
     fn put(&mut self, vm: &VmId, side: Side, now: Millis) {
-        let figures = UpstreamFigures {
+        let figures = UpstreamStatus {
             load: side.load,
             leaving: side.leaving,
             healthy: side.healthy,
@@ -199,7 +199,7 @@
         }
         self.by_index[at] = Some(vm.clone());
         let up = UpstreamIx(u32::try_from(at).unwrap_or(u32::MAX));
-        self.router.name_upstream(up, upstream_key(vm));
+        self.router.set_upstream_key(up, upstream_key(vm));
         up
     }
 }
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -5,7 +5,7 @@
 
 use pumicecleat_net::Timer;
 use pumicecleat_ops::{DrainGuard, events, field};
-use pumicecleat_policy::Ask;
+use pumicecleat_policy::RouteQuery;
 use pumicecleat_types::{Millis, Ran};
 use pumicecleat_upstream::Usage;
 
@@ -38,8 +38,8 @@
             field("target", job.resolved.name()),
         ];
         shared.log.emit(&events::REQUEST_TAKEN, &fields);
-        shared.budget.borrow_mut().request();
-        shared.losses.borrow_mut().request();
+        shared.budget.borrow_mut().record_request();
+        shared.losses.borrow_mut().record_request();
         Self {
             shared: Rc::clone(shared),
             job,
@@ -83,11 +83,11 @@
     }
 
     fn choose(&self, left: Millis) -> Result<Destination, Failure> {
-        let ask = Ask {
+        let ask = RouteQuery {
             pool: self.job.resolved.pool_ix,
             lora: self.job.resolved.lora_ix,
             prompt: self.job.prompt,
-            left,
+            time_left: left,
             tried: &self.history.tried,
         };
         let now = self.timer().now();
--- a/crates/measure/src/policy/rules/ours.rs
+++ b/crates/measure/src/policy/rules/ours.rs
@@ -1,8 +1,8 @@
 //! The product's decisions behind the replay's interfaces.
 
 use pumicecleat_policy::{
-    Action, Ask, Choice, GiveUp, Job, JobId, LoadEnd, LoraIx, Outcome, PoolIx, Router,
-    RouterOptions, Scheduler, UpstreamFigures, UpstreamIx,
+    Action, AttemptOutcome, GiveUp, Job, JobId, LoadEnd, LoraIx, PoolIx, RouteDecision, RouteQuery,
+    Router, RouterOptions, Scheduler, UpstreamIx, UpstreamStatus,
 };
 use pumicecleat_types::{LoadTurn, Millis, Reason};
 
@@ -76,8 +76,8 @@
         let usual = RouterOptions::default();
         let options = RouterOptions {
             seed: u64::from(entry),
-            load: LOAD,
-            first: shape.first.or(usual.first).filter(|_| meets),
+            load_time: LOAD,
+            affinity_tokens: shape.first.or(usual.affinity_tokens).filter(|_| meets),
             ..usual
         };
         let mut router = Router::new_ext(options);
@@ -87,30 +87,30 @@
 }
 
 impl Choose for Routed {
-    fn report(&mut self, up: UpstreamIx, state: &UpstreamFigures, view: &View, now: Millis) {
+    fn report(&mut self, up: UpstreamIx, state: &UpstreamStatus, view: &View, now: Millis) {
         let resident = Some(view.resident.as_slice());
         self.0.report(up, POOL, state, resident, view.loading, now);
     }
 
     fn choose(&mut self, question: &Question<'_>, now: Millis) -> Result<UpstreamIx, Millis> {
-        let ask = Ask {
+        let ask = RouteQuery {
             pool: POOL,
             lora: Some(question.lora),
             prompt: question.prompt,
-            left: question.left,
+            time_left: question.left,
             tried: question.tried,
         };
         match self.0.choose(&ask, now) {
-            Choice::Send(pick) => Ok(pick.up),
-            Choice::Refuse { retry } => Err(retry),
+            RouteDecision::Send(pick) => Ok(pick.up),
+            RouteDecision::Refuse { retry_after: retry } => Err(retry),
         }
     }
 
     fn sent(&mut self, up: UpstreamIx, lora: LoraIx, now: Millis) {
-        self.0.sent(up, Some(lora), now);
+        self.0.record_send(up, Some(lora), now);
     }
 
-    fn ended(&mut self, up: UpstreamIx, lora: LoraIx, outcome: Outcome, now: Millis) {
-        self.0.ended(up, Some(lora), outcome, now);
+    fn ended(&mut self, up: UpstreamIx, lora: LoraIx, outcome: AttemptOutcome, now: Millis) {
+        self.0.record_outcome(up, Some(lora), outcome, now);
     }
 }
--- a/crates/measure/src/slopes/report.rs
+++ b/crates/measure/src/slopes/report.rs
@@ -1,6 +1,6 @@
 //! Reports of sides: their bytes, and what an entry's router spends on them.
 
-use pumicecleat_policy::{LoraIx, PoolIx, Router, RouterOptions, UpstreamFigures, UpstreamIx};
+use pumicecleat_policy::{LoraIx, PoolIx, Router, RouterOptions, UpstreamIx, UpstreamStatus};
 use pumicecleat_types::{Millis, ReportReply, decode, encode};
 
 use super::clock::cost;
@@ -100,13 +100,13 @@
 
 fn router(sides: u32) -> Router {
     let mut router = Router::new_ext(RouterOptions::default());
-    (0..ADAPTERS).for_each(|n| router.name_lora(LoraIx(n), u64::from(n) + 1));
+    (0..ADAPTERS).for_each(|n| router.set_lora_key(LoraIx(n), u64::from(n) + 1));
     (0..sides).for_each(|side| hear(&mut router, side, true));
     router
 }
 
 fn hear(router: &mut Router, side: u32, whole: bool) {
-    let figures = UpstreamFigures {
+    let figures = UpstreamStatus {
         load: figures(side),
         leaving: false,
         healthy: true,
--- a/crates/measure/src/slopes/split.rs
+++ b/crates/measure/src/slopes/split.rs
@@ -8,7 +8,7 @@
 
 use pumicecleat_ledger::Ledger;
 use pumicecleat_policy::{
-    Ask, PoolIx, Router, RouterOptions, UpstreamFigures, UpstreamIx, part_key, upstream_key,
+    PoolIx, RouteQuery, Router, RouterOptions, UpstreamIx, UpstreamStatus, part_key, upstream_key,
 };
 use pumicecleat_types::{LoadFigures, Millis, PoolId, VmId};
 
@@ -103,7 +103,7 @@
         step_us: 10_000,
         ..LoadFigures::default()
     };
-    let figures = UpstreamFigures {
+    let figures = UpstreamStatus {
         load,
         leaving: false,
         healthy: true,
@@ -111,21 +111,21 @@
     for side in 0..SIDES {
         let up = UpstreamIx(side);
         let vm = VmId::from(format!("centre-01-service-{side:05}"));
-        router.name_upstream(up, upstream_key(&vm));
+        router.set_upstream_key(up, upstream_key(&vm));
         router.report(up, POOL, &figures, None, None, Millis(0));
     }
     router
 }
 
 fn home(router: &Router, part: u32) -> u32 {
-    let ask = Ask {
+    let ask = RouteQuery {
         pool: POOL,
         lora: None,
         prompt: None,
-        left: Millis(5_000),
+        time_left: Millis(5_000),
         tried: &[],
     };
     let key = part_key(&PoolId::from("service-0001"), part);
-    let pick = router.ranked(&ask, key, Millis(0));
+    let pick = router.choose_by_rank(&ask, key, Millis(0));
     pick.map_or(0, |p| p.up.0)
 }
--- a/crates/policy/tests/router_budget.rs
+++ b/crates/policy/tests/router_budget.rs
@@ -1,7 +1,8 @@
-//! Retries never exceed the burst and the share of requests, over any stretch of time.
+//! Bounds of the retry budget: over any period, retries never exceed the burst plus the share of
+//! requests.
 
 use proptest::prelude::*;
-use pumicecleat_policy::{BudgetOptions, RetryBudget};
+use pumicecleat_policy::{RetryBudget, RetryBudgetOptions};
 
 proptest! {
     #[test]
@@ -11,12 +12,12 @@
         requests in prop::collection::vec(any::<bool>(), 0..300),
         from in 0..300_usize,
     ) {
-        let mut budget = RetryBudget::new_ext(BudgetOptions { percent, burst });
+        let mut budget = RetryBudget::new_ext(RetryBudgetOptions { percent, burst });
         let (mut seen, mut retried) = (0, 0);
         for (n, &request) in requests.iter().enumerate() {
-            let granted = !request && budget.retry();
+            let granted = !request && budget.try_retry();
             if request {
-                budget.request();
+                budget.record_request();
             }
             if n >= from {
                 seen += u32::from(request);
@@ -28,10 +29,10 @@
 
     #[test]
     fn steady_failures_get_their_share(percent in 1..100_u32, burst in 2..20_u32) {
-        let mut budget = RetryBudget::new_ext(BudgetOptions { percent, burst });
+        let mut budget = RetryBudget::new_ext(RetryBudgetOptions { percent, burst });
         let granted = (0..1_000).filter(|_| {
-            budget.request();
-            budget.retry()
+            budget.record_request();
+            budget.try_retry()
         });
         let granted = u32::try_from(granted.count()).unwrap();
         prop_assert!(granted >= 10 * percent);
