--- a/crates/entry/src/directory/report.rs
+++ b/crates/entry/src/directory/report.rs
@@ -1,7 +1,7 @@
 //! Sides' reports.
 
 use pumicecleat_config::model::{Config, PoolKind};
-use pumicecleat_policy::{LoraIx, UpstreamFigures, UpstreamIx, Weights, upstream_key};
+use pumicecleat_policy::{LoraIx, ObjectiveWeights, UpstreamFigures, UpstreamIx, upstream_key};
 use pumicecleat_types::{Lora, Millis, Report, VmId};
 
 use super::Directory;
@@ -79,7 +79,7 @@
 impl Directory {
     /// Takes a report in.
     pub(crate) fn report(&mut self, report: &Report, config: &Config, now: Millis) -> Taken {
-        self.router.set_weights(Weights {
+        self.router.set_weights(ObjectiveWeights {
             stall: config.tuning.stall,
             batch: config.tuning.batch,
         });
--- a/crates/measure/src/policy/preset.rs
+++ b/crates/measure/src/policy/preset.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use pumicecleat_policy::Weights;
+use pumicecleat_policy::ObjectiveWeights;
 use pumicecleat_types::Millis;
 
 use super::shape::Shape;
@@ -39,7 +39,7 @@
         rate: 2.0,
         limit: 600,
         span: Millis(20_000),
-        weights: Weights {
+        weights: ObjectiveWeights {
             stall: 90,
             batch: 10,
         },
@@ -56,7 +56,7 @@
         centres: 4,
         span: Millis(60_000),
         limit: 1_000,
-        weights: Weights {
+        weights: ObjectiveWeights {
             stall: 10,
             batch: 90,
         },
--- a/crates/measure/src/policy/shape.rs
+++ b/crates/measure/src/policy/shape.rs
@@ -1,6 +1,6 @@
 //! Size and load of a deployment, as the model takes them.
 
-use pumicecleat_policy::Weights;
+use pumicecleat_policy::ObjectiveWeights;
 use pumicecleat_types::Millis;
 
 use super::prefix::PrefixMode;
@@ -50,7 +50,7 @@
     pub(super) limit: u32,
     /// Span in which a caller wants the whole answer.
     pub(super) span: Millis,
-    pub(super) weights: Weights,
+    pub(super) weights: ObjectiveWeights,
     /// Longest hold for a fuller batch, at full weight of batches.
     pub(super) hold: Millis,
     /// How prompts are treated; `None` if they are not modelled.
--- a/crates/policy/benches/scheduler_cost/main.rs
+++ b/crates/policy/benches/scheduler_cost/main.rs
@@ -8,7 +8,9 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use pumicecleat_policy::{CallerIx, Job, JobId, LoraIx, Scheduler, SchedulerOptions, Weights};
+use pumicecleat_policy::{
+    CallerIx, Job, JobId, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
+};
 use pumicecleat_types::Millis;
 use serde_json::json;
 
@@ -108,7 +110,7 @@
     let mut side = Scheduler::new_ext(SchedulerOptions {
         batch: BUSY,
         queue: u32::MAX,
-        weights: Weights {
+        weights: ObjectiveWeights {
             stall: 100,
             batch: 0,
         },
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -54,6 +54,6 @@
     UpstreamFigures, lora_key, name_key, part_key, upstream_key,
 };
 pub use scheduler::{
-    Action, Bid, GiveUp, Job, JobId, LoadEnd, Scheduler, SchedulerOptions, Weights,
+    Action, Bid, GiveUp, Job, JobId, LoadEnd, ObjectiveWeights, Scheduler, SchedulerOptions,
 };
 pub use suspects::{CallNews, SuspectLinks, Suspects, TRIED_FROM, Trials, end_key};
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -38,7 +38,7 @@
 
 use pumicecleat_types::Millis;
 
-use crate::{LoraIx, PoolIx, UpstreamIx, Weights};
+use crate::{LoraIx, ObjectiveWeights, PoolIx, UpstreamIx};
 use draw::Draw;
 use key::index_key;
 use pool::Pool;
@@ -94,8 +94,8 @@
     }
 
     /// Sets the deployment's weights; full batches weigh nothing until then.
-    pub fn set_weights(&mut self, weights: Weights) {
-        self.pack = weights.for_batch(self.options.pack);
+    pub fn set_weights(&mut self, weights: ObjectiveWeights) {
+        self.pack = weights.scale_by_batch(self.options.pack);
     }
 
     /// Takes in a report; `resident` is `None` if unchanged.
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -40,7 +40,7 @@
 use share::Shares;
 
 pub use job::{Action, Bid, GiveUp, Job, JobId, LoadEnd};
-pub use options::{SchedulerOptions, Weights};
+pub use options::{ObjectiveWeights, SchedulerOptions};
 
 /// Shortest Retry-After, so that callers don't come back at once.
 const SHORTEST_RETRY: Millis = Millis(250);
--- a/crates/policy/src/scheduler/options.rs
+++ b/crates/policy/src/scheduler/options.rs
@@ -4,17 +4,17 @@
 
 /// Weights of the deployment's measures, in percent of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Weights {
+pub struct ObjectiveWeights {
     /// Load stalls.
     pub stall: u32,
     /// Full batches.
     pub batch: u32,
 }
 
-impl Weights {
+impl ObjectiveWeights {
     /// Part of the batch weight in both, from 0 to 1.
     #[must_use]
-    pub fn batch_part(self) -> f64 {
+    pub fn batch_fraction(self) -> f64 {
         let both = self.stall.saturating_add(self.batch);
         if both == 0 {
             return 0.0;
@@ -32,8 +32,8 @@
         clippy::cast_sign_loss,
         reason = "a part of a span far below 2^52 ms"
     )]
-    pub fn for_batch(self, most: Millis) -> Millis {
-        let over = (self.batch_part() - 0.5).max(0.0) * 2.0;
+    pub fn scale_by_batch(self, most: Millis) -> Millis {
+        let over = (self.batch_fraction() - 0.5).max(0.0) * 2.0;
         Millis((most.0 as f64 * over * over) as u64)
     }
 }
@@ -49,7 +49,7 @@
     pub queue: u32,
     /// Weights of the deployment; a batch weight over a half holds requests back at an idle upstream,
     /// which a plain service has no use for.
-    pub weights: Weights,
+    pub weights: ObjectiveWeights,
     /// Longest hold of an idle engine for a fuller batch, at a batch weight of 100%.
     pub hold: Millis,
     /// Time of a load, until some have been seen.
@@ -64,7 +64,7 @@
             slots: 8,
             batch: 8,
             queue: 256,
-            weights: Weights {
+            weights: ObjectiveWeights {
                 stall: 50,
                 batch: 50,
             },
--- a/crates/policy/src/scheduler/send.rs
+++ b/crates/policy/src/scheduler/send.rs
@@ -80,7 +80,7 @@
 
     /// End of the hold, if an idle engine has fewer requests to run than its batch.
     fn hold_end(&self) -> Option<Millis> {
-        let span = self.options.weights.for_batch(self.options.hold);
+        let span = self.options.weights.scale_by_batch(self.options.hold);
         if span.0 == 0 || self.running() > 0 {
             return None;
         }
--- a/crates/policy/tests/router_cases.rs
+++ b/crates/policy/tests/router_cases.rs
@@ -1,8 +1,8 @@
 //! Cases of the router, each a few upstreams and the choice expected.
 
 use pumicecleat_policy::{
-    Ask, Choice, LoraIx, Outcome, PoolIx, Prompt, Router, RouterOptions, UpstreamFigures,
-    UpstreamIx, Weights,
+    Ask, Choice, LoraIx, ObjectiveWeights, Outcome, PoolIx, Prompt, Router, RouterOptions,
+    UpstreamFigures, UpstreamIx,
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
@@ -162,11 +162,11 @@
         Some(1),
     ),
 ];
-const BATCHES: Weights = Weights {
+const BATCHES: ObjectiveWeights = ObjectiveWeights {
     stall: 10,
     batch: 90,
 };
-const EVEN: Weights = Weights {
+const EVEN: ObjectiveWeights = ObjectiveWeights {
     stall: 50,
     batch: 50,
 };
@@ -263,7 +263,7 @@
     }
 }
 
-fn check(case: &Case, weights: Weights, seed: u64) {
+fn check(case: &Case, weights: ObjectiveWeights, seed: u64) {
     let mut router = router(case.ups, seed);
     router.set_weights(weights);
     let meets = case
--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use pumicecleat_policy::{
-    Ask, Choice, LoraIx, Outcome, Pick, PoolIx, Prompt, Router, RouterOptions, UpstreamFigures,
-    UpstreamIx, Weights,
+    Ask, Choice, LoraIx, ObjectiveWeights, Outcome, Pick, PoolIx, Prompt, Router, RouterOptions,
+    UpstreamFigures, UpstreamIx,
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
@@ -390,9 +390,9 @@
     fn agrees_with_naive(batch in 0..=100_u32, ops in prop::collection::vec((op(), 0..4_000_u64), 1..120)) {
         let o = RouterOptions { holders: UPS as usize, ..RouterOptions::default() };
         let (mut router, mut naive) = (Router::new_ext(o), Naive::default());
-        let weights = Weights { stall: 100 - batch, batch };
+        let weights = ObjectiveWeights { stall: 100 - batch, batch };
         router.set_weights(weights);
-        naive.pack = weights.for_batch(o.pack);
+        naive.pack = weights.scale_by_batch(o.pack);
         let mut now = 0;
         for (op, after) in ops {
             now += after;
--- a/crates/policy/tests/scheduler/engine.rs
+++ b/crates/policy/tests/scheduler/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -32,7 +32,7 @@
             slots,
             batch,
             queue: 16,
-            weights: Weights {
+            weights: ObjectiveWeights {
                 stall: 100 - weight,
                 batch: weight,
             },
--- a/crates/policy/tests/scheduler_cases.rs
+++ b/crates/policy/tests/scheduler_cases.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis, Reason};
 use serde::Deserialize;
@@ -136,7 +136,7 @@
     let mut side = Scheduler::new_ext(SchedulerOptions {
         slots: case.slots,
         batch: case.batch,
-        weights: Weights {
+        weights: ObjectiveWeights {
             stall: 100 - case.weight,
             batch: case.weight,
         },
--- a/crates/policy/tests/scheduler_naive.rs
+++ b/crates/policy/tests/scheduler_naive.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -21,7 +21,7 @@
         slots,
         batch,
         queue: 100_000,
-        weights: Weights {
+        weights: ObjectiveWeights {
             stall: 100,
             batch: 0,
         },
--- a/crates/policy/tests/scheduler_pins.rs
+++ b/crates/policy/tests/scheduler_pins.rs
@@ -2,7 +2,7 @@
 //! first.
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -26,7 +26,7 @@
 impl Desk {
     /// Both slots held, by `unaccounted` for requests of an earlier side.
     fn new(unaccounted: &[LoraIx]) -> Self {
-        let weights = Weights {
+        let weights = ObjectiveWeights {
             stall: 100,
             batch: 0,
         };
--- a/crates/side/src/tune.rs
+++ b/crates/side/src/tune.rs
@@ -5,7 +5,7 @@
 use pumicecleat_config::model::{Pool, PoolKind};
 use pumicecleat_ledger::{LimitError, Limits};
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{SchedulerOptions, Weights};
+use pumicecleat_policy::{ObjectiveWeights, SchedulerOptions};
 use pumicecleat_types::Millis;
 
 use crate::state::{CONFIG, State, Upstream};
@@ -23,7 +23,7 @@
     /// Options of the queue before the upstream.
     pub(crate) fn scheduler_options(&self, pool: &Pool) -> SchedulerOptions {
         let tuning = self.config.with(|c| Some(c.tuning)).unwrap_or_default();
-        let weights = Weights {
+        let weights = ObjectiveWeights {
             stall: tuning.stall,
             batch: tuning.batch,
         };
