--- a/crates/measure/src/policy/replay/engine.rs
+++ b/crates/measure/src/policy/replay/engine.rs
@@ -1,6 +1,6 @@
 //! What happens at engines and at the weight store.
 
-use pumicecleat_policy::{JobId, LoadEnd, LoraIx, Outcome, UpstreamIx};
+use pumicecleat_policy::{JobId, LoadOutcome, LoraIx, Outcome, UpstreamIx};
 use pumicecleat_types::Millis;
 use rand::RngExt;
 
@@ -76,7 +76,9 @@
 
     pub(super) fn pushed_back(&mut self, at: At, lora: LoraIx) {
         if self.lives(at) {
-            let end = LoadEnd::Busy { retry: PUSHBACK };
+            let end = LoadOutcome::Busy {
+                retry_after: PUSHBACK,
+            };
             self.load_ended(at.up, lora, end);
         }
     }
@@ -99,23 +101,23 @@
             };
             let fails = self.load_failures && self.rng.random::<f64>() < FAILING;
             let end = if fails {
-                LoadEnd::Failed
+                LoadOutcome::Failed
             } else {
-                LoadEnd::Done
+                LoadOutcome::Done
             };
             self.load_ended(up, lora, end);
         }
         self.plan_store();
     }
 
-    fn load_ended(&mut self, up: UpstreamIx, lora: LoraIx, end: LoadEnd) {
+    fn load_ended(&mut self, up: UpstreamIx, lora: LoraIx, end: LoadOutcome) {
         let now = self.clock.now();
         let machine = self.machine(up);
-        if end == LoadEnd::Done {
+        if end == LoadOutcome::Done {
             machine.engine.put(lora);
         }
         machine.side.loaded(lora, end, now);
-        if end == LoadEnd::Done {
+        if end == LoadOutcome::Done {
             for id in self.waiting(up, lora) {
                 self.end_stall(id);
             }
--- a/crates/measure/src/policy/replay/side.rs
+++ b/crates/measure/src/policy/replay/side.rs
@@ -1,6 +1,6 @@
 //! What happens at sides: attempts come, orders are carried out.
 
-use pumicecleat_policy::{Action, Bid, GiveUp, Job, JobId, LoraIx, Outcome, UpstreamIx};
+use pumicecleat_policy::{Action, Bid, Job, JobId, JobRefusal, LoraIx, Outcome, UpstreamIx};
 use pumicecleat_types::{LoadTurn, Millis};
 use rand::RngExt;
 
@@ -54,11 +54,11 @@
         let (at, alive) = (machine.at, machine.up);
         for action in machine.side.poll(now) {
             match action {
-                Action::Refuse(id, give_up) => self.give_up(id, &give_up),
+                Action::Refuse(id, refusal) => self.give_up(id, &refusal),
                 _ if !alive => {}
                 Action::Send(id) => self.send(id),
                 Action::Bid(bid) => self.send_bid(at, Some(bid)),
-                Action::GiveBack => self.send_bid(at, None),
+                Action::ReleaseTurn => self.send_bid(at, None),
                 Action::Load(lora) => self.load(at, lora),
                 Action::Unload(lora) => self.unload(at, lora),
             }
@@ -86,13 +86,13 @@
         }
     }
 
-    fn give_up(&mut self, id: JobId, give_up: &GiveUp) {
+    fn give_up(&mut self, id: JobId, refusal: &JobRefusal) {
         let Some(attempt) = self.tries.get(&id) else {
             return;
         };
         let load = self.machines[attempt.up.0 as usize].side.view().load;
-        let outcome = Outcome::Refused(give_up.reason, Some(load));
-        self.end(id, outcome, give_up.retry);
+        let outcome = Outcome::Refused(refusal.reason, Some(load));
+        self.end(id, outcome, refusal.retry_after);
     }
 
     /// Ends an attempt; its entry hears of it.
--- a/crates/measure/src/policy/rules/mod.rs
+++ b/crates/measure/src/policy/rules/mod.rs
@@ -5,8 +5,8 @@
 mod ours;
 
 use pumicecleat_policy::{
-    Action, GiveUp, Job, JobId, LoadEnd, LoraIx, Outcome, Prompt, Scheduler, SchedulerOptions,
-    UpstreamFigures, UpstreamIx,
+    Action, Job, JobId, JobRefusal, LoadOutcome, LoraIx, Outcome, Prompt, Scheduler,
+    SchedulerOptions, UpstreamFigures, UpstreamIx,
 };
 use pumicecleat_types::{LoadFigures, LoadTurn, Millis, Reason};
 
@@ -17,14 +17,14 @@
 
 /// Decisions of a side.
 pub(super) trait Side {
-    fn submit(&mut self, job: Job, now: Millis) -> Result<(), GiveUp>;
+    fn submit(&mut self, job: Job, now: Millis) -> Result<(), JobRefusal>;
     fn poll(&mut self, now: Millis) -> Vec<Action>;
     fn next_wake(&self, now: Millis) -> Option<Millis>;
     fn finished(&mut self, id: JobId, whole: bool, now: Millis);
     fn cancel(&mut self, id: JobId);
     fn turn(&mut self, turn: LoadTurn, now: Millis);
     fn no_turn(&mut self, roll: u64, now: Millis);
-    fn loaded(&mut self, lora: LoraIx, end: LoadEnd, now: Millis);
+    fn loaded(&mut self, lora: LoraIx, end: LoadOutcome, now: Millis);
     fn unloaded(&mut self, lora: LoraIx, now: Millis);
     fn close(&mut self, reason: Reason);
     /// Opens again beside an engine with nothing resident.
--- a/crates/measure/src/policy/rules/naive.rs
+++ b/crates/measure/src/policy/rules/naive.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use pumicecleat_policy::{Action, GiveUp, Job, JobId, LoadEnd, LoraIx};
+use pumicecleat_policy::{Action, Job, JobId, JobRefusal, LoadOutcome, LoraIx};
 use pumicecleat_types::{LoadFigures, LoadTurn, Millis, Reason};
 
 use super::{Side, View};
@@ -96,25 +96,25 @@
     }
 
     fn refuse_all(&mut self, reason: Reason, of: impl Fn(&Job) -> bool) {
-        let give_up = GiveUp {
+        let refusal = JobRefusal {
             reason,
-            retry: RETRY,
+            retry_after: RETRY,
         };
         let (out, kept) = self.waiting.drain(..).partition::<Vec<_>, _>(|j| of(j));
         self.waiting = kept.into();
-        let refusals = out.iter().map(|j| Action::Refuse(j.id, give_up));
+        let refusals = out.iter().map(|j| Action::Refuse(j.id, refusal));
         self.orders.extend(refusals);
     }
 }
 
 impl Side for NaiveSide {
-    fn submit(&mut self, job: Job, now: Millis) -> Result<(), GiveUp> {
+    fn submit(&mut self, job: Job, now: Millis) -> Result<(), JobRefusal> {
         let full = self.waiting.len() >= self.shape.queue as usize;
         let reason = self.closed.or(full.then_some(Reason::Overloaded));
         if let Some(reason) = reason {
-            return Err(GiveUp {
+            return Err(JobRefusal {
                 reason,
-                retry: RETRY,
+                retry_after: RETRY,
             });
         }
         if let Some(held) = job.lora.and_then(|l| self.held.get_mut(&l)) {
@@ -152,15 +152,19 @@
 
     fn no_turn(&mut self, _roll: u64, _now: Millis) {}
 
-    fn loaded(&mut self, lora: LoraIx, end: LoadEnd, now: Millis) {
+    fn loaded(&mut self, lora: LoraIx, end: LoadOutcome, now: Millis) {
         self.stage = Stage::Idle { next: now };
         match end {
-            LoadEnd::Done => {
+            LoadOutcome::Done => {
                 let held = Held { pins: 0, used: now };
                 self.held.insert(lora, held);
             }
-            LoadEnd::Failed => self.refuse_all(Reason::LoadFailed, |j| j.lora == Some(lora)),
-            LoadEnd::Busy { retry } => self.stage = Stage::Idle { next: now + retry },
+            LoadOutcome::Failed => self.refuse_all(Reason::LoadFailed, |j| j.lora == Some(lora)),
+            LoadOutcome::Busy { retry_after } => {
+                self.stage = Stage::Idle {
+                    next: now + retry_after,
+                }
+            }
         }
     }
 
--- a/crates/measure/src/policy/rules/ours.rs
+++ b/crates/measure/src/policy/rules/ours.rs
@@ -1,7 +1,7 @@
 //! The product's decisions behind the replay's interfaces.
 
 use pumicecleat_policy::{
-    Action, Ask, Choice, GiveUp, Job, JobId, LoadEnd, LoraIx, Outcome, PoolIx, Router,
+    Action, Ask, Choice, Job, JobId, JobRefusal, LoadOutcome, LoraIx, Outcome, PoolIx, Router,
     RouterOptions, Scheduler, UpstreamFigures, UpstreamIx,
 };
 use pumicecleat_types::{LoadTurn, Millis, Reason};
@@ -13,7 +13,7 @@
 const POOL: PoolIx = PoolIx(0);
 
 impl Side for Scheduler {
-    fn submit(&mut self, job: Job, now: Millis) -> Result<(), GiveUp> {
+    fn submit(&mut self, job: Job, now: Millis) -> Result<(), JobRefusal> {
         self.submit(job, now)
     }
 
@@ -41,7 +41,7 @@
         self.no_turn(roll, now);
     }
 
-    fn loaded(&mut self, lora: LoraIx, end: LoadEnd, now: Millis) {
+    fn loaded(&mut self, lora: LoraIx, end: LoadOutcome, now: Millis) {
         self.loaded(lora, end, now);
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use pumicecleat_policy::{
-//!     Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions,
+//!     Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, Scheduler, SchedulerOptions,
 //! };
 //! use pumicecleat_types::{LoadTurn, Millis};
 //!
@@ -28,9 +28,9 @@
 //! side.turn(LoadTurn::Go { ttl_ms: 2_000 }, Millis(4));
 //! assert_eq!(side.poll(Millis(4)), [Action::Load(lora)]);
 //!
-//! side.loaded(lora, LoadEnd::Done, Millis(504));
+//! side.loaded(lora, LoadOutcome::Done, Millis(504));
 //! let orders = side.poll(Millis(504));
-//! assert_eq!(orders, [Action::Send(JobId(1)), Action::GiveBack]);
+//! assert_eq!(orders, [Action::Send(JobId(1)), Action::ReleaseTurn]);
 //! ```
 
 mod index;
@@ -54,6 +54,6 @@
     UpstreamFigures, lora_key, name_key, part_key, upstream_key,
 };
 pub use scheduler::{
-    Action, Bid, GiveUp, Job, JobId, LoadEnd, ObjectiveWeights, Scheduler, SchedulerOptions,
+    Action, Bid, Job, JobId, JobRefusal, LoadOutcome, ObjectiveWeights, Scheduler, SchedulerOptions,
 };
 pub use suspects::{CallNews, SuspectLinks, Suspects, TRIED_FROM, Trials, end_key};
--- a/crates/policy/src/scheduler/admission.rs
+++ b/crates/policy/src/scheduler/admission.rs
@@ -2,14 +2,14 @@
 
 use pumicecleat_types::{Millis, Reason};
 
-use super::{GiveUp, Job, SHORTEST_RETRY, Scheduler};
+use super::{Job, JobRefusal, SHORTEST_RETRY, Scheduler};
 
 /// Longest Retry-After.
 const LONGEST_RETRY: Millis = Millis(30_000);
 
 impl Scheduler {
     /// Whether the request can be met by its deadline.
-    pub(super) fn admit(&self, job: &Job, now: Millis) -> Result<(), GiveUp> {
+    pub(super) fn admit(&self, job: &Job, now: Millis) -> Result<(), JobRefusal> {
         if let Some(reason) = self.closed {
             return Err(give_up(reason, SHORTEST_RETRY));
         }
@@ -50,7 +50,7 @@
 
     /// Finds a place in the queue: a full one gives up the request due last of the caller that has
     /// the most waiting per claim.
-    pub(super) fn make_room(&mut self, job: &Job) -> Result<(), GiveUp> {
+    pub(super) fn make_room(&mut self, job: &Job) -> Result<(), JobRefusal> {
         if self.queue.len() < self.options.queue as usize {
             return Ok(());
         }
@@ -75,7 +75,10 @@
     }
 }
 
-fn give_up(reason: Reason, retry: Millis) -> GiveUp {
+fn give_up(reason: Reason, retry: Millis) -> JobRefusal {
     let retry = retry.clamp(SHORTEST_RETRY, LONGEST_RETRY);
-    GiveUp { reason, retry }
+    JobRefusal {
+        reason,
+        retry_after: retry,
+    }
 }
--- a/crates/policy/src/scheduler/job.rs
+++ b/crates/policy/src/scheduler/job.rs
@@ -31,11 +31,11 @@
 
 /// Final word that a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GiveUp {
+pub struct JobRefusal {
     /// Why.
     pub reason: Reason,
     /// Span after which a repeat is likely to be met.
-    pub retry: Millis,
+    pub retry_after: Millis,
 }
 
 /// Bid for a turn at the weight store.
@@ -57,11 +57,11 @@
     /// Send the request to the engine now; it counts as sent, and its adapter is pinned.
     Send(JobId),
     /// Tell the entry that the request was not run; the scheduler has forgotten it.
-    Refuse(JobId, GiveUp),
+    Refuse(JobId, JobRefusal),
     /// Ask for a turn, or keep the turn held; answer by `turn` or `no_turn`.
     Bid(Bid),
     /// Give the turn back; no answer is wanted.
-    GiveBack,
+    ReleaseTurn,
     /// Order the engine to load; answer by `loaded`.
     Load(LoraIx),
     /// Order the engine to unload; answer by `unloaded`.
@@ -70,7 +70,7 @@
 
 /// How an ordered load ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoadEnd {
+pub enum LoadOutcome {
     /// The adapter is resident.
     Done,
     /// The engine or store could not load it.
@@ -78,6 +78,6 @@
     /// The store is busy and pushes back.
     Busy {
         /// Span until it may be tried again.
-        retry: Millis,
+        retry_after: Millis,
     },
 }
--- a/crates/policy/src/scheduler/load.rs
+++ b/crates/policy/src/scheduler/load.rs
@@ -31,7 +31,7 @@
             self.loading.asking = true;
             self.orders.push(Action::Bid(bid));
         } else if self.loading.held {
-            self.orders.push(Action::GiveBack);
+            self.orders.push(Action::ReleaseTurn);
         }
         self.loading.held = false;
     }
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -39,7 +39,7 @@
 use residency::Residency;
 use share::Shares;
 
-pub use job::{Action, Bid, GiveUp, Job, JobId, LoadEnd};
+pub use job::{Action, Bid, Job, JobId, JobRefusal, LoadOutcome};
 pub use options::{ObjectiveWeights, SchedulerOptions};
 
 /// Shortest Retry-After, so that callers don't come back at once.
@@ -105,8 +105,8 @@
     /// Takes a request in, to be sent or refused by a later poll.
     ///
     /// # Errors
-    /// [`GiveUp`] if it can't be met by its deadline, or the queue has no place for this caller.
-    pub fn submit(&mut self, job: Job, now: Millis) -> Result<(), GiveUp> {
+    /// [`JobRefusal`] if it can't be met by its deadline, or the queue has no place for this caller.
+    pub fn submit(&mut self, job: Job, now: Millis) -> Result<(), JobRefusal> {
         if let Some(lora) = job.lora {
             self.demand.hit(lora, now);
         }
@@ -195,8 +195,8 @@
     }
 
     /// An ordered load ended.
-    pub fn loaded(&mut self, lora: LoraIx, end: LoadEnd, now: Millis) {
-        if end == LoadEnd::Done {
+    pub fn loaded(&mut self, lora: LoraIx, end: LoadOutcome, now: Millis) {
+        if end == LoadOutcome::Done {
             self.loading.forgive(lora);
             self.residency.put(lora, 0, now);
         }
@@ -205,13 +205,13 @@
         };
         self.loading.stage = Stage::Idle { next: now };
         match end {
-            LoadEnd::Done => {
+            LoadOutcome::Done => {
                 let took = now.since(since);
                 self.loading.took(took, self.options.load);
                 self.estimate.loaded(took);
             }
-            LoadEnd::Failed => self.fail(lora, now),
-            LoadEnd::Busy { retry } => {
+            LoadOutcome::Failed => self.fail(lora, now),
+            LoadOutcome::Busy { retry_after: retry } => {
                 let next = now + retry;
                 self.loading.stage = Stage::Idle { next };
             }
@@ -277,7 +277,10 @@
     fn refuse(&mut self, id: JobId, reason: Reason, retry: Millis) {
         if self.queue.take(id).is_some() {
             let retry = retry.max(SHORTEST_RETRY);
-            let give_up = GiveUp { reason, retry };
+            let give_up = JobRefusal {
+                reason,
+                retry_after: retry,
+            };
             self.orders.push(Action::Refuse(id, give_up));
         }
     }
--- a/crates/policy/tests/scheduler/engine.rs
+++ b/crates/policy/tests/scheduler/engine.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -116,11 +117,11 @@
         self.side.no_turn(roll, self.now);
     }
 
-    pub fn loaded(&mut self, end: LoadEnd) {
+    pub fn loaded(&mut self, end: LoadOutcome) {
         let Some(lora) = self.loading.take() else {
             return;
         };
-        if end == LoadEnd::Done {
+        if end == LoadOutcome::Done {
             self.held.insert(lora);
         }
         self.side.loaded(lora, end, self.now);
@@ -185,7 +186,7 @@
                 assert!(!self.held.contains(&bid.lora), "bid for a resident one");
                 self.asked = true;
             }
-            Action::GiveBack => {}
+            Action::ReleaseTurn => {}
             Action::Load(lora) => self.check_load(lora),
             Action::Unload(lora) => self.check_unload(lora),
         }
@@ -225,7 +226,7 @@
         }
         while self.now < end {
             self.pass(500);
-            self.loaded(LoadEnd::Done);
+            self.loaded(LoadOutcome::Done);
             self.unloaded(true);
             if self.asked {
                 self.go(2_000);
--- a/crates/policy/tests/scheduler_cases.rs
+++ b/crates/policy/tests/scheduler_cases.rs
@@ -3,7 +3,8 @@
 use std::path::Path;
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis, Reason};
 use serde::Deserialize;
@@ -98,8 +99,8 @@
             side.turn(turn, now);
         }
         Event::Silence { roll } => side.no_turn(*roll, now),
-        Event::Loaded { lora } => side.loaded(LoraIx(*lora), LoadEnd::Done, now),
-        Event::Failed { lora } => side.loaded(LoraIx(*lora), LoadEnd::Failed, now),
+        Event::Loaded { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Done, now),
+        Event::Failed { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Failed, now),
         Event::Unloaded { lora } => side.unloaded(LoraIx(*lora), true, now),
         Event::Finished { id } => side.finished(JobId(*id), true, now),
         Event::Close => side.close(Reason::Leaving),
@@ -125,7 +126,7 @@
         Action::Send(id) => format!("send {}", id.0),
         Action::Refuse(id, _) => format!("refuse {}", id.0),
         Action::Bid(bid) => format!("bid {}", bid.lora.0),
-        Action::GiveBack => "give back".into(),
+        Action::ReleaseTurn => "give back".into(),
         Action::Load(lora) => format!("load {}", lora.0),
         Action::Unload(lora) => format!("unload {}", lora.0),
     }
--- a/crates/policy/tests/scheduler_naive.rs
+++ b/crates/policy/tests/scheduler_naive.rs
@@ -4,7 +4,8 @@
 
 use proptest::prelude::*;
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -203,12 +204,12 @@
                     return evicted;
                 }
                 Action::Bid(_) => side.turn(LoadTurn::Go { ttl_ms: 1_000 }, now),
-                Action::Load(lora) => side.loaded(lora, LoadEnd::Done, now),
+                Action::Load(lora) => side.loaded(lora, LoadOutcome::Done, now),
                 Action::Unload(lora) => {
                     evicted = Some(lora);
                     side.unloaded(lora, true, now);
                 }
-                Action::GiveBack => {}
+                Action::ReleaseTurn => {}
                 Action::Refuse(..) => panic!("refused"),
             }
         }
--- a/crates/policy/tests/scheduler_pins.rs
+++ b/crates/policy/tests/scheduler_pins.rs
@@ -2,7 +2,8 @@
 //! first.
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -184,7 +185,7 @@
     desk.scheduler.unloaded(HELD[1], true, desk.now);
     let load = Action::Load(ABSENT);
     assert!(desk.scheduler.poll(desk.now).contains(&load));
-    desk.scheduler.loaded(ABSENT, LoadEnd::Done, desk.now);
+    desk.scheduler.loaded(ABSENT, LoadOutcome::Done, desk.now);
 }
 
 /// If the engine keeps all, they are tried again, but not in a hurry.
--- a/crates/policy/tests/scheduler_promises.rs
+++ b/crates/policy/tests/scheduler_promises.rs
@@ -8,7 +8,7 @@
 mod scheduler;
 
 use proptest::prelude::*;
-use pumicecleat_policy::LoadEnd;
+use pumicecleat_policy::LoadOutcome;
 use pumicecleat_types::{Millis, Reason};
 
 use scheduler::engine::{Engine, LORAS};
@@ -33,7 +33,7 @@
     Go(u64),
     Wait(u64),
     Silence(u64),
-    Loaded(LoadEnd),
+    Loaded(LoadOutcome),
     Unloaded(bool),
     Reset {
         resident: u32,
@@ -46,9 +46,9 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let end = prop_oneof![
-        3 => Just(LoadEnd::Done),
-        1 => Just(LoadEnd::Failed),
-        1 => (1..2_000_u64).prop_map(|ms| LoadEnd::Busy { retry: Millis(ms) }),
+        3 => Just(LoadOutcome::Done),
+        1 => Just(LoadOutcome::Failed),
+        1 => (1..2_000_u64).prop_map(|ms| LoadOutcome::Busy { retry_after: Millis(ms) }),
     ];
     prop_oneof![
         8 => (0..=LORAS, 0..4_u32, 100..60_000_u64, 1..400_u32).prop_map(
--- a/crates/side/src/dispatch/mod.rs
+++ b/crates/side/src/dispatch/mod.rs
@@ -15,7 +15,9 @@
 
 use async_channel::{Receiver, Sender};
 use pumicecleat_net::Timer;
-use pumicecleat_policy::{Action, Bid, GiveUp, Job, JobId, LoraIx, Scheduler, SchedulerOptions};
+use pumicecleat_policy::{
+    Action, Bid, Job, JobId, JobRefusal, LoraIx, Scheduler, SchedulerOptions,
+};
 use pumicecleat_types::{Lora, Millis};
 
 use names::Names;
@@ -104,8 +106,8 @@
     /// Takes a request in.
     ///
     /// # Errors
-    /// [`GiveUp`] if it can't be met.
-    pub(crate) fn submit(&self, demand: &Demand<'_>) -> Result<Ticket, GiveUp> {
+    /// [`JobRefusal`] if it can't be met.
+    pub(crate) fn submit(&self, demand: &Demand<'_>) -> Result<Ticket, JobRefusal> {
         let now = self.now();
         let id = self.next_id();
         let job = {
@@ -162,9 +164,9 @@
     fn carry_out(&self, action: Action) {
         let order = match action {
             Action::Send(id) => return self.tell(id, Decision::Go),
-            Action::Refuse(id, give_up) => return self.tell(id, Decision::Refused(give_up)),
+            Action::Refuse(id, refusal) => return self.tell(id, Decision::Refused(refusal)),
             Action::Bid(bid) => Order::Bid(bid),
-            Action::GiveBack => Order::GiveBack,
+            Action::ReleaseTurn => Order::GiveBack,
             Action::Load(lora) => Order::Load(self.lora(lora)),
             Action::Unload(lora) => Order::Unload(self.lora(lora)),
         };
--- a/crates/side/src/dispatch/tell.rs
+++ b/crates/side/src/dispatch/tell.rs
@@ -1,6 +1,6 @@
 //! What the queue is told of its upstream, of turns at the weight store and of the configuration.
 
-use pumicecleat_policy::{LoadEnd, LoraIx, SchedulerOptions};
+use pumicecleat_policy::{LoadOutcome, LoraIx, SchedulerOptions};
 use pumicecleat_types::{LoadTurn, Lora, Reason};
 
 use super::Dispatcher;
@@ -28,7 +28,7 @@
     }
 
     /// Outcome of a load.
-    pub(crate) fn loaded(&self, lora: &Lora, end: LoadEnd) {
+    pub(crate) fn loaded(&self, lora: &Lora, end: LoadOutcome) {
         let ix = self.index(lora);
         let now = self.now();
         self.state.scheduler.borrow_mut().loaded(ix, end, now);
--- a/crates/side/src/dispatch/ticket.rs
+++ b/crates/side/src/dispatch/ticket.rs
@@ -1,7 +1,7 @@
 //! A request's place in the queue and at the upstream.
 
 use async_channel::{Receiver, Sender};
-use pumicecleat_policy::{GiveUp, JobId};
+use pumicecleat_policy::{JobId, JobRefusal};
 use pumicecleat_types::{Millis, Reason};
 
 use super::Dispatcher;
@@ -12,7 +12,7 @@
     /// Send it now.
     Go,
     /// Not run.
-    Refused(GiveUp),
+    Refused(JobRefusal),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,10 +44,14 @@
 
     /// The scheduler's word, once it is given.
     pub(crate) async fn wait(&mut self) -> Decision {
-        let word = self.word.recv().await.unwrap_or(Decision::Refused(GiveUp {
-            reason: Reason::UpstreamDown,
-            retry: Millis(1_000),
-        }));
+        let word = self
+            .word
+            .recv()
+            .await
+            .unwrap_or(Decision::Refused(JobRefusal {
+                reason: Reason::UpstreamDown,
+                retry_after: Millis(1_000),
+            }));
         self.stage = match word {
             Decision::Go => Stage::Sent,
             Decision::Refused(_) => Stage::Ended,
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -6,7 +6,7 @@
 use async_channel::Receiver;
 use pumicecleat_net::post;
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{Bid, LoadEnd};
+use pumicecleat_policy::{Bid, LoadOutcome};
 use pumicecleat_types::{LoadBid, LoadTurn, Lora, Millis};
 use pumicecleat_upstream::{Engine, Order as EngineOrder, OrderError, load_confirmed};
 use xxhash_rust::xxh3::xxh3_64;
@@ -89,7 +89,7 @@
         let from = self.state.timer.now();
         let end = match self.state.config.path(lora) {
             Some(path) => self.order_load(&name, &path).await,
-            None => LoadEnd::Failed,
+            None => LoadOutcome::Failed,
         };
         let took = self.state.timer.now().since(from);
         self.note_load(&name, end, took);
@@ -97,7 +97,7 @@
         self.state.reports_due();
     }
 
-    async fn order_load(&self, name: &str, path: &str) -> LoadEnd {
+    async fn order_load(&self, name: &str, path: &str) -> LoadOutcome {
         let fields = [
             field("lora", name),
             field("waiting", self.dispatcher.figures().waiting),
@@ -106,10 +106,10 @@
         let order = self.order(name, path);
         let span = self.state.settings.load_limit.0;
         match load_confirmed(self.engine.as_ref(), order, span).await {
-            Ok(_) => LoadEnd::Done,
+            Ok(_) => LoadOutcome::Done,
             Err(e) => {
                 self.note_error("load", name, &e);
-                LoadEnd::Failed
+                LoadOutcome::Failed
             }
         }
     }
@@ -160,10 +160,10 @@
         }
     }
 
-    fn note_load(&self, name: &str, end: LoadEnd, took: Millis) {
+    fn note_load(&self, name: &str, end: LoadOutcome, took: Millis) {
         let metrics = &self.state.metrics;
         metrics.load_seconds.observe(took.as_secs());
-        if end == LoadEnd::Done {
+        if end == LoadOutcome::Done {
             metrics.loads.inc();
             let fields = [field("lora", name), field("took_ms", took.0)];
             self.state.log.emit(&events::LOAD_DONE, &fields);
--- a/crates/side/src/run/model/mod.rs
+++ b/crates/side/src/run/model/mod.rs
@@ -123,13 +123,13 @@
         };
         let from = self.state.timer.now();
         let submitted = self.work.dispatcher.submit(&demand);
-        let mut ticket = submitted.map_err(|g| self.give_up(g.reason, g.retry))?;
+        let mut ticket = submitted.map_err(|g| self.give_up(g.reason, g.retry_after))?;
         let word = ticket.wait().await;
         let waited = self.state.timer.now().since(from);
         self.state.metrics.wait_seconds.observe(waited.as_secs());
         match word {
             Decision::Go => Ok(ticket),
-            Decision::Refused(g) => Err(self.give_up(g.reason, g.retry)),
+            Decision::Refused(g) => Err(self.give_up(g.reason, g.retry_after)),
         }
     }
 
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -143,10 +143,10 @@
         };
         let detail = "the queue can't meet it";
         let submitted = self.work.dispatcher.submit(&demand);
-        let mut ticket = submitted.map_err(|g| refusal(g.reason, g.retry.0, detail))?;
+        let mut ticket = submitted.map_err(|g| refusal(g.reason, g.retry_after.0, detail))?;
         match ticket.wait().await {
             Decision::Go => Ok(ticket),
-            Decision::Refused(g) => Err(refusal(g.reason, g.retry.0, detail)),
+            Decision::Refused(g) => Err(refusal(g.reason, g.retry_after.0, detail)),
         }
     }
 
