--- a/crates/measure/src/policy/rules/ours.rs
+++ b/crates/measure/src/policy/rules/ours.rs
@@ -34,11 +34,11 @@
     }
 
     fn turn(&mut self, turn: LoadTurn, now: Millis) {
-        self.turn(turn, now);
+        self.bid_answered(turn, now);
     }
 
     fn no_turn(&mut self, roll: u64, now: Millis) {
-        self.no_turn(roll, now);
+        self.bid_unanswered(roll, now);
     }
 
     fn loaded(&mut self, lora: LoraIx, end: LoadOutcome, now: Millis) {
--- a/crates/policy/src/load_order/mod.rs
+++ b/crates/policy/src/load_order/mod.rs
@@ -4,7 +4,7 @@
 //! lapses. Nothing here makes a load safe: a wrong answer, a lost order or two entries that both
 //! think they rank first only let two loads run at once, and each is slower for it. A side that no
 //! entry answers waits for a random span and loads without a turn; see
-//! [`Scheduler::no_turn`](crate::Scheduler::no_turn).
+//! [`Scheduler::bid_unanswered`](crate::Scheduler::bid_unanswered).
 
 mod bids;
 mod options;
--- a/crates/policy/src/scheduler/job.rs
+++ b/crates/policy/src/scheduler/job.rs
@@ -58,7 +58,7 @@
     Send(JobId),
     /// Tell the entry that the request was not run; the scheduler has forgotten it.
     Refuse(JobId, JobRefusal),
-    /// Ask for a turn, or keep the turn held; answer by `turn` or `no_turn`.
+    /// Ask for a turn, or keep the turn held; answer by `bid_answered` or `bid_unanswered`.
     Bid(Bid),
     /// Give the turn back; no answer is wanted.
     ReleaseTurn,
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -97,7 +97,7 @@
 
     /// Takes new slots, batch, queue and weights; what was learned stays, and nothing resident is
     /// unloaded for fewer slots before its place is wanted.
-    pub fn retune(&mut self, options: SchedulerOptions) {
+    pub fn set_options(&mut self, options: SchedulerOptions) {
         self.options = options;
         self.residency.set_slots(options.slots);
     }
@@ -163,12 +163,12 @@
 
     /// Whether a request waits here.
     #[must_use]
-    pub fn waits(&self, id: JobId) -> bool {
+    pub fn is_waiting(&self, id: JobId) -> bool {
         self.queue.has(id)
     }
 
     /// An entry answered the bid.
-    pub fn turn(&mut self, turn: LoadTurn, now: Millis) {
+    pub fn bid_answered(&mut self, turn: LoadTurn, now: Millis) {
         self.loading.turn(turn, now);
         if let LoadTurn::Wait {
             turn_ms, round_ms, ..
@@ -179,18 +179,18 @@
     }
 
     /// An entry calls for a bid before its time.
-    pub fn called(&mut self, now: Millis) {
+    pub fn bid_requested(&mut self, now: Millis) {
         self.loading.called(now);
     }
 
     /// Whether a bid is out.
     #[must_use]
-    pub fn is_asking(&self) -> bool {
+    pub fn is_bid_pending(&self) -> bool {
         self.loading.asking
     }
 
     /// No entry answered the bid; `roll` is a random number.
-    pub fn no_turn(&mut self, roll: u64, now: Millis) {
+    pub fn bid_unanswered(&mut self, roll: u64, now: Millis) {
         self.loading.no_turn(self.options.load, roll, now);
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// A request that this side did not send has ended at the engine.
-    pub fn release(&mut self, lora: LoraIx) {
+    pub fn unaccounted_finished(&mut self, lora: LoraIx) {
         let Some(count) = self.unaccounted.get_mut(&lora) else {
             return;
         };
@@ -269,7 +269,7 @@
     }
 
     /// The engine tells its step time, microseconds.
-    pub fn stepped(&mut self, step_us: u32) {
+    pub fn set_step_time(&mut self, step_us: u32) {
         self.estimate.stepped(step_us);
     }
 
--- a/crates/policy/tests/scheduler/engine.rs
+++ b/crates/policy/tests/scheduler/engine.rs
@@ -99,7 +99,7 @@
 
     pub fn go(&mut self, ttl_ms: u64) {
         self.asked = false;
-        self.side.turn(LoadTurn::Go { ttl_ms }, self.now);
+        self.side.bid_answered(LoadTurn::Go { ttl_ms }, self.now);
     }
 
     pub fn wait(&mut self, again_ms: u64) {
@@ -109,12 +109,12 @@
             turn_ms: again_ms * 20,
             round_ms: again_ms * 10,
         };
-        self.side.turn(turn, self.now);
+        self.side.bid_answered(turn, self.now);
     }
 
     pub fn silence(&mut self, roll: u64) {
         self.asked = false;
-        self.side.no_turn(roll, self.now);
+        self.side.bid_unanswered(roll, self.now);
     }
 
     pub fn loaded(&mut self, end: LoadOutcome) {
@@ -158,7 +158,7 @@
         let known = self.unaccounted.pop();
         let running = self.running.values().flatten().next().copied();
         if let Some(lora) = known.or(running) {
-            self.side.release(lora);
+            self.side.unaccounted_finished(lora);
         }
     }
 
--- a/crates/policy/tests/scheduler_cases.rs
+++ b/crates/policy/tests/scheduler_cases.rs
@@ -85,7 +85,7 @@
             let refused = side.submit(job, now).is_err();
             assert_eq!(refused, submit.refused, "{:?}", job.id);
         }
-        Event::Go { ttl_ms } => side.turn(LoadTurn::Go { ttl_ms: *ttl_ms }, now),
+        Event::Go { ttl_ms } => side.bid_answered(LoadTurn::Go { ttl_ms: *ttl_ms }, now),
         &Event::Wait {
             again_ms,
             turn_ms,
@@ -96,9 +96,9 @@
                 turn_ms,
                 round_ms,
             };
-            side.turn(turn, now);
+            side.bid_answered(turn, now);
         }
-        Event::Silence { roll } => side.no_turn(*roll, now),
+        Event::Silence { roll } => side.bid_unanswered(*roll, now),
         Event::Loaded { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Done, now),
         Event::Failed { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Failed, now),
         Event::Unloaded { lora } => side.unloaded(LoraIx(*lora), true, now),
--- a/crates/policy/tests/scheduler_naive.rs
+++ b/crates/policy/tests/scheduler_naive.rs
@@ -203,7 +203,7 @@
                     side.poll(now);
                     return evicted;
                 }
-                Action::Bid(_) => side.turn(LoadTurn::Go { ttl_ms: 1_000 }, now),
+                Action::Bid(_) => side.bid_answered(LoadTurn::Go { ttl_ms: 1_000 }, now),
                 Action::Load(lora) => side.loaded(lora, LoadOutcome::Done, now),
                 Action::Unload(lora) => {
                     evicted = Some(lora);
--- a/crates/policy/tests/scheduler_pins.rs
+++ b/crates/policy/tests/scheduler_pins.rs
@@ -71,7 +71,7 @@
                     Action::Unload(lora) => return Some(lora),
                     Action::Bid(_) => {
                         let turn = LoadTurn::Go { ttl_ms: TTL };
-                        self.scheduler.turn(turn, self.now);
+                        self.scheduler.bid_answered(turn, self.now);
                     }
                     _ => {}
                 }
--- a/crates/side/src/dispatch/tell.rs
+++ b/crates/side/src/dispatch/tell.rs
@@ -12,8 +12,8 @@
         {
             let mut scheduler = self.state.scheduler.borrow_mut();
             match turn {
-                Some(turn) => scheduler.turn(turn, now),
-                None => scheduler.no_turn(roll, now),
+                Some(turn) => scheduler.bid_answered(turn, now),
+                None => scheduler.bid_unanswered(roll, now),
             }
         }
         self.pump();
@@ -22,9 +22,9 @@
     /// An entry calls for a bid before its time; tells whether one goes out.
     pub(crate) fn called(&self) -> bool {
         let now = self.now();
-        self.state.scheduler.borrow_mut().called(now);
+        self.state.scheduler.borrow_mut().bid_requested(now);
         self.pump();
-        self.state.scheduler.borrow().is_asking()
+        self.state.scheduler.borrow().is_bid_pending()
     }
 
     /// Outcome of a load.
@@ -57,7 +57,7 @@
     /// A request that this side did not send has ended.
     pub(crate) fn release(&self, lora: &Lora) {
         let ix = self.index(lora);
-        self.state.scheduler.borrow_mut().release(ix);
+        self.state.scheduler.borrow_mut().unaccounted_finished(ix);
         self.pump();
     }
 
@@ -75,7 +75,7 @@
 
     /// Takes new options.
     pub(crate) fn retune(&self, options: SchedulerOptions) {
-        self.state.scheduler.borrow_mut().retune(options);
+        self.state.scheduler.borrow_mut().set_options(options);
         self.pump();
     }
 }
