--- a/crates/measure/src/policy/rules/mod.rs
+++ b/crates/measure/src/policy/rules/mod.rs
@@ -99,11 +99,11 @@
 fn options(shape: &Shape) -> SchedulerOptions {
     SchedulerOptions {
         slots: shape.slots,
-        batch: shape.batch,
-        queue: shape.queue,
+        max_batch: shape.batch,
+        max_queue: shape.queue,
         weights: shape.weights,
-        hold: shape.hold,
-        load: LOAD,
+        max_hold: shape.hold,
+        expected_load_time: LOAD,
         ..SchedulerOptions::default()
     }
 }
--- a/crates/policy/benches/scheduler_cost/main.rs
+++ b/crates/policy/benches/scheduler_cost/main.rs
@@ -108,8 +108,8 @@
 /// A side with a full batch and a queue of many adapters and callers.
 fn full(counts: Counts) -> Scheduler {
     let mut side = Scheduler::new_ext(SchedulerOptions {
-        batch: BUSY,
-        queue: u32::MAX,
+        max_batch: BUSY,
+        max_queue: u32::MAX,
         weights: ObjectiveWeights {
             stall: 100,
             batch: 0,
--- a/crates/policy/src/scheduler/admission.rs
+++ b/crates/policy/src/scheduler/admission.rs
@@ -51,10 +51,12 @@
     /// Finds a place in the queue: a full one gives up the request due last of the caller that has
     /// the most waiting per claim.
     pub(super) fn make_room(&mut self, job: &Job) -> Result<(), JobRefusal> {
-        if self.queue.len() < self.options.queue as usize {
+        if self.queue.len() < self.options.max_queue as usize {
             return Ok(());
         }
-        let wait = self.estimate.drain(self.queue.tokens(), self.options.batch);
+        let wait = self
+            .estimate
+            .drain(self.queue.tokens(), self.options.max_batch);
         let largest = self.queue.largest().filter(|c| *c != job.caller);
         let last = largest.and_then(|c| self.queue.last_of(c));
         let Some(last) = last else {
--- a/crates/policy/src/scheduler/estimate.rs
+++ b/crates/policy/src/scheduler/estimate.rs
@@ -29,10 +29,10 @@
 impl Estimate {
     pub(super) fn new(options: &SchedulerOptions) -> Self {
         Self {
-            unit: f64::from(options.token_us) / 1000.0,
+            unit: f64::from(options.initial_token_us) / 1000.0,
             spread: 0.0,
-            load: span(options.load),
-            step_us: options.token_us,
+            load: span(options.expected_load_time),
+            step_us: options.initial_token_us,
         }
     }
 
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -191,7 +191,8 @@
 
     /// No entry answered the bid; `roll` is a random number.
     pub fn bid_unanswered(&mut self, roll: u64, now: Millis) {
-        self.loading.no_turn(self.options.load, roll, now);
+        self.loading
+            .no_turn(self.options.expected_load_time, roll, now);
     }
 
     /// An ordered load ended.
@@ -207,7 +208,7 @@
         match end {
             LoadOutcome::Done => {
                 let took = now.since(since);
-                self.loading.took(took, self.options.load);
+                self.loading.took(took, self.options.expected_load_time);
                 self.estimate.loaded(took);
             }
             LoadOutcome::Failed => self.fail(lora, now),
--- a/crates/policy/src/scheduler/options.rs
+++ b/crates/policy/src/scheduler/options.rs
@@ -44,33 +44,33 @@
     /// Adapter slots of the engine.
     pub slots: u32,
     /// Requests the engine batches at most.
-    pub batch: u32,
+    pub max_batch: u32,
     /// Requests that wait at most.
-    pub queue: u32,
+    pub max_queue: u32,
     /// Weights of the deployment; a batch weight over a half holds requests back at an idle upstream,
     /// which a plain service has no use for.
     pub weights: ObjectiveWeights,
     /// Longest hold of an idle engine for a fuller batch, at a batch weight of 100%.
-    pub hold: Millis,
+    pub max_hold: Millis,
     /// Time of a load, until some have been seen.
-    pub load: Millis,
+    pub expected_load_time: Millis,
     /// Time of one token, microseconds, until some answers have been seen.
-    pub token_us: u32,
+    pub initial_token_us: u32,
 }
 
 impl Default for SchedulerOptions {
     fn default() -> Self {
         Self {
             slots: 8,
-            batch: 8,
-            queue: 256,
+            max_batch: 8,
+            max_queue: 256,
             weights: ObjectiveWeights {
                 stall: 50,
                 batch: 50,
             },
-            hold: Millis(200),
-            load: Millis(500),
-            token_us: 12_000,
+            max_hold: Millis(200),
+            expected_load_time: Millis(500),
+            initial_token_us: 12_000,
         }
     }
 }
--- a/crates/policy/src/scheduler/send.rs
+++ b/crates/policy/src/scheduler/send.rs
@@ -20,7 +20,7 @@
         if self.holds(now) {
             return;
         }
-        while self.running() < self.options.batch {
+        while self.running() < self.options.max_batch {
             let Some(head) = self.pick() else {
                 return;
             };
@@ -80,14 +80,14 @@
 
     /// End of the hold, if an idle engine has fewer requests to run than its batch.
     fn hold_end(&self) -> Option<Millis> {
-        let span = self.options.weights.scale_by_batch(self.options.hold);
+        let span = self.options.weights.scale_by_batch(self.options.max_hold);
         if span.0 == 0 || self.running() > 0 {
             return None;
         }
         // A call that needs no adapter gains nothing by company.
         let bare = self.queue.lane(None).map_or(0, Lane::count);
         let count: usize = self.runnable().map(Lane::count).sum();
-        if bare > 0 || count == 0 || count >= self.options.batch as usize {
+        if bare > 0 || count == 0 || count >= self.options.max_batch as usize {
             return None;
         }
         let oldest = self.runnable().filter_map(Lane::oldest).min()?;
--- a/crates/policy/src/scheduler/view.rs
+++ b/crates/policy/src/scheduler/view.rs
@@ -14,7 +14,7 @@
         LoadFigures {
             running: self.running(),
             waiting: count(self.queue.len()),
-            batch: self.options.batch,
+            batch: self.options.max_batch,
             slots: self.options.slots,
             spare: count(self.residency.spare()),
             step_us: self.estimate.step_us(),
--- a/crates/policy/src/scheduler/wait.rs
+++ b/crates/policy/src/scheduler/wait.rs
@@ -39,7 +39,7 @@
             .sum();
         let claim = u64::from(claim.max(1));
         let by_share = own * (claim + u64::from(others)) / claim;
-        let wait = self.estimate.drain(by_share, self.options.batch);
+        let wait = self.estimate.drain(by_share, self.options.max_batch);
         let wait = wait.max(self.newcomer_wait());
         wait.min(self.room_wait())
     }
@@ -51,7 +51,7 @@
             return Millis(0);
         }
         let round = self.queue.tokens() * self.queue.callers().count() as u64 / jobs;
-        let wait = self.estimate.drain(round, self.options.batch);
+        let wait = self.estimate.drain(round, self.options.max_batch);
         wait.min(self.room_wait())
     }
 
@@ -59,10 +59,10 @@
     pub(super) fn room_wait(&self) -> Millis {
         let count: usize = self.runnable().map(Lane::count).sum();
         let busy = self.running() as usize + count;
-        if busy < self.options.batch as usize {
+        if busy < self.options.max_batch as usize {
             return Millis(0);
         }
         let tokens: u64 = self.runnable().map(Lane::tokens).sum();
-        self.estimate.drain(tokens, self.options.batch)
+        self.estimate.drain(tokens, self.options.max_batch)
     }
 }
--- a/crates/policy/tests/scheduler/engine.rs
+++ b/crates/policy/tests/scheduler/engine.rs
@@ -31,8 +31,8 @@
     pub fn new(slots: u32, batch: u32, weight: u32) -> Self {
         let options = SchedulerOptions {
             slots,
-            batch,
-            queue: 16,
+            max_batch: batch,
+            max_queue: 16,
             weights: ObjectiveWeights {
                 stall: 100 - weight,
                 batch: weight,
--- a/crates/policy/tests/scheduler_cases.rs
+++ b/crates/policy/tests/scheduler_cases.rs
@@ -136,12 +136,12 @@
     let case: Case = serde_json::from_str(&std::fs::read_to_string(path)?)?;
     let mut side = Scheduler::new_ext(SchedulerOptions {
         slots: case.slots,
-        batch: case.batch,
+        max_batch: case.batch,
         weights: ObjectiveWeights {
             stall: 100 - case.weight,
             batch: case.weight,
         },
-        hold: Millis(case.hold),
+        max_hold: Millis(case.hold),
         ..SchedulerOptions::default()
     });
     for (n, step) in case.steps.iter().enumerate() {
--- a/crates/policy/tests/scheduler_naive.rs
+++ b/crates/policy/tests/scheduler_naive.rs
@@ -20,8 +20,8 @@
 fn scheduler(slots: u32, batch: u32) -> Scheduler {
     Scheduler::new_ext(SchedulerOptions {
         slots,
-        batch,
-        queue: 100_000,
+        max_batch: batch,
+        max_queue: 100_000,
         weights: ObjectiveWeights {
             stall: 100,
             batch: 0,
--- a/crates/side/src/tune.rs
+++ b/crates/side/src/tune.rs
@@ -33,12 +33,12 @@
         };
         SchedulerOptions {
             slots,
-            batch,
-            queue: pool.queue,
+            max_batch: batch,
+            max_queue: pool.queue,
             weights,
-            hold: Millis(tuning.hold_ms),
-            load: FIRST_LOAD,
-            token_us,
+            max_hold: Millis(tuning.hold_ms),
+            expected_load_time: FIRST_LOAD,
+            initial_token_us: token_us,
         }
     }
 
