--- a/crates/measure/src/policy/rules/ours.rs
+++ b/crates/measure/src/policy/rules/ours.rs
@@ -1,8 +1,8 @@
 //! The product's decisions behind the replay's interfaces.
 
 use pumicecleat_policy::{
-    Action, AttemptOutcome, GiveUp, Job, JobId, LoadEnd, LoraIx, PoolIx, RouteDecision, RouteQuery,
-    Router, RouterOptions, Scheduler, UpstreamIx, UpstreamStatus,
+    Action, AttemptOutcome, Job, JobId, JobRefusal, LoadOutcome, LoraIx, PoolIx, RouteDecision,
+    RouteQuery, Router, RouterOptions, Scheduler, UpstreamIx, UpstreamStatus,
 };
 use pumicecleat_types::{LoadTurn, Millis, Reason};
 
@@ -13,7 +13,7 @@
 const POOL: PoolIx = PoolIx(0);
 
 impl Side for Scheduler {
-    fn submit(&mut self, job: Job, now: Millis) -> Result<(), GiveUp> {
+    fn submit(&mut self, job: Job, now: Millis) -> Result<(), JobRefusal> {
         self.submit(job, now)
     }
 
@@ -34,14 +34,14 @@
     }
 
     fn turn(&mut self, turn: LoadTurn, now: Millis) {
-        self.turn(turn, now);
+        self.bid_answered(turn, now);
     }
 
     fn no_turn(&mut self, roll: u64, now: Millis) {
-        self.no_turn(roll, now);
+        self.bid_unanswered(roll, now);
     }
 
-    fn loaded(&mut self, lora: LoraIx, end: LoadEnd, now: Millis) {
+    fn loaded(&mut self, lora: LoraIx, end: LoadOutcome, now: Millis) {
         self.loaded(lora, end, now);
     }
 
--- a/crates/policy/benches/scheduler_cost/main.rs
+++ b/crates/policy/benches/scheduler_cost/main.rs
@@ -8,7 +8,9 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use pumicecleat_policy::{CallerIx, Job, JobId, LoraIx, Scheduler, SchedulerOptions, Weights};
+use pumicecleat_policy::{
+    CallerIx, Job, JobId, LoraIx, ObjectiveWeights, Scheduler, SchedulerOptions,
+};
 use pumicecleat_types::Millis;
 use serde_json::json;
 
@@ -106,9 +108,9 @@
 /// A side with a full batch and a queue of many adapters and callers.
 fn full(counts: Counts) -> Scheduler {
     let mut side = Scheduler::new_ext(SchedulerOptions {
-        batch: BUSY,
-        queue: u32::MAX,
-        weights: Weights {
+        max_batch: BUSY,
+        max_queue: u32::MAX,
+        weights: ObjectiveWeights {
             stall: 100,
             batch: 0,
         },
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use pumicecleat_policy::{
-//!     Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions,
+//!     Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, Scheduler, SchedulerOptions,
 //! };
 //! use pumicecleat_types::{LoadTurn, Millis};
 //!
@@ -25,12 +25,12 @@
 //! side.submit(job, Millis(0)).unwrap();
 //! assert!(matches!(side.poll(Millis(0))[..], [Action::Bid(_)]));
 //!
-//! side.turn(LoadTurn::Go { ttl_ms: 2_000 }, Millis(4));
+//! side.bid_answered(LoadTurn::Go { ttl_ms: 2_000 }, Millis(4));
 //! assert_eq!(side.poll(Millis(4)), [Action::Load(lora)]);
 //!
-//! side.loaded(lora, LoadEnd::Done, Millis(504));
+//! side.loaded(lora, LoadOutcome::Done, Millis(504));
 //! let actions = side.poll(Millis(504));
-//! assert_eq!(actions, [Action::Send(JobId(1)), Action::GiveBack]);
+//! assert_eq!(actions, [Action::Send(JobId(1)), Action::ReleaseTurn]);
 //! ```
 
 mod index;
@@ -55,6 +55,6 @@
     upstream_key,
 };
 pub use scheduler::{
-    Action, Bid, GiveUp, Job, JobId, LoadEnd, Scheduler, SchedulerOptions, Weights,
+    Action, Bid, Job, JobId, JobRefusal, LoadOutcome, ObjectiveWeights, Scheduler, SchedulerOptions,
 };
 pub use suspects::{OutgoingNews, SuspectSync, SuspectTable, TRIAL_MIN_ENDS, Trials, end_key};
--- a/crates/policy/src/load_order/mod.rs
+++ b/crates/policy/src/load_order/mod.rs
@@ -4,7 +4,7 @@
 //! not renewed expires. Correctness does not depend on this: after a wrong reply or the loss of this state, or while
 //! two entries both consider themselves first, two loads may run at once, and only take longer. A side that gets no
 //! reply from any entry waits for a random time and loads without a turn; see
-//! [`Scheduler::no_turn`](crate::Scheduler::no_turn).
+//! [`Scheduler::bid_unanswered`](crate::Scheduler::bid_unanswered).
 
 mod bids;
 mod load_time;
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -45,7 +45,7 @@
 
 use pumicecleat_types::Millis;
 
-use crate::{LoraIx, PoolIx, UpstreamIx, Weights};
+use crate::{LoraIx, ObjectiveWeights, PoolIx, UpstreamIx};
 use key::index_key;
 use pool::Pool;
 use rng::SplitMix64;
@@ -101,8 +101,8 @@
     }
 
     /// Sets the deployment's weights. Until then, upstreams with an empty batch cost nothing extra.
-    pub fn set_weights(&mut self, weights: Weights) {
-        self.idle_penalty = weights.for_batch(self.options.idle_penalty);
+    pub fn set_weights(&mut self, weights: ObjectiveWeights) {
+        self.idle_penalty = weights.scale_by_batch(self.options.idle_penalty);
     }
 
     /// Applies a report; `resident` is `None` if the resident adapters are unchanged.
--- a/crates/policy/tests/router_cases.rs
+++ b/crates/policy/tests/router_cases.rs
@@ -1,8 +1,8 @@
 //! Table of router cases, each with a few upstreams and the expected decision.
 
 use pumicecleat_policy::{
-    AttemptOutcome, LoraIx, PoolIx, PromptAffinity, RouteDecision, RouteQuery, Router,
-    RouterOptions, UpstreamIx, UpstreamStatus, Weights,
+    AttemptOutcome, LoraIx, ObjectiveWeights, PoolIx, PromptAffinity, RouteDecision, RouteQuery,
+    Router, RouterOptions, UpstreamIx, UpstreamStatus,
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
@@ -169,11 +169,11 @@
         Some(1),
     ),
 ];
-const BATCH_WEIGHTS: Weights = Weights {
+const BATCH_WEIGHTS: ObjectiveWeights = ObjectiveWeights {
     stall: 10,
     batch: 90,
 };
-const EVEN_WEIGHTS: Weights = Weights {
+const EVEN_WEIGHTS: ObjectiveWeights = ObjectiveWeights {
     stall: 50,
     batch: 50,
 };
@@ -280,7 +280,7 @@
     }
 }
 
-fn check(case: &Case, weights: Weights, seed: u64) {
+fn check(case: &Case, weights: ObjectiveWeights, seed: u64) {
     let mut router = router(case.ups, seed);
     router.set_weights(weights);
     let holder = case
--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use pumicecleat_policy::{
-    AttemptOutcome, LoraIx, PoolIx, PromptAffinity, RouteDecision, RouteQuery, Router,
-    RouterOptions, SelectedUpstream, UpstreamIx, UpstreamStatus, Weights,
+    AttemptOutcome, LoraIx, ObjectiveWeights, PoolIx, PromptAffinity, RouteDecision, RouteQuery,
+    Router, RouterOptions, SelectedUpstream, UpstreamIx, UpstreamStatus,
 };
 use pumicecleat_types::{LoadFigures, Millis, Reason};
 
@@ -430,9 +430,9 @@
     fn agrees_with_naive(batch in 0..=100_u32, ops in prop::collection::vec((op(), 0..4_000_u64), 1..120)) {
         let options = RouterOptions { holder_candidates: UPSTREAMS as usize, ..RouterOptions::default() };
         let (mut router, mut naive) = (Router::new_ext(options), NaiveRouter::default());
-        let weights = Weights { stall: 100 - batch, batch };
+        let weights = ObjectiveWeights { stall: 100 - batch, batch };
         router.set_weights(weights);
-        naive.idle_penalty = weights.for_batch(options.idle_penalty);
+        naive.idle_penalty = weights.scale_by_batch(options.idle_penalty);
         let mut now = 0;
         for (op, delay) in ops {
             now += delay;
--- a/crates/policy/tests/scheduler/engine.rs
+++ b/crates/policy/tests/scheduler/engine.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -30,9 +31,9 @@
     pub fn new(slots: u32, batch: u32, weight: u32) -> Self {
         let options = SchedulerOptions {
             slots,
-            batch,
-            queue: 16,
-            weights: Weights {
+            max_batch: batch,
+            max_queue: 16,
+            weights: ObjectiveWeights {
                 stall: 100 - weight,
                 batch: weight,
             },
@@ -98,7 +99,7 @@
 
     pub fn go(&mut self, ttl_ms: u64) {
         self.asked = false;
-        self.side.turn(LoadTurn::Go { ttl_ms }, self.now);
+        self.side.bid_answered(LoadTurn::Go { ttl_ms }, self.now);
     }
 
     pub fn wait(&mut self, again_ms: u64) {
@@ -108,19 +109,19 @@
             turn_ms: again_ms * 20,
             round_ms: again_ms * 10,
         };
-        self.side.turn(turn, self.now);
+        self.side.bid_answered(turn, self.now);
     }
 
     pub fn silence(&mut self, roll: u64) {
         self.asked = false;
-        self.side.no_turn(roll, self.now);
+        self.side.bid_unanswered(roll, self.now);
     }
 
-    pub fn loaded(&mut self, end: LoadEnd) {
+    pub fn loaded(&mut self, end: LoadOutcome) {
         let Some(lora) = self.loading.take() else {
             return;
         };
-        if end == LoadEnd::Done {
+        if end == LoadOutcome::Done {
             self.held.insert(lora);
         }
         self.side.loaded(lora, end, self.now);
@@ -157,7 +158,7 @@
         let known = self.unaccounted.pop();
         let running = self.running.values().flatten().next().copied();
         if let Some(lora) = known.or(running) {
-            self.side.release(lora);
+            self.side.unaccounted_finished(lora);
         }
     }
 
@@ -185,7 +186,7 @@
                 assert!(!self.held.contains(&bid.lora), "bid for a resident one");
                 self.asked = true;
             }
-            Action::GiveBack => {}
+            Action::ReleaseTurn => {}
             Action::Load(lora) => self.check_load(lora),
             Action::Unload(lora) => self.check_unload(lora),
         }
@@ -225,7 +226,7 @@
         }
         while self.now < end {
             self.pass(500);
-            self.loaded(LoadEnd::Done);
+            self.loaded(LoadOutcome::Done);
             self.unloaded(true);
             if self.asked {
                 self.go(2_000);
--- a/crates/policy/tests/scheduler_cases.rs
+++ b/crates/policy/tests/scheduler_cases.rs
@@ -3,7 +3,8 @@
 use std::path::Path;
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis, Reason};
 use serde::Deserialize;
@@ -84,7 +85,7 @@
             let refused = side.submit(job, now).is_err();
             assert_eq!(refused, submit.refused, "{:?}", job.id);
         }
-        Event::Go { ttl_ms } => side.turn(LoadTurn::Go { ttl_ms: *ttl_ms }, now),
+        Event::Go { ttl_ms } => side.bid_answered(LoadTurn::Go { ttl_ms: *ttl_ms }, now),
         &Event::Wait {
             again_ms,
             turn_ms,
@@ -95,11 +96,11 @@
                 turn_ms,
                 round_ms,
             };
-            side.turn(turn, now);
+            side.bid_answered(turn, now);
         }
-        Event::Silence { roll } => side.no_turn(*roll, now),
-        Event::Loaded { lora } => side.loaded(LoraIx(*lora), LoadEnd::Done, now),
-        Event::Failed { lora } => side.loaded(LoraIx(*lora), LoadEnd::Failed, now),
+        Event::Silence { roll } => side.bid_unanswered(*roll, now),
+        Event::Loaded { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Done, now),
+        Event::Failed { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Failed, now),
         Event::Unloaded { lora } => side.unloaded(LoraIx(*lora), true, now),
         Event::Finished { id } => side.finished(JobId(*id), true, now),
         Event::Close => side.close(Reason::Leaving),
@@ -125,7 +126,7 @@
         Action::Send(id) => format!("send {}", id.0),
         Action::Refuse(id, _) => format!("refuse {}", id.0),
         Action::Bid(bid) => format!("bid {}", bid.lora.0),
-        Action::GiveBack => "give back".into(),
+        Action::ReleaseTurn => "give back".into(),
         Action::Load(lora) => format!("load {}", lora.0),
         Action::Unload(lora) => format!("unload {}", lora.0),
     }
@@ -135,12 +136,12 @@
     let case: Case = serde_json::from_str(&std::fs::read_to_string(path)?)?;
     let mut side = Scheduler::new_ext(SchedulerOptions {
         slots: case.slots,
-        batch: case.batch,
-        weights: Weights {
+        max_batch: case.batch,
+        weights: ObjectiveWeights {
             stall: 100 - case.weight,
             batch: case.weight,
         },
-        hold: Millis(case.hold),
+        max_hold: Millis(case.hold),
         ..SchedulerOptions::default()
     });
     for (n, step) in case.steps.iter().enumerate() {
--- a/crates/policy/tests/scheduler_naive.rs
+++ b/crates/policy/tests/scheduler_naive.rs
@@ -4,7 +4,8 @@
 
 use proptest::prelude::*;
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -19,9 +20,9 @@
 fn scheduler(slots: u32, batch: u32) -> Scheduler {
     Scheduler::new_ext(SchedulerOptions {
         slots,
-        batch,
-        queue: 100_000,
-        weights: Weights {
+        max_batch: batch,
+        max_queue: 100_000,
+        weights: ObjectiveWeights {
             stall: 100,
             batch: 0,
         },
@@ -202,13 +203,13 @@
                     side.poll(now);
                     return evicted;
                 }
-                Action::Bid(_) => side.turn(LoadTurn::Go { ttl_ms: 1_000 }, now),
-                Action::Load(lora) => side.loaded(lora, LoadEnd::Done, now),
+                Action::Bid(_) => side.bid_answered(LoadTurn::Go { ttl_ms: 1_000 }, now),
+                Action::Load(lora) => side.loaded(lora, LoadOutcome::Done, now),
                 Action::Unload(lora) => {
                     evicted = Some(lora);
                     side.unloaded(lora, true, now);
                 }
-                Action::GiveBack => {}
+                Action::ReleaseTurn => {}
                 Action::Refuse(..) => panic!("refused"),
             }
         }
--- a/crates/policy/tests/scheduler_pins.rs
+++ b/crates/policy/tests/scheduler_pins.rs
@@ -2,7 +2,8 @@
 //! first.
 
 use pumicecleat_policy::{
-    Action, CallerIx, Job, JobId, LoadEnd, LoraIx, Scheduler, SchedulerOptions, Weights,
+    Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
+    SchedulerOptions,
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
@@ -26,7 +27,7 @@
 impl Desk {
     /// Both slots held, by `unaccounted` for requests of an earlier side.
     fn new(unaccounted: &[LoraIx]) -> Self {
-        let weights = Weights {
+        let weights = ObjectiveWeights {
             stall: 100,
             batch: 0,
         };
@@ -70,7 +71,7 @@
                     Action::Unload(lora) => return Some(lora),
                     Action::Bid(_) => {
                         let turn = LoadTurn::Go { ttl_ms: TTL };
-                        self.scheduler.turn(turn, self.now);
+                        self.scheduler.bid_answered(turn, self.now);
                     }
                     _ => {}
                 }
@@ -184,7 +185,7 @@
     desk.scheduler.unloaded(HELD[1], true, desk.now);
     let load = Action::Load(ABSENT);
     assert!(desk.scheduler.poll(desk.now).contains(&load));
-    desk.scheduler.loaded(ABSENT, LoadEnd::Done, desk.now);
+    desk.scheduler.loaded(ABSENT, LoadOutcome::Done, desk.now);
 }
 
 /// If the engine keeps all, they are tried again, but not in a hurry.
--- a/crates/side/src/dispatch/tell.rs
+++ b/crates/side/src/dispatch/tell.rs
@@ -1,6 +1,6 @@
 //! What the queue is told of its upstream, of turns at the weight store and of the configuration.
 
-use pumicecleat_policy::{LoadEnd, LoraIx, SchedulerOptions};
+use pumicecleat_policy::{LoadOutcome, LoraIx, SchedulerOptions};
 use pumicecleat_types::{LoadTurn, Lora, Reason};
 
 use super::Dispatcher;
@@ -12,8 +12,8 @@
         {
             let mut scheduler = self.state.scheduler.borrow_mut();
             match turn {
-                Some(turn) => scheduler.turn(turn, now),
-                None => scheduler.no_turn(roll, now),
+                Some(turn) => scheduler.bid_answered(turn, now),
+                None => scheduler.bid_unanswered(roll, now),
             }
         }
         self.pump();
@@ -22,13 +22,13 @@
     /// An entry calls for a bid before its time; tells whether one goes out.
     pub(crate) fn called(&self) -> bool {
         let now = self.now();
-        self.state.scheduler.borrow_mut().called(now);
+        self.state.scheduler.borrow_mut().bid_requested(now);
         self.pump();
-        self.state.scheduler.borrow().is_asking()
+        self.state.scheduler.borrow().is_bid_pending()
     }
 
     /// Outcome of a load.
-    pub(crate) fn loaded(&self, lora: &Lora, end: LoadEnd) {
+    pub(crate) fn loaded(&self, lora: &Lora, end: LoadOutcome) {
         let ix = self.index(lora);
         let now = self.now();
         self.state.scheduler.borrow_mut().loaded(ix, end, now);
@@ -57,7 +57,7 @@
     /// A request that this side did not send has ended.
     pub(crate) fn release(&self, lora: &Lora) {
         let ix = self.index(lora);
-        self.state.scheduler.borrow_mut().release(ix);
+        self.state.scheduler.borrow_mut().unaccounted_finished(ix);
         self.pump();
     }
 
@@ -75,7 +75,7 @@
 
     /// Takes new options.
     pub(crate) fn retune(&self, options: SchedulerOptions) {
-        self.state.scheduler.borrow_mut().retune(options);
+        self.state.scheduler.borrow_mut().set_options(options);
         self.pump();
     }
 }
