--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_catalog::{Catalog, Repeat, Upstream};
 use pumicecleat_net::{Reply, Response};
-use pumicecleat_policy::{AdapterHold, Admission, EngineChoice, EngineView, TurnSearch};
+use pumicecleat_policy::{AdapterState, Admission, EngineChoice, EngineView, TurnSearch};
 use pumicecleat_types::{Millis, Turn, TurnAsk, TurnRefusal};
 
 use super::job::Job;
@@ -109,9 +109,9 @@
         let Some(stays) = progress.search.ask() else {
             return Err("no_turn");
         };
-        match ask(job, &upstream, hold.needs_place(), stays).await {
+        match ask(job, &upstream, hold.needs_slot(), stays).await {
             Ok(Turn::Go { version }) => return Ok(HadTurn { upstream, version }),
-            Err(AgentLost) if hold == AdapterHold::Held => {
+            Err(AgentLost) if hold == AdapterState::Loaded => {
                 if let Admission::Refused(wait) = job.shared.reserve(&upstream, Millis(0)) {
                     progress.refused(LIMITED, wait);
                     progress.search.failed(&upstream.instance);
@@ -231,7 +231,7 @@
     most.since(job.trail.age()).min(job.left())
 }
 
-fn choose(job: &Job, search: &TurnSearch) -> Option<(Upstream, AdapterHold)> {
+fn choose(job: &Job, search: &TurnSearch) -> Option<(Upstream, AdapterState)> {
     let now = job.shared.timer.now();
     let catalog = job.shared.catalog.borrow();
     let open = |u: &&Upstream| search.is_open(&u.instance);
@@ -248,7 +248,7 @@
     let name = adapter.unwrap_or_default();
     let choice = EngineChoice::new(pumicecleat_policy::name_key(name));
     let at = choice.pick(&views)?;
-    Some((candidates[at].clone(), views[at].hold))
+    Some((candidates[at].clone(), views[at].adapter_state))
 }
 
 /// Excludes candidates whose agent is known to have no free slot under the rate limit, unless that excludes all
@@ -288,22 +288,22 @@
         let loads = |name: &str| figures.is_some_and(|f| f.loading.iter().any(|l| l == name));
         EngineView {
             key: pumicecleat_policy::name_key(&upstream.instance),
-            hold: match adapter {
-                Some(name) if holds(name) => AdapterHold::Held,
-                Some(name) if loads(name) => AdapterHold::Coming,
-                Some(name) if keeps(name) => AdapterHold::Kept,
-                Some(_) => AdapterHold::Absent,
-                None => AdapterHold::Held,
+            adapter_state: match adapter {
+                Some(name) if holds(name) => AdapterState::Loaded,
+                Some(name) if loads(name) => AdapterState::Loading,
+                Some(name) if keeps(name) => AdapterState::Cached,
+                Some(_) => AdapterState::Absent,
+                None => AdapterState::Loaded,
             },
-            spare: figures.map_or(0, |f| f.spare.saturating_sub(taken)),
-            unread: figures.map_or(0, |f| f.unread) + asked,
-            tokens: job.attributes.prompt,
+            available_slots: figures.map_or(0, |f| f.spare.saturating_sub(taken)),
+            unread_tokens: figures.map_or(0, |f| f.unread) + asked,
+            prompt_tokens: job.attributes.prompt,
             traits: figures.map(|f| f.traits).unwrap_or_default(),
             running: figures.map_or(0, |f| f.running),
-            start: figures.and_then(|f| f.ready_ms).unwrap_or_default(),
+            ready_in_ms: figures.and_then(|f| f.ready_ms).unwrap_or_default(),
             stale,
             remote: upstream.centre != job.shared.centre,
-            behind: if r.slots.is_behind(now) { 2_000 } else { 0 },
+            failure_penalty_ms: if r.slots.is_behind(now) { 2_000 } else { 0 },
         }
     })
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -45,9 +45,9 @@
 pub use limits::{Admission, LimitChange, LimitSource, RateLimits, Slot};
 pub use load_order::{LoadOrder, LoadOrderOptions};
 pub use prompt::{
-    AdapterHold, BaseCopy, BaseLoads, EngineChoice, EngineOrder, EngineState, EngineView, OrderEnd,
-    RelayLink, RelayPick, RepeatOptions, RepeatWindow, RunSeen, SlotChoice, SlotView, TurnAction,
-    TurnId, TurnOptions, TurnRequest, TurnSearch, Turns, members_digest,
+    AdapterState, BaseCopy, BaseLoads, EngineChoice, EngineOrder, EngineState, EngineView,
+    OrderEnd, RelayLink, RelayPick, RepeatOptions, RepeatWindow, RunSeen, SlotChoice, SlotView,
+    TurnAction, TurnId, TurnOptions, TurnRequest, TurnSearch, Turns, members_digest,
 };
 pub use router::{
     Ask, BudgetOptions, Choice, Outcome, Pick, Prompt, RetryBudget, Router, RouterOptions,
--- a/crates/policy/src/prompt/engine.rs
+++ b/crates/policy/src/prompt/engine.rs
@@ -52,34 +52,34 @@
 
 /// How an engine stands to an adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum AdapterHold {
+pub enum AdapterState {
     /// Holds it, at a version that will do; or none is needed.
-    Held,
+    Loaded,
     /// Loads it.
-    Coming,
+    Loading,
     /// Its host keeps it in memory.
-    Kept,
+    Cached,
     /// Would have to load it from the weight store.
     #[default]
     Absent,
 }
 
-impl AdapterHold {
+impl AdapterState {
     /// Its name in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Held => "held",
-            Self::Coming => "coming",
-            Self::Kept => "kept",
+            Self::Loaded => "held",
+            Self::Loading => "coming",
+            Self::Cached => "kept",
             Self::Absent => "absent",
         }
     }
 
     /// Whether the adapter has to be given a place.
     #[must_use]
-    pub fn needs_place(self) -> bool {
-        matches!(self, Self::Kept | Self::Absent)
+    pub fn needs_slot(self) -> bool {
+        matches!(self, Self::Cached | Self::Absent)
     }
 }
 
@@ -89,25 +89,25 @@
     /// Key, the same at every entry.
     pub key: u64,
     /// How it stands to the adapter.
-    pub hold: AdapterHold,
+    pub adapter_state: AdapterState,
     /// Places that a further adapter could take.
-    pub spare: u32,
+    pub available_slots: u32,
     /// Prompt tokens that wait to be read, own sends counted in.
-    pub unread: u64,
+    pub unread_tokens: u64,
     /// Prompt tokens of the request itself.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// How fast it works, as far as is known.
     pub traits: EngineTraits,
     /// Requests under way.
     pub running: u32,
     /// Time until it takes requests, ms.
-    pub start: u64,
+    pub ready_in_ms: u64,
     /// Figures are too old to rely on.
     pub stale: bool,
     /// In another data centre.
     pub remote: bool,
     /// Time for which recent failures put it behind its peers, ms.
-    pub behind: u64,
+    pub failure_penalty_ms: u64,
 }
 
 /// Choice of engine for requests for one adapter.
@@ -137,11 +137,11 @@
     /// what is not known of `engine`.
     fn cost(self, engine: &EngineView, homes: &[u64], peers: &EngineTraits) -> f64 {
         let traits = engine.traits.or(peers);
-        let tokens = engine.unread + u64::from(engine.tokens);
+        let tokens = engine.unread_tokens + u64::from(engine.prompt_tokens);
         let mut cost = approximate(tokens) * 1_000.0 / approximate(traits.rate.max(1));
-        let own = f64::from(engine.tokens) * 1_000.0 / approximate(traits.rate.max(1));
+        let own = f64::from(engine.prompt_tokens) * 1_000.0 / approximate(traits.rate.max(1));
         cost += f64::from(engine.running) * (RUNNING + own * BESIDE);
-        cost += approximate(engine.behind + engine.start);
+        cost += approximate(engine.failure_penalty_ms + engine.ready_in_ms);
         if engine.stale {
             cost += STALE;
         }
@@ -150,11 +150,11 @@
         }
         let load = measured(traits.load_ms, LOAD);
         let kept = measured(traits.kept_ms, load * KEPT);
-        match engine.hold {
-            AdapterHold::Held => cost,
-            AdapterHold::Coming => cost + load * COMING,
-            AdapterHold::Kept => cost + kept + load * place(engine),
-            AdapterHold::Absent => {
+        match engine.adapter_state {
+            AdapterState::Loaded => cost,
+            AdapterState::Loading => cost + load * COMING,
+            AdapterState::Cached => cost + kept + load * place(engine),
+            AdapterState::Absent => {
                 let home = approximate(self.rank(engine, homes)) * RANK;
                 cost + load * (1.0 + FETCH + home + place(engine))
             }
@@ -182,7 +182,11 @@
 
 /// Cost of a place for one more adapter, in loads from the store.
 fn place(engine: &EngineView) -> f64 {
-    if engine.spare == 0 { CROWDED } else { EVICT }
+    if engine.available_slots == 0 {
+        CROWDED
+    } else {
+        EVICT
+    }
 }
 
 /// A measured time, ms; `unknown` before it was measured.
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -21,7 +21,7 @@
 mod slots;
 mod turns;
 
-pub use engine::{AdapterHold, EngineChoice, EngineView};
+pub use engine::{AdapterState, EngineChoice, EngineView};
 pub use places::{EngineOrder, OrderEnd};
 pub use relay::{RelayLink, RelayPick, members_digest};
 pub use repeat::{RepeatOptions, RepeatWindow};
--- a/crates/policy/src/prompt/turns/figures.rs
+++ b/crates/policy/src/prompt/turns/figures.rs
@@ -3,7 +3,7 @@
 use pumicecleat_types::{EngineFigures, EngineTraits, Millis};
 
 use super::{Turns, Waiting, whole};
-use crate::prompt::engine::AdapterHold;
+use crate::prompt::engine::AdapterState;
 
 impl Turns {
     /// The engine as the entries are told of it.
@@ -45,15 +45,15 @@
 
     /// How the engine stands to an adapter.
     #[must_use]
-    pub fn hold(&self, adapter: &str, version: u64) -> AdapterHold {
+    pub fn hold(&self, adapter: &str, version: u64) -> AdapterState {
         if self.usable(adapter, version).is_some() {
-            AdapterHold::Held
+            AdapterState::Loaded
         } else if self.places.is_coming(adapter) {
-            AdapterHold::Coming
+            AdapterState::Loading
         } else if self.places.kept().any(|name| name == adapter) {
-            AdapterHold::Kept
+            AdapterState::Cached
         } else {
-            AdapterHold::Absent
+            AdapterState::Absent
         }
     }
 
--- a/crates/policy/tests/fleet/play.rs
+++ b/crates/policy/tests/fleet/play.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use pumicecleat_policy::{
-    AdapterHold, BaseLoads, EngineChoice, EngineView, TurnAction, TurnId, TurnOptions, TurnRequest,
-    TurnSearch, Turns, name_key,
+    AdapterState, BaseLoads, EngineChoice, EngineView, TurnAction, TurnId, TurnOptions,
+    TurnRequest, TurnSearch, Turns, name_key,
 };
 use pumicecleat_types::{EngineFigures, Millis, TurnRefusal};
 
@@ -205,7 +205,7 @@
         return refuse(&mut jobs[job], now);
     };
     jobs[job].asked = at;
-    let place = views[at].hold.needs_place();
+    let place = views[at].adapter_state.needs_slot();
     let pair = &mut fleet.pairs[at];
     pair.asking.push((now, request.tokens, place));
     ask(pair, &request, job, demand, stays, now);
@@ -245,25 +245,25 @@
     let figures = &pair.figures;
     let name = &request.adapter;
     let hold = if figures.held.iter().any(|h| h.0 == *name) {
-        AdapterHold::Held
+        AdapterState::Loaded
     } else if figures.loading.contains(name) {
-        AdapterHold::Coming
+        AdapterState::Loading
     } else if pair.kept.contains(name) {
-        AdapterHold::Kept
+        AdapterState::Cached
     } else {
-        AdapterHold::Absent
+        AdapterState::Absent
     };
     let asked: u64 = pair.asking.iter().map(|a| u64::from(a.1)).sum();
     let taken = pair.asking.iter().filter(|a| a.2).count() as u32;
     EngineView {
         key: at as u64 + 1,
-        hold,
-        spare: figures.spare.saturating_sub(taken),
-        unread: figures.unread + asked,
-        tokens: request.tokens,
+        adapter_state: hold,
+        available_slots: figures.spare.saturating_sub(taken),
+        unread_tokens: figures.unread + asked,
+        prompt_tokens: request.tokens,
         traits: figures.traits,
         running: figures.running,
-        start: figures.ready_ms.unwrap_or_default(),
+        ready_in_ms: figures.ready_ms.unwrap_or_default(),
         ..EngineView::default()
     }
 }
--- a/crates/policy/tests/prompt_choice.rs
+++ b/crates/policy/tests/prompt_choice.rs
@@ -1,7 +1,7 @@
 //! Choice of engine and of plain upstream, and the bound on repeats.
 
 use pumicecleat_policy::{
-    AdapterHold, EngineChoice, EngineView, RepeatOptions, RepeatWindow, SlotChoice, SlotView,
+    AdapterState, EngineChoice, EngineView, RepeatOptions, RepeatWindow, SlotChoice, SlotView,
 };
 use pumicecleat_types::{EngineTraits, Millis};
 
@@ -13,13 +13,13 @@
     keeps: 25,
 };
 
-fn engine(key: u64, hold: AdapterHold, unread: u64) -> EngineView {
+fn engine(key: u64, hold: AdapterState, unread: u64) -> EngineView {
     EngineView {
         key,
-        hold,
-        spare: 2,
-        unread,
-        tokens: 2_400,
+        adapter_state: hold,
+        available_slots: 2,
+        unread_tokens: unread,
+        prompt_tokens: 2_400,
         traits: TRAITS,
         ..EngineView::default()
     }
@@ -32,53 +32,53 @@
 }
 
 fn cases_by_hold() -> Vec<Case> {
-    use AdapterHold::{Absent, Coming, Held, Kept};
+    use AdapterState::{Absent, Cached, Loaded, Loading};
     vec![
         Case {
             name: "a host that keeps it before one that fetches it",
-            engines: [engine(1, Absent, 0), engine(2, Kept, 6_000)],
+            engines: [engine(1, Absent, 0), engine(2, Cached, 6_000)],
             best: 1,
         },
         Case {
             name: "a host that keeps it but is far behind is left",
-            engines: [engine(1, Absent, 0), engine(2, Kept, 24_000)],
+            engines: [engine(1, Absent, 0), engine(2, Cached, 24_000)],
             best: 0,
         },
         Case {
             name: "a holder before one that would have to load",
-            engines: [engine(1, Absent, 0), engine(2, Held, 4_000)],
+            engines: [engine(1, Absent, 0), engine(2, Loaded, 4_000)],
             best: 1,
         },
         Case {
             name: "a holder far behind is left for a further copy",
-            engines: [engine(1, Absent, 0), engine(2, Held, 40_000)],
+            engines: [engine(1, Absent, 0), engine(2, Loaded, 40_000)],
             best: 0,
         },
         Case {
             name: "of two holders the one with less to read",
-            engines: [engine(1, Held, 9_000), engine(2, Held, 3_000)],
+            engines: [engine(1, Loaded, 9_000), engine(2, Loaded, 3_000)],
             best: 1,
         },
         Case {
             name: "a load under way before a new one",
-            engines: [engine(1, Absent, 0), engine(2, Coming, 0)],
+            engines: [engine(1, Absent, 0), engine(2, Loading, 0)],
             best: 1,
         },
     ]
 }
 
 fn cases_by_running() -> Vec<Case> {
-    use AdapterHold::Held;
+    use AdapterState::Loaded;
     vec![Case {
         name: "a prompt of 2,400 where fewer streams stand still for it",
         engines: [
             EngineView {
                 running: 30,
-                ..engine(1, Held, 0)
+                ..engine(1, Loaded, 0)
             },
             EngineView {
                 running: 2,
-                ..engine(2, Held, 6_000)
+                ..engine(2, Loaded, 6_000)
             },
         ],
         best: 1,
@@ -86,7 +86,7 @@
 }
 
 fn cases_by_state() -> Vec<Case> {
-    use AdapterHold::{Absent, Held};
+    use AdapterState::{Absent, Loaded};
     vec![
         Case {
             name: "an engine that reads slowly after others",
@@ -96,9 +96,9 @@
                         rate: TRAITS.rate / 8,
                         ..TRAITS
                     },
-                    ..engine(1, Held, 1_000)
+                    ..engine(1, Loaded, 1_000)
                 },
-                engine(2, Held, 6_000),
+                engine(2, Loaded, 6_000),
             ],
             best: 1,
         },
@@ -106,10 +106,10 @@
             name: "an engine that starts after one that runs",
             engines: [
                 EngineView {
-                    start: 1_200,
-                    ..engine(1, Held, 0)
+                    ready_in_ms: 1_200,
+                    ..engine(1, Loaded, 0)
                 },
-                engine(2, Held, 9_000),
+                engine(2, Loaded, 9_000),
             ],
             best: 1,
         },
@@ -118,9 +118,9 @@
             engines: [
                 EngineView {
                     stale: true,
-                    ..engine(1, Held, 0)
+                    ..engine(1, Loaded, 0)
                 },
-                engine(2, Held, 3_000),
+                engine(2, Loaded, 3_000),
             ],
             best: 1,
         },
@@ -128,7 +128,7 @@
             name: "no place to spare after one to spare",
             engines: [
                 EngineView {
-                    spare: 0,
+                    available_slots: 0,
                     ..engine(1, Absent, 0)
                 },
                 engine(2, Absent, 0),
@@ -150,7 +150,7 @@
 #[test]
 fn a_rare_adapter_has_the_same_home_at_every_entry() {
     let engines: Vec<EngineView> = (1..=9)
-        .map(|key| engine(key, AdapterHold::Absent, 0))
+        .map(|key| engine(key, AdapterState::Absent, 0))
         .collect();
     let turned: Vec<EngineView> = engines.iter().rev().copied().collect();
     for adapter in 0..50 {
