--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -303,7 +303,11 @@
             ready_in_ms: figures.and_then(|f| f.ready_ms).unwrap_or_default(),
             stale,
             remote: upstream.centre != job.shared.centre,
-            failure_penalty_ms: if r.slots.is_behind(now) { 2_000 } else { 0 },
+            failure_penalty_ms: if r.slots.has_recent_failure(now) {
+                2_000
+            } else {
+                0
+            },
         }
     })
 }
@@ -391,7 +395,7 @@
     let now = job.shared.timer.now();
     job.shared
         .table
-        .with(&upstream.instance, |r| r.slots.failed(now));
+        .with(&upstream.instance, |r| r.slots.record_failure(now));
 }
 
 /// Final answer without an engine's.
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -74,7 +74,7 @@
                 let now = job.shared.timer.now();
                 job.shared
                     .table
-                    .with(&upstream.instance, |r| r.slots.failed(now));
+                    .with(&upstream.instance, |r| r.slots.record_failure(now));
                 progress.ran |= ran;
                 fail(&job, &progress, ran, step, &error)
             }
@@ -201,7 +201,7 @@
     } else {
         job.shared
             .table
-            .with(&upstream.instance, |r| r.slots.answered(took));
+            .with(&upstream.instance, |r| r.slots.record_response(took));
     }
     if status < 500 {
         job.trail.served();
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -80,13 +80,13 @@
     /// Counts the first send of a request to `service`.
     pub(crate) fn count_request(&self, service: &ServiceId) {
         let now = self.timer.now();
-        self.window(service, |w| w.request(now));
+        self.window(service, |w| w.record_request(now));
     }
 
     /// Takes one more send of a request to `service` from the bound, if it allows one.
     pub(crate) fn may_repeat(&self, service: &ServiceId) -> bool {
         let now = self.timer.now();
-        let allowed = self.window(service, |w| w.repeat(now));
+        let allowed = self.window(service, |w| w.try_repeat(now));
         if allowed {
             let service = service.to_string();
             let labels = ServiceLabels { service };
@@ -104,7 +104,7 @@
         let window = windows
             .entry(service.clone())
             .or_insert_with(|| RepeatWindow::new_ext(options));
-        window.retune(options);
+        window.set_options(options);
         look(window)
     }
 
--- a/crates/gateway/src/table/record.rs
+++ b/crates/gateway/src/table/record.rs
@@ -1,6 +1,6 @@
 //! What is believed of one upstream.
 
-use pumicecleat_policy::{SlotChoice, SlotView};
+use pumicecleat_policy::{UpstreamLoad, UpstreamStats};
 use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, Reach, RunNews, ViewRow};
 
 use crate::Load;
@@ -24,7 +24,7 @@
     /// Own requests under way.
     pub(crate) own: u32,
     /// Times and failures of its answers.
-    pub(crate) slots: SlotChoice,
+    pub(crate) slots: UpstreamStats,
     /// Load by its own word, and when that came.
     pub(crate) load: Option<(Load, Millis)>,
     /// Engine's figures by its agent, and when they came.
@@ -81,7 +81,7 @@
         if self.born != 0 && figures.born > self.born {
             self.kept = KeptAdapters::default();
             self.replaced = false;
-            self.slots = SlotChoice::default();
+            self.slots = UpstreamStats::default();
         }
         self.born = figures.born;
         self.figures = Some((figures, now));
@@ -143,10 +143,10 @@
     }
 
     /// View for the choice among plain upstreams.
-    pub(crate) fn slot_view(&self, slots: u32, remote: bool, now: Millis) -> SlotView {
-        SlotView {
-            own: self.own,
-            told: self.load.map(|(load, at)| {
+    pub(crate) fn slot_view(&self, slots: u32, remote: bool, now: Millis) -> UpstreamLoad {
+        UpstreamLoad {
+            own_requests: self.own,
+            reported: self.load.map(|(load, at)| {
                 let busy = load.running + load.waiting;
                 (busy, now.since(at))
             }),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -46,8 +46,8 @@
 pub use load_order::{LoadOrder, LoadOrderOptions};
 pub use prompt::{
     AdapterState, BaseCopy, BaseLoads, EngineChoice, EngineOrder, EngineState, EngineView,
-    OrderEnd, RelayLink, RelayPick, RepeatOptions, RepeatWindow, RunSeen, SlotChoice, SlotView,
-    TurnAction, TurnId, TurnOptions, TurnRequest, TurnSearch, Turns, members_digest,
+    OrderEnd, RelayLink, RelayPick, RepeatOptions, RepeatWindow, RunSeen, TurnAction, TurnId,
+    TurnOptions, TurnRequest, TurnSearch, Turns, UpstreamLoad, UpstreamStats, members_digest,
 };
 pub use router::{
     Ask, BudgetOptions, Choice, Outcome, Pick, Prompt, RetryBudget, Router, RouterOptions,
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -7,7 +7,7 @@
 //! [`Turns`] is the side's part: which adapters its engine holds, whose turn it is, who is refused.
 //! [`RelayLink`] says who gathers the figures of many engines.
 //!
-//! [`EngineChoice`] and [`TurnSearch`] are the entry's: which engine to ask, and where to wait. [`SlotChoice`] places plain requests, and
+//! [`EngineChoice`] and [`TurnSearch`] are the entry's: which engine to ask, and where to wait. [`UpstreamStats`] places plain requests, and
 //! [`RepeatWindow`] bounds what is sent more than once.
 
 mod demand;
@@ -26,7 +26,7 @@
 pub use relay::{RelayLink, RelayPick, members_digest};
 pub use repeat::{RepeatOptions, RepeatWindow};
 pub use search::TurnSearch;
-pub use slots::{SlotChoice, SlotView};
+pub use slots::{UpstreamLoad, UpstreamStats};
 pub use turns::{
     BaseCopy, BaseLoads, EngineState, RunSeen, TurnAction, TurnId, TurnOptions, TurnRequest, Turns,
 };
--- a/crates/policy/src/prompt/repeat.rs
+++ b/crates/policy/src/prompt/repeat.rs
@@ -39,19 +39,19 @@
     }
 
     /// Takes a new bound; what is counted stays.
-    pub fn retune(&mut self, options: RepeatOptions) {
+    pub fn set_options(&mut self, options: RepeatOptions) {
         self.options = options;
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.settle(now);
         self.requests.push_back(now);
     }
 
     /// Counts one more send of a request, if the bound allows it.
     #[must_use]
-    pub fn repeat(&mut self, now: Millis) -> bool {
+    pub fn try_repeat(&mut self, now: Millis) -> bool {
         self.settle(now);
         let allowed = self.allowed();
         if approximate(self.repeats.len()) + 1.0 > allowed {
@@ -63,7 +63,7 @@
 
     /// Repeats that are left now.
     #[must_use]
-    pub fn left(&mut self, now: Millis) -> f64 {
+    pub fn remaining(&mut self, now: Millis) -> f64 {
         self.settle(now);
         self.allowed() - approximate(self.repeats.len())
     }
--- a/crates/policy/src/prompt/slots.rs
+++ b/crates/policy/src/prompt/slots.rs
@@ -14,11 +14,11 @@
 
 /// What is known of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SlotView {
+pub struct UpstreamLoad {
     /// Own requests under way there.
-    pub own: u32,
+    pub own_requests: u32,
     /// Requests there by its own word, of all callers, and how old that is.
-    pub told: Option<(u32, Millis)>,
+    pub reported: Option<(u32, Millis)>,
     /// Slots.
     pub slots: u32,
     /// In another data centre.
@@ -27,16 +27,16 @@
 
 /// Memory of one upstream's answers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SlotChoice {
+pub struct UpstreamStats {
     /// Mean time of an answer, ms; 0 before the first.
     mean: f64,
     failures: u32,
     behind: Millis,
 }
 
-impl SlotChoice {
+impl UpstreamStats {
     /// An answer came after `took`.
-    pub fn answered(&mut self, took: Millis) {
+    pub fn record_response(&mut self, took: Millis) {
         let sample = took.as_secs() * 1_000.0;
         if self.mean == 0.0 {
             self.mean = sample;
@@ -47,7 +47,7 @@
     }
 
     /// No usable answer came.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         let span = FAILURE_SPAN.0 << self.failures.min(3);
         self.failures += 1;
         self.behind = now + Millis(span.min(FAILURE_MOST.0));
@@ -55,23 +55,23 @@
 
     /// Whether a recent failure puts it behind its peers.
     #[must_use]
-    pub fn is_behind(&self, now: Millis) -> bool {
+    pub fn has_recent_failure(&self, now: Millis) -> bool {
         self.behind > now
     }
 
     /// Mean time of an answer, ms.
     #[must_use]
-    pub fn mean(&self) -> f64 {
+    pub fn mean_response_ms(&self) -> f64 {
         self.mean
     }
 
     /// Expected time of an answer, ms, with what a failure adds: lower is better.
     #[must_use]
-    pub fn cost(&self, view: &SlotView, now: Millis) -> f64 {
-        let told = match view.told {
+    pub fn cost(&self, view: &UpstreamLoad, now: Millis) -> f64 {
+        let told = match view.reported {
             // Own requests since then are not in it.
-            Some((busy, age)) if age.0 < TOLD_SPAN => busy.max(view.own),
-            _ => view.own,
+            Some((busy, age)) if age.0 < TOLD_SPAN => busy.max(view.own_requests),
+            _ => view.own_requests,
         };
         let slots = f64::from(view.slots.max(1));
         let mean = if self.mean > 0.0 {
@@ -84,7 +84,7 @@
         if view.remote {
             cost += REMOTE;
         }
-        if self.is_behind(now) {
+        if self.has_recent_failure(now) {
             cost += BEHIND;
         }
         cost
--- a/crates/policy/tests/prompt_choice.rs
+++ b/crates/policy/tests/prompt_choice.rs
@@ -1,7 +1,8 @@
 //! Choice of engine and of plain upstream, and the bound on repeats.
 
 use pumicecleat_policy::{
-    AdapterState, EngineChoice, EngineView, RepeatOptions, RepeatWindow, SlotChoice, SlotView,
+    AdapterState, EngineChoice, EngineView, RepeatOptions, RepeatWindow, UpstreamLoad,
+    UpstreamStats,
 };
 use pumicecleat_types::{EngineTraits, Millis};
 
@@ -163,24 +164,24 @@
 
 #[test]
 fn free_slots_are_filled_evenly_and_a_failure_puts_behind_for_a_while() {
-    let view = |own| SlotView {
-        own,
+    let view = |own| UpstreamLoad {
+        own_requests: own,
         slots: 6,
-        ..SlotView::default()
+        ..UpstreamLoad::default()
     };
-    let mut sound = SlotChoice::default();
-    sound.answered(Millis(60));
+    let mut sound = UpstreamStats::default();
+    sound.record_response(Millis(60));
     let now = Millis(1_000);
     assert!(sound.cost(&view(0), now) < sound.cost(&view(2), now));
     assert!(sound.cost(&view(2), now) < sound.cost(&view(9), now));
     let mut failed = sound;
-    failed.failed(now);
+    failed.record_failure(now);
     assert!(failed.cost(&view(0), now) > sound.cost(&view(9), now));
-    assert!(!failed.is_behind(Millis(2_100)));
-    failed.failed(now);
-    assert!(failed.is_behind(Millis(2_100)), "twice as long");
-    failed.answered(Millis(60));
-    assert!(!failed.is_behind(Millis(1_001)));
+    assert!(!failed.has_recent_failure(Millis(2_100)));
+    failed.record_failure(now);
+    assert!(failed.has_recent_failure(Millis(2_100)), "twice as long");
+    failed.record_response(Millis(60));
+    assert!(!failed.has_recent_failure(Millis(1_001)));
 }
 
 #[test]
@@ -196,10 +197,10 @@
         let now = Millis(step * 10);
         // Load comes in waves, and each request wants to be repeated at once.
         if step % 1_000 < 600 {
-            window.request(now);
+            window.record_request(now);
             requests.push(now);
         }
-        if window.repeat(now) {
+        if window.try_repeat(now) {
             repeats.push(now);
         }
         // Requests count in the window, in the one before it or half a window before it.
