--- a/crates/agent/src/relay/board.rs
+++ b/crates/agent/src/relay/board.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pumicecleat_policy::{RelayLink, RelayPick, members_digest, name_key};
+use pumicecleat_policy::{RelayPick, RelaySelector, members_digest, name_key};
 use pumicecleat_types::{
     DataCentre, EngineFigures, FiguresReply, KeptAdapters, Member, Millis, Reach, Seen, ViewCall,
     ViewReply, ViewRow, Viewer, VmId,
@@ -56,7 +56,7 @@
 /// The relay of another data centre.
 #[derive(Default)]
 struct Centre {
-    link: RelayLink,
+    link: RelaySelector,
     asked: Option<Millis>,
     asking: bool,
     /// Entries that it heard of, and when it told.
@@ -315,7 +315,7 @@
         let centre = self.centres.entry(ask.centre.clone()).or_default();
         centre.asking = false;
         centre.entries = Some((reply.entries, now));
-        centre.link.answered(ask.pick.key, ask.digest, &reply);
+        centre.link.record_reply(ask.pick.key, ask.digest, &reply);
         for told in reply.rows {
             let Some(row) = self.rows.get_mut(&told.instance) else {
                 continue;
@@ -338,7 +338,7 @@
         centre.asking = false;
         // Another is asked at once.
         centre.asked = None;
-        centre.link.failed(ask.pick.key, now);
+        centre.link.record_failure(ask.pick.key, now);
     }
 }
 
--- a/crates/agent/src/relay/gather.rs
+++ b/crates/agent/src/relay/gather.rs
@@ -73,7 +73,7 @@
 
 async fn ask_centre(shared: &Shared, ask: CentreAsk) {
     let sent = shared.timer.now();
-    let relay = ask.members[ask.pick.at].side;
+    let relay = ask.members[ask.pick.index].side;
     let suspects = {
         let known = shared.watch.suspects.borrow();
         shared.watch.links.borrow().call(relay, &known, sent)
@@ -83,7 +83,7 @@
         viewer: Viewer::Relay,
         marks: shared.marks.known(sent),
         digest: ask.digest,
-        members: ask.pick.tell.then(|| ask.members.clone()),
+        members: ask.pick.send_members.then(|| ask.members.clone()),
         seen: ask.pick.seen,
         suspects: suspects.news,
     };
--- a/crates/gateway/src/side.rs
+++ b/crates/gateway/src/side.rs
@@ -7,7 +7,7 @@
 use pumicecleat_catalog::{Catalog, Upstream};
 use pumicecleat_net::{NetError, post};
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::RelayLink;
+use pumicecleat_policy::RelaySelector;
 use pumicecleat_types::{LimitNews, Millis, Reach, RunNews, Turn, TurnAsk, TurnCall, TurnReply};
 
 use crate::peers::peers;
@@ -58,7 +58,7 @@
 /// Engines with whose agents an exchange is due; they count as begun.
 fn due(shared: &Shared, now: Millis) -> Vec<Upstream> {
     let catalog = shared.catalog.borrow();
-    let relayed = RelayLink::is_wanted(engines(&catalog).count());
+    let relayed = RelaySelector::is_needed(engines(&catalog).count());
     shared.relayed.set(relayed);
     let due = engines(&catalog).filter(|u| is_due(shared, &u.instance, relayed, now));
     due.cloned().collect()
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -7,7 +7,7 @@
 use pumicecleat_catalog::Upstream;
 use pumicecleat_net::{NetError, post};
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{RelayLink, RelayPick, members_digest};
+use pumicecleat_policy::{RelayPick, RelaySelector, members_digest};
 use pumicecleat_types::{Member, Millis, ViewCall, ViewReply, Viewer};
 
 use crate::shared::Shared;
@@ -30,12 +30,12 @@
 pub(crate) async fn watch(shared: Rc<Shared>) {
     let mut watch = Watch {
         shared: Rc::clone(&shared),
-        link: RelayLink::default(),
+        link: RelaySelector::default(),
         last: 0,
     };
     loop {
         let members = members(&shared);
-        let relayed = RelayLink::is_wanted(members.len());
+        let relayed = RelaySelector::is_needed(members.len());
         let pause = if relayed && !watch.step(&members).await {
             RETRY_PAUSE
         } else {
@@ -47,7 +47,7 @@
 
 struct Watch {
     shared: Rc<Shared>,
-    link: RelayLink,
+    link: RelaySelector,
     /// Relay asked last.
     last: u64,
 }
@@ -81,20 +81,20 @@
 /// Asks for one view; gives whether there was one.
 async fn look(
     shared: &Shared,
-    link: &mut RelayLink,
+    link: &mut RelaySelector,
     members: &[Member],
     digest: u64,
     pick: RelayPick,
 ) -> bool {
     let sent = shared.timer.now();
-    let side = members[pick.at].side;
+    let side = members[pick.index].side;
     let suspects = suspects::tell(shared, side);
     let call = ViewCall {
         caller: shared.vm.clone(),
         viewer: Viewer::Entry,
         marks: shared.marks.known(sent),
         digest,
-        members: pick.tell.then(|| members.to_vec()),
+        members: pick.send_members.then(|| members.to_vec()),
         seen: pick.seen,
         suspects: suspects.news,
     };
@@ -104,17 +104,17 @@
     let now = shared.timer.now();
     match result {
         Ok(reply) => {
-            link.answered(pick.key, digest, &reply);
+            link.record_reply(pick.key, digest, &reply);
             let known = !reply.unknown;
             suspects::hear(shared, side, suspects.told, &reply.suspects);
             take(shared, reply, sent, now);
             known
         }
         Err(e) => {
-            link.failed(pick.key, now);
+            link.record_failure(pick.key, now);
             let fields = [
                 field("relay", peer.as_str()),
-                field("centre", members[pick.at].centre.as_str()),
+                field("centre", members[pick.index].centre.as_str()),
                 field("error", &e),
             ];
             shared.log.emit(&events::RELAY_LOST, &fields);
@@ -136,7 +136,7 @@
 }
 
 fn tell_chosen(shared: &Shared, members: &[Member], pick: RelayPick) {
-    let relay = members[pick.at].side.to_string();
+    let relay = members[pick.index].side.to_string();
     let fields = [
         field("relay", relay.as_str()),
         field("engines", members.len()),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -46,7 +46,7 @@
 pub use load_order::{LoadOrder, LoadOrderOptions};
 pub use prompt::{
     AdapterState, BaseCopy, BaseLoads, EngineChoice, EngineOrder, EngineState, EngineView,
-    OrderEnd, RelayLink, RelayPick, RepeatOptions, RepeatWindow, RunSeen, TurnAction, TurnId,
+    OrderEnd, RelayPick, RelaySelector, RepeatOptions, RepeatWindow, RunSeen, TurnAction, TurnId,
     TurnOptions, TurnRequest, TurnSearch, Turns, UpstreamLoad, UpstreamStats, members_digest,
 };
 pub use router::{
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -5,7 +5,7 @@
 //! is learned from it alone; no figure of any engine stands here.
 //!
 //! [`Turns`] is the side's part: which adapters its engine holds, whose turn it is, who is refused.
-//! [`RelayLink`] says who gathers the figures of many engines.
+//! [`RelaySelector`] says who gathers the figures of many engines.
 //!
 //! [`EngineChoice`] and [`TurnSearch`] are the entry's: which engine to ask, and where to wait. [`UpstreamStats`] places plain requests, and
 //! [`RepeatWindow`] bounds what is sent more than once.
@@ -23,7 +23,7 @@
 
 pub use engine::{AdapterState, EngineChoice, EngineView};
 pub use places::{EngineOrder, OrderEnd};
-pub use relay::{RelayLink, RelayPick, members_digest};
+pub use relay::{RelayPick, RelaySelector, members_digest};
 pub use repeat::{RepeatOptions, RepeatWindow};
 pub use search::TurnSearch;
 pub use slots::{UpstreamLoad, UpstreamStats};
--- a/crates/policy/src/prompt/relay.rs
+++ b/crates/policy/src/prompt/relay.rs
@@ -22,28 +22,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayPick {
     /// Index among the members.
-    pub at: usize,
+    pub index: usize,
     /// Key of the relay.
     pub key: u64,
     /// Whether it has to be told the members; otherwise it knows them by their digest.
-    pub tell: bool,
+    pub send_members: bool,
     /// Last reply had from it.
     pub seen: Seen,
 }
 
 /// The way to the side that gathers, as one asker sees it.
 #[derive(Clone, Debug, Default)]
-pub struct RelayLink {
+pub struct RelaySelector {
     failed: BTreeMap<u64, Millis>,
     /// Relay that last answered, and the digest of the members that it knows.
     last: Option<(u64, u64)>,
     seen: Seen,
 }
 
-impl RelayLink {
+impl RelaySelector {
     /// Whether the figures of this many engines are asked of a relay.
     #[must_use]
-    pub fn is_wanted(engines: usize) -> bool {
+    pub fn is_needed(engines: usize) -> bool {
         engines > DIRECT_MOST
     }
 
@@ -66,21 +66,21 @@
         let key = side_key(member);
         let same = self.last.filter(|(last, _)| *last == key);
         Some(RelayPick {
-            at,
+            index: at,
             key,
-            tell: same.is_none_or(|(_, known)| known != digest),
+            send_members: same.is_none_or(|(_, known)| known != digest),
             seen: same.map_or(Seen::default(), |_| self.seen),
         })
     }
 
     /// The relay answered a call for the members of `digest`.
-    pub fn answered(&mut self, key: u64, digest: u64, reply: &ViewReply) {
+    pub fn record_reply(&mut self, key: u64, digest: u64, reply: &ViewReply) {
         self.last = (!reply.unknown).then_some((key, digest));
         self.seen = reply.seen;
     }
 
     /// The relay did not answer in time.
-    pub fn failed(&mut self, key: u64, now: Millis) {
+    pub fn record_failure(&mut self, key: u64, now: Millis) {
         self.failed.retain(|_, at| now.since(*at) < PASSED_OVER);
         self.failed.insert(key, now);
     }
--- a/crates/policy/tests/relay_link.rs
+++ b/crates/policy/tests/relay_link.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pumicecleat_policy::{RelayLink, RelayPick, members_digest};
+use pumicecleat_policy::{RelayPick, RelaySelector, members_digest};
 use pumicecleat_types::{DataCentre, Member, Millis, Seen, ViewReply};
 
 fn members() -> Vec<Member> {
@@ -14,7 +14,7 @@
     (0..30).map(member).collect()
 }
 
-fn pick(link: &RelayLink, members: &[Member], now: u64) -> RelayPick {
+fn pick(link: &RelaySelector, members: &[Member], now: u64) -> RelayPick {
     let near = |m: &Member| m.centre.as_str() == "a";
     let digest = members_digest(members);
     link.pick(members, digest, near, Millis(now)).unwrap()
@@ -33,9 +33,9 @@
     let all = members();
     let mut turned = all.clone();
     turned.reverse();
-    let link = RelayLink::default();
-    let one = &all[pick(&link, &all, 0).at];
-    let other = &turned[pick(&link, &turned, 0).at];
+    let link = RelaySelector::default();
+    let one = &all[pick(&link, &all, 0).index];
+    let other = &turned[pick(&link, &turned, 0).index];
     assert_eq!(one, other);
     assert_eq!(one.centre.as_str(), "a");
 }
@@ -43,12 +43,12 @@
 #[test]
 fn a_relay_that_failed_is_passed_over_for_a_while_and_then_asked_again() {
     let all = members();
-    let mut link = RelayLink::default();
+    let mut link = RelaySelector::default();
     let first = pick(&link, &all, 0);
-    link.failed(first.key, Millis(0));
+    link.record_failure(first.key, Millis(0));
     let second = pick(&link, &all, 10);
     assert_ne!(first.key, second.key);
-    assert_eq!(all[second.at].centre.as_str(), "a");
+    assert_eq!(all[second.index].centre.as_str(), "a");
     assert_eq!(pick(&link, &all, 1_999).key, second.key);
     assert_eq!(pick(&link, &all, 2_000).key, first.key);
 }
@@ -56,40 +56,40 @@
 #[test]
 fn where_all_near_ones_failed_another_data_centre_is_asked() {
     let all = members();
-    let mut link = RelayLink::default();
+    let mut link = RelaySelector::default();
     for _ in 0..10 {
         let near = pick(&link, &all, 0);
-        assert_eq!(all[near.at].centre.as_str(), "a");
-        link.failed(near.key, Millis(0));
+        assert_eq!(all[near.index].centre.as_str(), "a");
+        link.record_failure(near.key, Millis(0));
     }
     let far = pick(&link, &all, 0);
-    assert_eq!(all[far.at].centre.as_str(), "b");
+    assert_eq!(all[far.index].centre.as_str(), "b");
 }
 
 #[test]
 fn members_are_told_once_to_each_relay_and_again_when_they_change() {
     let mut all = members();
-    let mut link = RelayLink::default();
+    let mut link = RelaySelector::default();
     let first = pick(&link, &all, 0);
-    assert!(first.tell);
+    assert!(first.send_members);
     assert_eq!(first.seen, Seen::default());
-    link.answered(first.key, members_digest(&all), &reply(false));
+    link.record_reply(first.key, members_digest(&all), &reply(false));
     let again = pick(&link, &all, 200);
-    assert!(!again.tell);
+    assert!(!again.send_members);
     assert_eq!(again.seen, Seen { start: 7, count: 9 });
     all.pop();
-    assert!(pick(&link, &all, 400).tell, "another list");
+    assert!(pick(&link, &all, 400).send_members, "another list");
     let mut forgot = link.clone();
-    forgot.answered(first.key, members_digest(&all), &reply(true));
-    assert!(pick(&forgot, &all, 600).tell, "it started again");
-    link.failed(first.key, Millis(600));
+    forgot.record_reply(first.key, members_digest(&all), &reply(true));
+    assert!(pick(&forgot, &all, 600).send_members, "it started again");
+    link.record_failure(first.key, Millis(600));
     let next = pick(&link, &all, 600);
-    assert!(next.tell, "another relay");
+    assert!(next.send_members, "another relay");
     assert_eq!(next.seen, Seen::default());
 }
 
 #[test]
 fn few_engines_are_asked_without_a_relay() {
-    assert!(!RelayLink::is_wanted(9));
-    assert!(RelayLink::is_wanted(39));
+    assert!(!RelaySelector::is_needed(9));
+    assert!(RelaySelector::is_needed(39));
 }
