--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -65,7 +65,7 @@
 
 /// Goes on with a stream that broke off, at another engine; `None` if there is none.
 pub(super) async fn go_on(job: &mut Job, progress: &mut Progress) -> Option<Box<Answered>> {
-    progress.search.renew();
+    progress.search.restart();
     while progress.sent < job.route.attempts {
         job.clear().await.ok()?;
         let turn = find_turn(job, progress).await.ok()?;
@@ -96,17 +96,17 @@
                 progress.rests(left);
                 return Err(RESTING);
             }
-            if progress.search.run_out() {
+            if progress.search.switch_to_waiting() {
                 continue;
             }
             if !may_await_engine(job, &progress.search) {
                 return Err("no_engine");
             }
             job.shared.timer.sleep(ENGINE_LOOK).await;
-            progress.search.renew();
+            progress.search.restart();
             continue;
         };
-        let Some(stays) = progress.search.ask() else {
+        let Some(stays) = progress.search.count_ask() else {
             return Err("no_turn");
         };
         match ask(job, &upstream, hold.needs_slot(), stays).await {
@@ -114,7 +114,7 @@
             Err(AgentLost) if hold == AdapterState::Loaded => {
                 if let Admission::Refused(wait) = job.shared.reserve(&upstream, Millis(0)) {
                     progress.refused(LIMITED, wait);
-                    progress.search.failed(&upstream.instance);
+                    progress.search.exclude(&upstream.instance);
                     continue;
                 }
                 let version = None;
@@ -125,11 +125,11 @@
                     job.shared.note_exhausted(&upstream, Millis(retry_ms));
                 }
                 progress.refused(reason.as_str(), Millis(retry_ms));
-                progress.search.refused(&upstream.instance);
+                progress.search.record_refusal(&upstream.instance);
             }
             Err(AgentLost) => {
                 progress.refused("agent_lost", RETRY);
-                progress.search.failed(&upstream.instance);
+                progress.search.exclude(&upstream.instance);
             }
         }
     }
@@ -141,7 +141,7 @@
 fn may_await_engine(job: &Job, search: &TurnSearch) -> bool {
     let most = Millis(job.route.objective_ms * AWAIT);
     let listed = job.candidates();
-    job.trail.age() < most && listed.iter().any(|u| !search.has_failed(&u.instance))
+    job.trail.age() < most && listed.iter().any(|u| !search.is_excluded(&u.instance))
 }
 
 /// How far a request has come.
@@ -234,7 +234,7 @@
 fn choose(job: &Job, search: &TurnSearch) -> Option<(Upstream, AdapterState)> {
     let now = job.shared.timer.now();
     let catalog = job.shared.catalog.borrow();
-    let open = |u: &&Upstream| search.is_open(&u.instance);
+    let open = |u: &&Upstream| search.is_candidate(&u.instance);
     let there = |u: &&Upstream| job.shared.table.with(&u.instance, |r| !r.is_out(now));
     let candidates = job.candidates_in(&catalog).filter(open).filter(there);
     let candidates = without_exhausted(job, candidates.collect(), now);
@@ -316,7 +316,7 @@
     let instance = turn.upstream.instance.clone();
     let under_way = job.shared.table.enter(&instance, Some(job.id()));
     if !job.is_ready(&instance) {
-        progress.search.failed(&instance);
+        progress.search.exclude(&instance);
         return Ran::Again;
     }
     if !job.is_clear() {
@@ -328,7 +328,7 @@
     progress.sent += 1;
     let version = version(job).max(turn.version);
     let attempt = job.send(&turn.upstream, version, job.left_span()).await;
-    progress.search.failed(&instance);
+    progress.search.exclude(&instance);
     follow(job, turn, attempt, under_way, progress)
 }
 
--- a/crates/policy/src/prompt/search.rs
+++ b/crates/policy/src/prompt/search.rs
@@ -25,51 +25,51 @@
 impl TurnSearch {
     /// Whether `instance` may be asked next.
     #[must_use]
-    pub fn is_open(&self, instance: &str) -> bool {
-        !self.failed.contains(instance) && (self.stays() || !self.refused.contains(instance))
+    pub fn is_candidate(&self, instance: &str) -> bool {
+        !self.failed.contains(instance) && (self.will_wait() || !self.refused.contains(instance))
     }
 
     /// Whether the next engine asked is the one where the request waits.
     #[must_use]
-    pub fn stays(&self) -> bool {
+    pub fn will_wait(&self) -> bool {
         self.asks >= ASKS
     }
 
     /// Counts an ask; gives whether the request waits there, or `None` if it has waited already.
-    pub fn ask(&mut self) -> Option<bool> {
+    pub fn count_ask(&mut self) -> Option<bool> {
         if self.asks > ASKS {
             return None;
         }
-        let stays = self.stays();
+        let stays = self.will_wait();
         self.asks += 1;
         Some(stays)
     }
 
     /// No engine is left that could answer at once; gives whether one may still be waited at.
-    pub fn run_out(&mut self) -> bool {
-        let left = !self.stays() && !self.refused.is_empty();
+    pub fn switch_to_waiting(&mut self) -> bool {
+        let left = !self.will_wait() && !self.refused.is_empty();
         self.asks = self.asks.max(ASKS);
         left
     }
 
     /// `instance` had no turn to give.
-    pub fn refused(&mut self, instance: &str) {
+    pub fn record_refusal(&mut self, instance: &str) {
         self.refused.insert(instance.to_owned());
     }
 
     /// `instance` can't serve the request, or has had it.
-    pub fn failed(&mut self, instance: &str) {
+    pub fn exclude(&mut self, instance: &str) {
         self.failed.insert(instance.to_owned());
     }
 
     /// Whether `instance` can't serve the request, or has had it.
     #[must_use]
-    pub fn has_failed(&self, instance: &str) -> bool {
+    pub fn is_excluded(&self, instance: &str) -> bool {
         self.failed.contains(instance)
     }
 
     /// Begins anew, without those that failed.
-    pub fn renew(&mut self) {
+    pub fn restart(&mut self) {
         self.asks = 0;
         self.refused.clear();
     }
--- a/crates/policy/tests/fleet/play.rs
+++ b/crates/policy/tests/fleet/play.rs
@@ -191,17 +191,17 @@
         .map(|(at, pair)| view(pair, at, &request))
         .collect();
     let open: Vec<usize> = (0..views.len())
-        .filter(|at| jobs[job].search.is_open(&at.to_string()))
+        .filter(|at| jobs[job].search.is_candidate(&at.to_string()))
         .collect();
     let offered: Vec<EngineView> = open.iter().map(|at| views[*at]).collect();
     let choice = EngineChoice::new(name_key(&request.adapter));
     let Some(at) = choice.pick(&offered).map(|at| open[at]) else {
-        if jobs[job].search.run_out() {
+        if jobs[job].search.switch_to_waiting() {
             return arrive(fleet, jobs, job, demand, now);
         }
         return refuse(&mut jobs[job], now);
     };
-    let Some(stays) = jobs[job].search.ask() else {
+    let Some(stays) = jobs[job].search.count_ask() else {
         return refuse(&mut jobs[job], now);
     };
     jobs[job].asked = at;
@@ -292,7 +292,7 @@
                     let job = &mut jobs[pair.waiting.remove(&turn).unwrap()];
                     job.refusals.push((now, reason));
                     let asked = job.asked.to_string();
-                    job.search.refused(&asked);
+                    job.search.record_refusal(&asked);
                     job.retry = Some(job.retry.map_or(retry.0, |r| r.min(retry.0)));
                     job.came = now;
                     job.over = false;
