--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_catalog::{Catalog, RetryMode, Upstream};
 use pumicecleat_net::{Reply, Response};
-use pumicecleat_policy::{AdapterHold, Admission, EngineChoice, EngineView, TurnSearch};
+use pumicecleat_policy::{AdapterState, Admission, EngineChoice, EngineView, TurnSearch};
 use pumicecleat_types::{Millis, Turn, TurnAsk, TurnRefusal};
 
 use super::job::Job;
@@ -65,7 +65,7 @@
 
 /// Goes on with a stream that broke off, at another engine; `None` if there is none.
 pub(super) async fn go_on(job: &mut Job, progress: &mut Progress) -> Option<Box<Answered>> {
-    progress.search.renew();
+    progress.search.restart();
     while progress.sent < job.route.max_attempts {
         job.clear().await.ok()?;
         let turn = find_turn(job, progress).await.ok()?;
@@ -96,25 +96,25 @@
                 progress.rests(left);
                 return Err(RESTING);
             }
-            if progress.search.run_out() {
+            if progress.search.switch_to_waiting() {
                 continue;
             }
             if !may_await_engine(job, &progress.search) {
                 return Err("no_engine");
             }
             job.shared.timer.sleep(ENGINE_LOOK).await;
-            progress.search.renew();
+            progress.search.restart();
             continue;
         };
-        let Some(stays) = progress.search.ask() else {
+        let Some(stays) = progress.search.count_ask() else {
             return Err("no_turn");
         };
-        match ask(job, &upstream, hold.needs_place(), stays).await {
+        match ask(job, &upstream, hold.needs_slot(), stays).await {
             Ok(Turn::Go { version }) => return Ok(HadTurn { upstream, version }),
-            Err(AgentLost) if hold == AdapterHold::Held => {
+            Err(AgentLost) if hold == AdapterState::Loaded => {
                 if let Admission::Refused(wait) = job.shared.reserve(&upstream, Millis(0)) {
                     progress.refused(LIMITED, wait);
-                    progress.search.failed(&upstream.instance);
+                    progress.search.exclude(&upstream.instance);
                     continue;
                 }
                 let version = None;
@@ -125,11 +125,11 @@
                     job.shared.note_exhausted(&upstream, Millis(retry_ms));
                 }
                 progress.refused(reason.as_str(), Millis(retry_ms));
-                progress.search.refused(&upstream.instance);
+                progress.search.record_refusal(&upstream.instance);
             }
             Err(AgentLost) => {
                 progress.refused("agent_lost", RETRY);
-                progress.search.failed(&upstream.instance);
+                progress.search.exclude(&upstream.instance);
             }
         }
     }
@@ -141,7 +141,7 @@
 fn may_await_engine(job: &Job, search: &TurnSearch) -> bool {
     let most = Millis(job.route.objective_ms * AWAIT);
     let listed = job.candidates();
-    job.trail.age() < most && listed.iter().any(|u| !search.has_failed(&u.instance))
+    job.trail.age() < most && listed.iter().any(|u| !search.is_excluded(&u.instance))
 }
 
 /// How far a request has come.
@@ -231,10 +231,10 @@
     most.since(job.trail.age()).min(job.left())
 }
 
-fn choose(job: &Job, search: &TurnSearch) -> Option<(Upstream, AdapterHold)> {
+fn choose(job: &Job, search: &TurnSearch) -> Option<(Upstream, AdapterState)> {
     let now = job.shared.timer.now();
     let catalog = job.shared.catalog.borrow();
-    let open = |u: &&Upstream| search.is_open(&u.instance);
+    let open = |u: &&Upstream| search.is_candidate(&u.instance);
     let there = |u: &&Upstream| job.shared.table.with(&u.instance, |r| !r.is_out(now));
     let candidates = job.candidates_in(&catalog).filter(open).filter(there);
     let candidates = without_exhausted(job, candidates.collect(), now);
@@ -248,7 +248,7 @@
     let name = adapter.unwrap_or_default();
     let choice = EngineChoice::new(pumicecleat_policy::name_key(name));
     let at = choice.pick(&views)?;
-    Some((candidates[at].clone(), views[at].hold))
+    Some((candidates[at].clone(), views[at].adapter_state))
 }
 
 /// Excludes candidates whose agent is known to have no free slot under the rate limit, unless that excludes all
@@ -288,22 +288,26 @@
         let loads = |name: &str| figures.is_some_and(|f| f.loading.iter().any(|l| l == name));
         EngineView {
             key: pumicecleat_policy::name_key(&upstream.instance),
-            hold: match adapter {
-                Some(name) if holds(name) => AdapterHold::Held,
-                Some(name) if loads(name) => AdapterHold::Coming,
-                Some(name) if keeps(name) => AdapterHold::Kept,
-                Some(_) => AdapterHold::Absent,
-                None => AdapterHold::Held,
+            adapter_state: match adapter {
+                Some(name) if holds(name) => AdapterState::Loaded,
+                Some(name) if loads(name) => AdapterState::Loading,
+                Some(name) if keeps(name) => AdapterState::Cached,
+                Some(_) => AdapterState::Absent,
+                None => AdapterState::Loaded,
             },
-            spare: figures.map_or(0, |f| f.spare.saturating_sub(taken)),
-            unread: figures.map_or(0, |f| f.unread) + asked,
-            tokens: job.attributes.prompt,
+            available_slots: figures.map_or(0, |f| f.spare.saturating_sub(taken)),
+            unread_tokens: figures.map_or(0, |f| f.unread) + asked,
+            prompt_tokens: job.attributes.prompt,
             traits: figures.map(|f| f.traits).unwrap_or_default(),
             running: figures.map_or(0, |f| f.running),
-            start: figures.and_then(|f| f.ready_ms).unwrap_or_default(),
+            ready_in_ms: figures.and_then(|f| f.ready_ms).unwrap_or_default(),
             stale,
             remote: upstream.centre != job.shared.centre,
-            behind: if r.slots.is_behind(now) { 2_000 } else { 0 },
+            failure_penalty_ms: if r.slots.has_recent_failure(now) {
+                2_000
+            } else {
+                0
+            },
         }
     })
 }
@@ -312,7 +316,7 @@
     let instance = turn.upstream.instance.clone();
     let under_way = job.shared.table.enter(&instance, Some(job.id()));
     if !job.is_ready(&instance) {
-        progress.search.failed(&instance);
+        progress.search.exclude(&instance);
         return Ran::Again;
     }
     if !job.is_clear() {
@@ -324,7 +328,7 @@
     progress.sent += 1;
     let version = version(job).max(turn.version);
     let attempt = job.send(&turn.upstream, version, job.left_span()).await;
-    progress.search.failed(&instance);
+    progress.search.exclude(&instance);
     follow(job, turn, attempt, under_way, progress)
 }
 
@@ -391,7 +395,7 @@
     let now = job.shared.timer.now();
     job.shared
         .table
-        .with(&upstream.instance, |r| r.slots.failed(now));
+        .with(&upstream.instance, |r| r.slots.record_failure(now));
 }
 
 /// Final answer without an engine's.
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -5,9 +5,9 @@
 //! is learned from it alone; no figure of any engine stands here.
 //!
 //! [`Turns`] is the side's part: which adapters its engine holds, whose turn it is, who is refused.
-//! [`RelayLink`] says who gathers the figures of many engines.
+//! [`RelaySelector`] says who gathers the figures of many engines.
 //!
-//! [`EngineChoice`] and [`TurnSearch`] are the entry's: which engine to ask, and where to wait. [`SlotChoice`] places plain requests, and
+//! [`EngineChoice`] and [`TurnSearch`] are the entry's: which engine to ask, and where to wait. [`UpstreamStats`] places plain requests, and
 //! [`RepeatWindow`] bounds what is sent more than once.
 
 mod demand;
@@ -21,12 +21,12 @@
 mod slots;
 mod turns;
 
-pub use engine::{AdapterHold, EngineChoice, EngineView};
+pub use engine::{AdapterState, EngineChoice, EngineView};
 pub use places::{EngineOrder, OrderEnd};
-pub use relay::{RelayLink, RelayPick, members_digest};
+pub use relay::{RelayPick, RelaySelector, members_digest};
 pub use repeat::{RepeatOptions, RepeatWindow};
 pub use search::TurnSearch;
-pub use slots::{SlotChoice, SlotView};
+pub use slots::{UpstreamLoad, UpstreamStats};
 pub use turns::{
     BaseCopy, BaseLoads, EngineState, RunSeen, TurnAction, TurnId, TurnOptions, TurnRequest, Turns,
 };
