--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -377,11 +377,9 @@
     prop_assert_eq!(selected.resident, resident);
     let homes = lora.map_or_else(Vec::new, |l| router.homes(query.pool, l));
     let holds = |u: UpstreamIx| lora.is_some_and(|l| naive.holds(u.0, l));
-    let same_class = candidates.iter().filter(|c| Some(c.0) == best).map(|c| c.1);
-    let known: Vec<_> = same_class
-        .filter(|&u| homes.contains(&u) || holds(u))
-        .collect();
-    if let Some(limit) = max_wait(router, &query, &selected, &known, now) {
+    let peers = candidates.iter().filter(|c| Some(c.0) == best).map(|c| c.1);
+    let near_peers: Vec<_> = peers.filter(|&u| homes.contains(&u) || holds(u)).collect();
+    if let Some(limit) = max_wait(router, &query, &selected, &near_peers, now) {
         let limit = limit + lora.map_or(Millis(0), |_| naive.idle_penalty);
         prop_assert!(selected.wait <= limit, "{selected:?} over {limit:?}");
     }
