--- a/crates/policy/src/scheduler/demand.rs
+++ b/crates/policy/src/scheduler/demand.rs
@@ -1,4 +1,4 @@
-//! Demand for each adapter: a rate of requests that decays.
+//! Demand for each adapter: a request count with exponential decay.
 
 use std::collections::BTreeMap;
 
@@ -6,58 +6,64 @@
 
 use crate::LoraIx;
 
-/// Time in which a rate halves, seconds.
+/// Half-life of a count, in seconds.
 const HALF_LIFE_S: f64 = 60.0;
 
-/// Rates kept before the faded ones are dropped for the first time.
-const KEEP: usize = 1024;
+/// Number of counts at which the decayed ones are first dropped.
+const MIN_PRUNE_LEN: usize = 1024;
 
-/// Count below which demand has faded.
-const FADED: f64 = 0.01;
+/// A count below this is dropped when pruning.
+const MIN_KEPT_COUNT: f64 = 0.01;
 
 #[derive(Clone, Copy, Debug)]
-struct Count {
+struct DecayingCount {
     value: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Count {
-    fn now(self, now: Millis) -> f64 {
-        let halves = now.since(self.at).as_secs() / HALF_LIFE_S;
-        self.value * (-halves).exp2()
+impl DecayingCount {
+    fn value_at(self, now: Millis) -> f64 {
+        let half_lives = now.since(self.updated_at).as_secs() / HALF_LIFE_S;
+        self.value * (-half_lives).exp2()
     }
 }
 
-/// Decayed counts of requests by adapter.
+/// Decaying request counts by adapter.
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
-    counts: BTreeMap<LoraIx, Count>,
-    /// Rates kept until the faded ones are dropped.
-    keep: usize,
+    counts: BTreeMap<LoraIx, DecayingCount>,
+    /// Number of counts at which the decayed ones are dropped next.
+    prune_len: usize,
 }
 
 impl Default for Demand {
     fn default() -> Self {
         Self {
             counts: BTreeMap::new(),
-            keep: KEEP,
+            prune_len: MIN_PRUNE_LEN,
         }
     }
 }
 
 impl Demand {
     /// Counts one request.
-    pub(super) fn hit(&mut self, lora: LoraIx, now: Millis) {
-        if self.counts.len() >= self.keep {
-            self.counts.retain(|_, c| c.now(now) >= FADED);
-            self.keep = KEEP.max(self.counts.len() * 2);
+    pub(super) fn record(&mut self, lora: LoraIx, now: Millis) {
+        if self.counts.len() >= self.prune_len {
+            self.counts.retain(|_, c| c.value_at(now) >= MIN_KEPT_COUNT);
+            self.prune_len = MIN_PRUNE_LEN.max(self.counts.len() * 2);
         }
-        let value = self.rate(lora, now) + 1.0;
-        self.counts.insert(lora, Count { value, at: now });
+        let value = self.decayed_count(lora, now) + 1.0;
+        self.counts.insert(
+            lora,
+            DecayingCount {
+                value,
+                updated_at: now,
+            },
+        );
     }
 
-    /// Requests counted, each halved by its age.
-    pub(super) fn rate(&self, lora: LoraIx, now: Millis) -> f64 {
-        self.counts.get(&lora).map_or(0.0, |c| c.now(now))
+    /// Decayed request count of the adapter.
+    pub(super) fn decayed_count(&self, lora: LoraIx, now: Millis) -> f64 {
+        self.counts.get(&lora).map_or(0.0, |c| c.value_at(now))
     }
 }
--- a/crates/policy/src/scheduler/estimate.rs
+++ b/crates/policy/src/scheduler/estimate.rs
@@ -1,27 +1,28 @@
-//! Learned times: of one unit of work, of a step and of a load.
+//! Learned times of one unit of work, of an engine step and of a load.
 
 use pumicecleat_types::Millis;
 
 use super::SchedulerOptions;
 
-/// Weight of the newest sample.
-const NEW: f64 = 0.1;
+/// Weight of the newest answer in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Mean deviations by which an answer may be slower and still be counted on.
-const MARGIN: f64 = 2.0;
+/// Safety margin on the time of an answer, in mean deviations.
+const SAFETY_DEVIATIONS: f64 = 2.0;
 
-/// Weight of the newest load: loads are few.
-const NEW_LOAD: f64 = 0.3;
+/// Weight of the newest load in the moving average; higher than for answers, as loads are few.
+const LOAD_SAMPLE_WEIGHT: f64 = 0.3;
 
-/// Longest load that is believed, in expected ones.
-const SLOW_LOAD: f64 = 4.0;
+/// A load sample is capped at this multiple of the expected load time.
+const MAX_LOAD_RATIO: f64 = 4.0;
 
-/// Learned times, milliseconds.
+/// Learned times, in milliseconds unless named otherwise.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Estimate {
+    /// Time of one unit of work.
     unit: f64,
     /// Mean deviation from `unit`.
-    spread: f64,
+    deviation: f64,
     load: f64,
     step_us: u32,
 }
@@ -30,55 +31,56 @@
     pub(super) fn new(options: &SchedulerOptions) -> Self {
         Self {
             unit: f64::from(options.initial_token_us) / 1000.0,
-            spread: 0.0,
-            load: span(options.expected_load_time),
+            deviation: 0.0,
+            load: as_float(options.expected_load_time),
             step_us: options.initial_token_us,
         }
     }
 
-    /// A whole answer to `tokens` of estimated work took `took`.
-    pub(super) fn answered(&mut self, tokens: u32, took: Millis) {
-        let sample = span(took) / f64::from(tokens.max(1));
+    /// Records that a whole answer to `tokens` of estimated work took `took`.
+    pub(super) fn record_answer(&mut self, tokens: u32, took: Millis) {
+        let sample = as_float(took) / f64::from(tokens.max(1));
         let off = (sample - self.unit).abs();
-        self.spread += NEW * (off - self.spread);
-        self.unit += NEW * (sample - self.unit);
+        self.deviation += SAMPLE_WEIGHT * (off - self.deviation);
+        self.unit += SAMPLE_WEIGHT * (sample - self.unit);
     }
 
-    /// A load took `took`; one that stood still in an outage counts for a slow one.
-    pub(super) fn loaded(&mut self, took: Millis) {
-        let took = span(took).min(self.load * SLOW_LOAD);
-        self.load += NEW_LOAD * (took - self.load);
+    /// Records that a load took `took`. The sample is capped, so that a load stalled by an outage
+    /// counts as a slow one only.
+    pub(super) fn record_load(&mut self, took: Millis) {
+        let took = as_float(took).min(self.load * MAX_LOAD_RATIO);
+        self.load += LOAD_SAMPLE_WEIGHT * (took - self.load);
     }
 
-    /// The engine tells its step time.
-    pub(super) fn stepped(&mut self, step_us: u32) {
+    /// Sets the step time that the engine reported.
+    pub(super) fn set_step_us(&mut self, step_us: u32) {
         self.step_us = step_us;
     }
 
-    /// Recent step time, microseconds.
+    /// Latest step time, in microseconds.
     pub(super) fn step_us(&self) -> u32 {
         self.step_us
     }
 
-    /// Time of an answer to `tokens` of estimated work, once sent.
-    pub(super) fn service(&self, tokens: u32) -> Millis {
-        millis(self.unit * f64::from(tokens))
+    /// Expected time from send to the end of an answer to `tokens` of estimated work.
+    pub(super) fn service_time(&self, tokens: u32) -> Millis {
+        to_millis(self.unit * f64::from(tokens))
     }
 
-    /// Time within which most answers to `tokens` of estimated work are whole, once sent.
-    pub(super) fn safe_service(&self, tokens: u32) -> Millis {
-        let most = self.unit + MARGIN * self.spread;
-        millis(most * f64::from(tokens))
+    /// Like [`service_time`](Self::service_time), with a margin that most answers stay within.
+    pub(super) fn safe_service_time(&self, tokens: u32) -> Millis {
+        let safe_unit = self.unit + SAFETY_DEVIATIONS * self.deviation;
+        to_millis(safe_unit * f64::from(tokens))
     }
 
-    /// Time until `tokens` of waiting work have been sent, `lanes` at a time.
-    pub(super) fn drain(&self, tokens: u64, lanes: u32) -> Millis {
-        millis(self.unit * approximate(tokens) / f64::from(lanes.max(1)))
+    /// Time until `tokens` of waiting work have been sent, with `batch` requests running at a time.
+    pub(super) fn drain_time(&self, tokens: u64, batch: u32) -> Millis {
+        to_millis(self.unit * approximate(tokens) / f64::from(batch.max(1)))
     }
 
-    /// Time of one load.
-    pub(super) fn load(&self) -> Millis {
-        millis(self.load)
+    /// Expected time of one load.
+    pub(super) fn load_time(&self) -> Millis {
+        to_millis(self.load)
     }
 }
 
@@ -87,7 +89,7 @@
     n as f64
 }
 
-fn span(t: Millis) -> f64 {
+fn as_float(t: Millis) -> f64 {
     t.as_secs() * 1000.0
 }
 
@@ -96,6 +98,6 @@
     clippy::cast_sign_loss,
     reason = "a float's cast saturates, and spans are not negative"
 )]
-fn millis(ms: f64) -> Millis {
+fn to_millis(ms: f64) -> Millis {
     Millis(ms.ceil() as u64)
 }
--- a/crates/policy/src/scheduler/job.rs
+++ b/crates/policy/src/scheduler/job.rs
@@ -1,83 +1,88 @@
-//! What goes into a scheduler and what it orders.
+//! Inputs and actions of the scheduler.
 
 use pumicecleat_types::{Millis, Reason};
 
 use crate::{CallerIx, LoraIx};
 
-/// Number of a request at one side, unique while the side lives.
+/// Number of a request at one side, unique while the side's process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
 /// A request that waits for the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Number, unique while the side lives.
+    /// Number of the request.
     pub id: JobId,
-    /// Adapter, or `None` where none is needed: the base model alone, or a plain service.
+    /// Adapter, or `None` if none is needed: for the base model alone, or a plain service.
     pub lora: Option<LoraIx>,
-    /// Caller whose share it uses.
+    /// Caller whose share is charged for it.
     pub caller: CallerIx,
-    /// The caller's claim, a weight from 1.
+    /// The caller's claim: its weight in the fair shares, at least 1.
     pub claim: u32,
-    /// Higher goes first among one caller's requests.
+    /// Priority among one caller's requests; higher goes first.
     pub priority: u8,
     /// When the whole answer is due.
     pub deadline: Millis,
-    /// When it reached this side.
+    /// When the request reached this side.
     pub arrived: Millis,
-    /// Tokens that the answer may have; any unit of work that is the same for all requests will do.
+    /// Upper bound on the tokens of the answer. Any unit of work will do if all requests use the
+    /// same.
     pub tokens: u32,
 }
 
-/// Final word that a request was not run.
+/// Refusal of a request; it was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobRefusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// Span after which a repeat is likely to be met.
+    /// Time after which a retry is likely to succeed.
     pub retry_after: Millis,
 }
 
 /// Bid for a turn at the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bid {
-    /// Adapter wanted.
+    /// Adapter to load.
     pub lora: LoraIx,
-    /// Requests waiting for it here.
+    /// Requests waiting for the adapter at this side.
     pub waiting: u32,
-    /// Least span left to start one of them.
+    /// Least time left until the latest start among them.
     pub left: Millis,
-    /// Longest wait so far among them.
+    /// Longest time that one of them has waited so far.
     pub waited: Millis,
 }
 
-/// Order of a scheduler to its process.
+/// Action that the scheduler orders its process to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request to the engine now; it counts as sent, and its adapter is pinned.
+    /// Send the request to the engine now. The scheduler counts it as sent and pins its adapter.
     Send(JobId),
-    /// Tell the entry that the request was not run; the scheduler has forgotten it.
+    /// Tell the entry that the request was not run. The scheduler no longer tracks it.
     Refuse(JobId, JobRefusal),
-    /// Ask for a turn, or keep the turn held; answer by `bid_answered` or `bid_unanswered`.
+    /// Bid for a turn, or renew the turn held. Report the result with
+    /// [`bid_answered`](super::Scheduler::bid_answered) or
+    /// [`bid_unanswered`](super::Scheduler::bid_unanswered).
     Bid(Bid),
-    /// Give the turn back; no answer is wanted.
+    /// Release the turn; no answer is expected.
     ReleaseTurn,
-    /// Order the engine to load; answer by `loaded`.
+    /// Order the engine to load the adapter. Report the result with
+    /// [`loaded`](super::Scheduler::loaded).
     Load(LoraIx),
-    /// Order the engine to unload; answer by `unloaded`.
+    /// Order the engine to unload the adapter. Report the result with
+    /// [`unloaded`](super::Scheduler::unloaded).
     Unload(LoraIx),
 }
 
-/// How an ordered load ended.
+/// Outcome of an ordered load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadOutcome {
     /// The adapter is resident.
     Done,
-    /// The engine or store could not load it.
+    /// The engine or the weight store could not load the adapter.
     Failed,
-    /// The store is busy and pushes back.
+    /// The weight store is busy and refused the load for now.
     Busy {
-        /// Span until it may be tried again.
+        /// Time until the load may be retried.
         retry_after: Millis,
     },
 }
--- a/crates/policy/src/scheduler/load.rs
+++ b/crates/policy/src/scheduler/load.rs
@@ -10,64 +10,68 @@
 use crate::LoraIx;
 
 impl Scheduler {
-    /// Moves the load in hand on.
-    pub(super) fn load(&mut self, now: Millis) {
+    /// Advances the load in progress.
+    pub(super) fn advance_load(&mut self, now: Millis) {
         match self.loading.stage {
-            Stage::Idle { next } if now >= next && !self.loading.asking => self.ask(now),
-            Stage::Alone { at } if now >= at => self.begin(now),
-            Stage::Granted { until } if now < until => self.begin(now),
-            Stage::Granted { .. } => self.loading.stage = Stage::Idle { next: now },
-            Stage::Loading { lora, renew, .. } if now >= renew && !self.loading.asking => {
-                self.keep(lora, now);
+            Stage::Idle { bid_at } if now >= bid_at && !self.loading.bid_pending => {
+                self.bid_or_release(now);
+            }
+            Stage::WithoutTurn { at } if now >= at => self.start_load(now),
+            Stage::Granted { until } if now < until => self.start_load(now),
+            Stage::Granted { .. } => self.loading.stage = Stage::Idle { bid_at: now },
+            Stage::Loading { lora, renew_at, .. }
+                if now >= renew_at && !self.loading.bid_pending =>
+            {
+                self.renew_turn(lora, now);
             }
             _ => {}
         }
     }
 
-    /// Bids for the most urgent adapter, or gives back a turn that nothing needs.
-    fn ask(&mut self, now: Millis) {
-        if let Some(bid) = self.wanted(now) {
-            self.loading.stage = Stage::Asked;
-            self.loading.asking = true;
-            self.orders.push(Action::Bid(bid));
-        } else if self.loading.held {
-            self.orders.push(Action::ReleaseTurn);
+    /// Bids for the most urgent adapter, or releases a turn that is no longer needed.
+    fn bid_or_release(&mut self, now: Millis) {
+        if let Some(bid) = self.next_bid(now) {
+            self.loading.stage = Stage::Bidding;
+            self.loading.bid_pending = true;
+            self.actions.push(Action::Bid(bid));
+        } else if self.loading.turn_held {
+            self.actions.push(Action::ReleaseTurn);
         }
-        self.loading.held = false;
+        self.loading.turn_held = false;
     }
 
-    /// Loads into a free slot, or frees one first.
-    fn begin(&mut self, now: Millis) {
-        let Some(bid) = self.wanted(now) else {
-            self.loading.stage = Stage::Idle { next: now };
-            return self.ask(now);
+    /// Orders the load if a slot is free, or the eviction of a victim first.
+    fn start_load(&mut self, now: Millis) {
+        let Some(bid) = self.next_bid(now) else {
+            self.loading.stage = Stage::Idle { bid_at: now };
+            return self.bid_or_release(now);
         };
-        if self.residency.has_room() {
-            return self.order(bid.lora, now);
+        if self.residency.has_free_slot() {
+            return self.order_load(bid.lora, now);
         }
         let Some(victim) = self.victim(now) else {
             return;
         };
-        if self.residency.evict(victim) {
+        if self.residency.start_eviction(victim) {
             let lora = bid.lora;
             self.loading.stage = Stage::Evicting { lora, victim };
-            self.orders.push(Action::Unload(victim));
+            self.actions.push(Action::Unload(victim));
         }
     }
 
-    fn order(&mut self, lora: LoraIx, now: Millis) {
+    fn order_load(&mut self, lora: LoraIx, now: Millis) {
         self.loading.stage = Stage::Loading {
             lora,
-            since: now,
-            renew: now + self.estimate.load(),
+            ordered_at: now,
+            renew_at: now + self.estimate.load_time(),
         };
-        self.orders.push(Action::Load(lora));
+        self.actions.push(Action::Load(lora));
     }
 
-    /// Bids again for the adapter being loaded, so that the turn does not lapse.
-    fn keep(&mut self, lora: LoraIx, now: Millis) {
+    /// Bids again for the adapter being loaded, so that the turn does not expire.
+    fn renew_turn(&mut self, lora: LoraIx, now: Millis) {
         let bid = match self.queue.lane(Some(lora)) {
-            Some(lane) => bid(lora, lane, now),
+            Some(lane) => lane_bid(lora, lane, now),
             None => Bid {
                 lora,
                 waiting: 0,
@@ -75,82 +79,83 @@
                 waited: Millis(0),
             },
         };
-        self.loading.asking = true;
-        self.orders.push(Action::Bid(bid));
+        self.loading.bid_pending = true;
+        self.actions.push(Action::Bid(bid));
     }
 
-    /// A slot was freed, or the engine kept its adapter.
-    pub(super) fn freed(&mut self, gone: bool, now: Millis) {
+    /// An eviction ended: its slot is free, or the engine kept the adapter.
+    pub(super) fn eviction_ended(&mut self, gone: bool, now: Millis) {
         let Stage::Evicting { lora, .. } = self.loading.stage else {
             return;
         };
         if gone {
-            self.order(lora, now);
+            self.order_load(lora, now);
         } else {
-            self.loading.stage = Stage::Idle { next: now };
+            self.loading.stage = Stage::Idle { bid_at: now };
         }
     }
 
-    /// A load failed: its requests may try elsewhere.
-    pub(super) fn fail(&mut self, lora: LoraIx, now: Millis) {
-        let span = self.loading.back_off(lora, now);
+    /// A load failed: starts its back-off and refuses the adapter's requests, so that they can be
+    /// retried at another upstream.
+    pub(super) fn load_failed(&mut self, lora: LoraIx, now: Millis) {
+        let back_off = self.loading.start_back_off(lora, now);
         let waiting: Vec<_> = self
             .queue
             .lane(Some(lora))
             .map(|lane| lane.ids().collect())
             .unwrap_or_default();
         for id in waiting {
-            self.refuse(id, Reason::LoadFailed, span);
+            self.refuse(id, Reason::LoadFailed, back_off);
         }
     }
 
-    /// Most urgent absent adapter, if a slot could be had for it.
-    fn wanted(&self, now: Millis) -> Option<Bid> {
-        if !self.residency.has_room() && self.victim(now).is_none() {
+    /// Bid for the most urgent absent adapter, if a slot is or can be made free for it.
+    fn next_bid(&self, now: Millis) -> Option<Bid> {
+        if !self.residency.has_free_slot() && self.victim(now).is_none() {
             return None;
         }
         self.queue
-            .lanes()
-            .filter(|(lora, _)| !self.residency.holds(*lora))
-            .map(|(lora, lane)| bid(lora, lane, now))
+            .adapter_lanes()
+            .filter(|(lora, _)| !self.residency.occupies_slot(*lora))
+            .map(|(lora, lane)| lane_bid(lora, lane, now))
             .max_by_key(|b| (b.waiting, b.waited, Reverse(b.left)))
     }
 
-    /// Adapter to evict: an idle one, or the one that was drained.
+    /// Adapter to evict: an idle one, or else the drained one.
     fn victim(&self, now: Millis) -> Option<LoraIx> {
         let drained = || {
-            let mut unpinned = self.residency.unpinned(now);
-            unpinned.find(|(lora, _)| self.draining == Some(*lora))
+            let mut evictable = self.residency.evictable(now);
+            evictable.find(|(lora, _)| self.draining == Some(*lora))
         };
         self.idle_victim(now)
             .or_else(|| drained().map(|(lora, _)| lora))
     }
 
-    /// Adapter without pins or waiting requests that is least in demand.
+    /// Adapter with the lowest demand among those without pins and waiting requests.
     pub(super) fn idle_victim(&self, now: Millis) -> Option<LoraIx> {
         self.residency
-            .unpinned(now)
+            .evictable(now)
             .filter(|(lora, _)| self.queue.lane(Some(*lora)).is_none())
             .min_by(|a, b| {
-                let rate = |lora| self.demand.rate(lora, now);
-                rate(a.0)
-                    .total_cmp(&rate(b.0))
-                    .then(a.1.used.cmp(&b.1.used))
+                let demand = |lora| self.demand.decayed_count(lora, now);
+                demand(a.0)
+                    .total_cmp(&demand(b.0))
+                    .then(a.1.last_used.cmp(&b.1.last_used))
             })
             .map(|(lora, _)| lora)
     }
 
-    /// When the load in hand acts by itself, if that is to come.
+    /// When the load in progress next needs a poll, if that is yet to come.
     pub(super) fn load_wake(&self, now: Millis) -> Option<Millis> {
         let stage = self.loading.wake().filter(|at| *at > now);
-        let kept = self.residency.next_try(now);
-        stage.into_iter().chain(kept).min()
+        let retry = self.residency.next_eviction_retry(now);
+        stage.into_iter().chain(retry).min()
     }
 }
 
-fn bid(lora: LoraIx, lane: &Lane, now: Millis) -> Bid {
-    let left = lane.start_by().unwrap_or(now);
-    let oldest = lane.oldest().unwrap_or(now);
+fn lane_bid(lora: LoraIx, lane: &Lane, now: Millis) -> Bid {
+    let left = lane.first_start_by().unwrap_or(now);
+    let oldest = lane.oldest_arrival().unwrap_or(now);
     Bid {
         lora,
         waiting: u32::try_from(lane.count()).unwrap_or(u32::MAX),
--- a/crates/policy/src/scheduler/options.rs
+++ b/crates/policy/src/scheduler/options.rs
@@ -1,18 +1,18 @@
-//! What a deployment sets for one side's decisions.
+//! Options of one side's scheduler, as a deployment sets them.
 
 use pumicecleat_types::Millis;
 
-/// Weights of the deployment's measures, in percent of each other.
+/// Weights of the deployment's objectives, in percent; only their ratio counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObjectiveWeights {
-    /// Load stalls.
+    /// Weight of keeping load stalls short.
     pub stall: u32,
-    /// Full batches.
+    /// Weight of filling the engine's batches.
     pub batch: u32,
 }
 
 impl ObjectiveWeights {
-    /// Part of the batch weight in both, from 0 to 1.
+    /// Batch weight as a fraction of the sum of both, from 0 to 1.
     #[must_use]
     pub fn batch_fraction(self) -> f64 {
         let both = self.stall.saturating_add(self.batch);
@@ -22,9 +22,9 @@
         f64::from(self.batch) / f64::from(both)
     }
 
-    /// What to give up at most for fuller batches, of `most` at full weight: it falls with the
-    /// square of what the batch weight is over a half, so that a deployment that weighs stalls as
-    /// much or more gives up nothing.
+    /// Longest time to spend on fuller batches, where `max_time` applies at a batch weight of 100%.
+    /// It scales with the square of the batch fraction's excess over one half, so that a deployment
+    /// that weighs stalls at least as much as batches spends none.
     #[must_use]
     #[allow(
         clippy::cast_possible_truncation,
@@ -32,29 +32,31 @@
         clippy::cast_sign_loss,
         reason = "a part of a span far below 2^52 ms"
     )]
-    pub fn scale_by_batch(self, most: Millis) -> Millis {
-        let over = (self.batch_fraction() - 0.5).max(0.0) * 2.0;
-        Millis((most.0 as f64 * over * over) as u64)
+    pub fn scale_by_batch(self, max_time: Millis) -> Millis {
+        let excess = (self.batch_fraction() - 0.5).max(0.0) * 2.0;
+        Millis((max_time.0 as f64 * excess * excess) as u64)
     }
 }
 
 /// Options of a [`Scheduler`](crate::Scheduler).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulerOptions {
-    /// Adapter slots of the engine.
+    /// Number of the engine's adapter slots.
     pub slots: u32,
-    /// Requests the engine batches at most.
+    /// Most requests that the engine runs in one batch.
     pub max_batch: u32,
-    /// Requests that wait at most.
+    /// Most requests that wait in the queue.
     pub max_queue: u32,
-    /// Weights of the deployment; a batch weight over a half holds requests back at an idle upstream,
-    /// which a plain service has no use for.
+    /// Objective weights. With a batch weight over one half, requests are held back at an idle
+    /// upstream to fill a batch, which is of no use to a plain service.
     pub weights: ObjectiveWeights,
-    /// Longest hold of an idle engine for a fuller batch, at a batch weight of 100%.
+    /// Longest time to hold requests back at an idle engine for a fuller batch, at a batch weight
+    /// of 100%.
     pub max_hold: Millis,
-    /// Time of a load, until some have been seen.
+    /// Expected time of a load: the estimate until loads have been measured, and the base of the
+    /// delay before a load without a turn.
     pub expected_load_time: Millis,
-    /// Time of one token, microseconds, until some answers have been seen.
+    /// Estimated time of one token until answers have been measured, in microseconds.
     pub initial_token_us: u32,
 }
 
--- a/crates/policy/src/scheduler/queue/lane.rs
+++ b/crates/policy/src/scheduler/queue/lane.rs
@@ -1,4 +1,4 @@
-//! Waiting requests for one adapter, by caller.
+//! Waiting requests for one adapter, indexed by caller.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,13 +8,12 @@
 use super::super::{Job, JobId};
 use crate::CallerIx;
 
-/// Order among one caller's requests: priority, then deadline.
+/// Order among one caller's requests: by priority, then by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::scheduler) struct Rank {
     priority: Reverse<u8>,
     /// When the answer is due.
     pub(in crate::scheduler) deadline: Millis,
-    /// Request.
     pub(in crate::scheduler) id: JobId,
 }
 
@@ -28,12 +27,10 @@
     }
 }
 
-/// A request's caller and its rank there.
+/// First request of one caller, with its rank.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::scheduler) struct Head {
-    /// Caller.
     pub(in crate::scheduler) caller: CallerIx,
-    /// Rank.
     pub(in crate::scheduler) rank: Rank,
 }
 
@@ -41,25 +38,25 @@
 #[derive(Clone, Debug, Default)]
 pub(in crate::scheduler) struct Lane {
     ranks: BTreeMap<CallerIx, BTreeSet<Rank>>,
-    arrived: BTreeSet<(Millis, JobId)>,
-    starts: BTreeSet<(Millis, JobId)>,
+    by_arrival: BTreeSet<(Millis, JobId)>,
+    by_start: BTreeSet<(Millis, JobId)>,
     tokens: u64,
 }
 
 impl Lane {
-    pub(super) fn add(&mut self, job: &Job, start: Millis) {
+    pub(super) fn add(&mut self, job: &Job, start_by: Millis) {
         self.ranks
             .entry(job.caller)
             .or_default()
             .insert(Rank::of(job));
-        self.arrived.insert((job.arrived, job.id));
-        self.starts.insert((start, job.id));
+        self.by_arrival.insert((job.arrived, job.id));
+        self.by_start.insert((start_by, job.id));
         self.tokens += u64::from(job.tokens);
     }
 
-    pub(super) fn remove(&mut self, job: &Job, start: Millis) {
-        self.arrived.remove(&(job.arrived, job.id));
-        self.starts.remove(&(start, job.id));
+    pub(super) fn remove(&mut self, job: &Job, start_by: Millis) {
+        self.by_arrival.remove(&(job.arrived, job.id));
+        self.by_start.remove(&(start_by, job.id));
         self.tokens -= u64::from(job.tokens);
         let Some(ranks) = self.ranks.get_mut(&job.caller) else {
             return;
@@ -71,33 +68,39 @@
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.arrived.is_empty()
+        self.by_arrival.is_empty()
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub(in crate::scheduler) fn count(&self) -> usize {
-        self.arrived.len()
+        self.by_arrival.len()
     }
 
-    /// Work waiting.
+    /// Sum of the waiting work.
     pub(in crate::scheduler) fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Arrival of the oldest.
-    pub(in crate::scheduler) fn oldest(&self) -> Option<Millis> {
-        self.arrived.first().map(|(at, _)| *at)
+    /// Arrival time of the oldest request.
+    pub(in crate::scheduler) fn oldest_arrival(&self) -> Option<Millis> {
+        self.by_arrival.first().map(|(at, _)| *at)
     }
 
-    /// Least time by which one must start.
-    pub(in crate::scheduler) fn start_by(&self) -> Option<Millis> {
-        self.starts.first().map(|(at, _)| *at)
+    /// Earliest of the latest start times.
+    pub(in crate::scheduler) fn first_start_by(&self) -> Option<Millis> {
+        self.by_start.first().map(|(at, _)| *at)
     }
 
-    /// Requests that must start before then.
-    pub(in crate::scheduler) fn late(&self, at: Millis) -> impl Iterator<Item = JobId> {
-        let starts = self.starts.iter().take_while(move |(start, _)| *start < at);
-        starts.map(|(_, id)| *id)
+    /// Requests whose latest start time is before `at`.
+    pub(in crate::scheduler) fn must_start_before(
+        &self,
+        at: Millis,
+    ) -> impl Iterator<Item = JobId> {
+        let due = self
+            .by_start
+            .iter()
+            .take_while(move |(start_by, _)| *start_by < at);
+        due.map(|(_, id)| *id)
     }
 
     /// First request of each caller.
@@ -111,8 +114,8 @@
         })
     }
 
-    /// Every request.
+    /// All waiting requests.
     pub(in crate::scheduler) fn ids(&self) -> impl Iterator<Item = JobId> {
-        self.arrived.iter().map(|(_, id)| *id)
+        self.by_arrival.iter().map(|(_, id)| *id)
     }
 }
--- a/crates/policy/src/scheduler/queue/mod.rs
+++ b/crates/policy/src/scheduler/queue/mod.rs
@@ -1,4 +1,4 @@
-//! Waiting requests, found by adapter, by caller and by the time they must start.
+//! Waiting requests, indexed by adapter, by caller and by latest start time.
 
 mod lane;
 
@@ -12,135 +12,135 @@
 pub(super) use lane::{Head, Lane};
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct WaitingJob {
     job: Job,
-    start: Millis,
+    start_by: Millis,
 }
 
-/// What one caller has waiting.
+/// Waiting requests of one caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backlog {
-    /// Requests.
+    /// Number of requests.
     pub(super) jobs: u32,
-    /// Work.
+    /// Sum of their work.
     pub(super) tokens: u64,
-    /// Claim of the latest request.
+    /// The caller's claim, as of its latest request.
     pub(super) claim: u32,
 }
 
 impl Backlog {
-    /// Requests per claim.
-    fn excess(self) -> f64 {
+    /// Waiting requests per unit of the claim.
+    fn jobs_per_claim(self) -> f64 {
         f64::from(self.jobs) / f64::from(self.claim.max(1))
     }
 }
 
-/// Waiting requests of one side.
+/// Queue of one side's waiting requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    jobs: BTreeMap<JobId, Waiting>,
+    jobs: BTreeMap<JobId, WaitingJob>,
     lanes: BTreeMap<Option<LoraIx>, Lane>,
-    starts: BTreeSet<(Millis, JobId)>,
-    callers: BTreeMap<CallerIx, Backlog>,
+    by_start: BTreeSet<(Millis, JobId)>,
+    backlogs: BTreeMap<CallerIx, Backlog>,
     tokens: u64,
 }
 
 impl Queue {
-    /// Adds a request that must start by `start`.
-    pub(super) fn add(&mut self, job: Job, start: Millis) {
-        self.lanes.entry(job.lora).or_default().add(&job, start);
-        self.starts.insert((start, job.id));
-        let backlog = self.callers.entry(job.caller).or_default();
+    /// Adds a request that must be sent by `start_by`.
+    pub(super) fn add(&mut self, job: Job, start_by: Millis) {
+        self.lanes.entry(job.lora).or_default().add(&job, start_by);
+        self.by_start.insert((start_by, job.id));
+        let backlog = self.backlogs.entry(job.caller).or_default();
         backlog.jobs += 1;
         backlog.tokens += u64::from(job.tokens);
         backlog.claim = job.claim.max(1);
         self.tokens += u64::from(job.tokens);
-        self.jobs.insert(job.id, Waiting { job, start });
+        self.jobs.insert(job.id, WaitingJob { job, start_by });
     }
 
-    /// Takes a request out.
-    pub(super) fn take(&mut self, id: JobId) -> Option<Job> {
-        let Waiting { job, start } = self.jobs.remove(&id)?;
-        self.starts.remove(&(start, id));
+    /// Removes a request.
+    pub(super) fn remove(&mut self, id: JobId) -> Option<Job> {
+        let WaitingJob { job, start_by } = self.jobs.remove(&id)?;
+        self.by_start.remove(&(start_by, id));
         self.tokens -= u64::from(job.tokens);
-        self.leave_lane(&job, start);
-        self.leave_caller(&job);
+        self.remove_from_lane(&job, start_by);
+        self.remove_from_backlog(&job);
         Some(job)
     }
 
-    fn leave_lane(&mut self, job: &Job, start: Millis) {
+    fn remove_from_lane(&mut self, job: &Job, start_by: Millis) {
         let Some(lane) = self.lanes.get_mut(&job.lora) else {
             return;
         };
-        lane.remove(job, start);
+        lane.remove(job, start_by);
         if lane.is_empty() {
             self.lanes.remove(&job.lora);
         }
     }
 
-    fn leave_caller(&mut self, job: &Job) {
-        let Some(backlog) = self.callers.get_mut(&job.caller) else {
+    fn remove_from_backlog(&mut self, job: &Job) {
+        let Some(backlog) = self.backlogs.get_mut(&job.caller) else {
             return;
         };
         backlog.jobs -= 1;
         backlog.tokens -= u64::from(job.tokens);
         if backlog.jobs == 0 {
-            self.callers.remove(&job.caller);
+            self.backlogs.remove(&job.caller);
         }
     }
 
-    /// Whether the request waits here.
-    pub(super) fn has(&self, id: JobId) -> bool {
+    /// Whether the request is waiting.
+    pub(super) fn contains(&self, id: JobId) -> bool {
         self.jobs.contains_key(&id)
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub(super) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Work waiting.
+    /// Sum of the waiting work.
     pub(super) fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Lane of an adapter, if any request waits for it.
+    /// Lane of an adapter, if any request waits for it; `None` stands for requests without one.
     pub(super) fn lane(&self, lora: Option<LoraIx>) -> Option<&Lane> {
         self.lanes.get(&lora)
     }
 
-    /// Lanes of adapters.
-    pub(super) fn lanes(&self) -> impl Iterator<Item = (LoraIx, &Lane)> {
+    /// All lanes but that of the requests without an adapter.
+    pub(super) fn adapter_lanes(&self) -> impl Iterator<Item = (LoraIx, &Lane)> {
         self.lanes
             .iter()
             .filter_map(|(lora, lane)| Some(((*lora)?, lane)))
     }
 
-    /// Request that must start first, and by when.
-    pub(super) fn first_start(&self) -> Option<(Millis, JobId)> {
-        self.starts.first().copied()
+    /// Earliest of the latest start times, with its request.
+    pub(super) fn first_start_by(&self) -> Option<(Millis, JobId)> {
+        self.by_start.first().copied()
     }
 
-    /// What a caller has waiting.
+    /// Waiting requests of a caller.
     pub(super) fn backlog(&self, caller: CallerIx) -> Backlog {
-        self.callers.get(&caller).copied().unwrap_or_default()
+        self.backlogs.get(&caller).copied().unwrap_or_default()
     }
 
-    /// Callers that wait, with what they have waiting.
-    pub(super) fn callers(&self) -> impl Iterator<Item = (CallerIx, Backlog)> {
-        self.callers.iter().map(|(c, b)| (*c, *b))
+    /// Callers with waiting requests, and their backlogs.
+    pub(super) fn backlogs(&self) -> impl Iterator<Item = (CallerIx, Backlog)> {
+        self.backlogs.iter().map(|(c, b)| (*c, *b))
     }
 
-    /// Caller with the most requests per claim.
-    pub(super) fn largest(&self) -> Option<CallerIx> {
-        self.callers()
-            .max_by(|a, b| a.1.excess().total_cmp(&b.1.excess()))
+    /// Caller with the most waiting requests per claim.
+    pub(super) fn largest_backlog(&self) -> Option<CallerIx> {
+        self.backlogs()
+            .max_by(|a, b| a.1.jobs_per_claim().total_cmp(&b.1.jobs_per_claim()))
             .map(|(caller, _)| caller)
     }
 
-    /// Request of a caller that is due last.
-    pub(super) fn last_of(&self, caller: CallerIx) -> Option<JobId> {
-        let of_caller = |w: &&Waiting| w.job.caller == caller;
+    /// Request of a caller with the latest deadline.
+    pub(super) fn last_due_of(&self, caller: CallerIx) -> Option<JobId> {
+        let of_caller = |w: &&WaitingJob| w.job.caller == caller;
         self.jobs
             .values()
             .filter(of_caller)
@@ -148,7 +148,7 @@
             .map(|w| w.job.id)
     }
 
-    /// Every request.
+    /// All waiting requests.
     pub(super) fn ids(&self) -> Vec<JobId> {
         self.jobs.keys().copied().collect()
     }
--- a/crates/policy/src/scheduler/send.rs
+++ b/crates/policy/src/scheduler/send.rs
@@ -1,23 +1,25 @@
-//! What goes to the engine next.
+//! Choice of the requests to send to the engine.
 //!
-//! Among callers within a window of the least work per claim, the earliest deadline goes first; the
-//! window is a bound in work, so the shares hold over any span much longer than it.
+//! Among callers within a window above the least work per claim, the request with the earliest
+//! deadline goes first. The window bounds the work by which a caller can run ahead, so the shares
+//! hold over any period in which much more work is sent.
 
 use pumicecleat_types::Millis;
 
 use super::queue::{Head, Lane};
-use super::{Action, Scheduler, Sent};
+use super::{Action, Scheduler, SentJob};
 
-/// Work by which a caller may run ahead of its share, in units per claim.
-const AHEAD: f64 = 512.0;
+/// Work per claim by which a caller may run ahead of the caller that has had the least.
+const MAX_LEAD: f64 = 512.0;
 
-/// Holds take at most one part in this of the least slack among the requests held.
-const SLACK_PART: u64 = 4;
+/// A hold takes at most 1/`HOLD_SLACK_DIVISOR` of the time from the oldest arrival to the earliest
+/// latest start among the requests held.
+const HOLD_SLACK_DIVISOR: u64 = 4;
 
 impl Scheduler {
-    /// Sends while the engine has room.
+    /// Sends requests while the engine's batch has room.
     pub(super) fn send(&mut self, now: Millis) {
-        if self.holds(now) {
+        if self.is_holding(now) {
             return;
         }
         while self.running() < self.options.max_batch {
@@ -29,71 +31,78 @@
     }
 
     fn send_one(&mut self, head: &Head, now: Millis) {
-        let Some(job) = self.queue.take(head.rank.id) else {
+        let Some(job) = self.queue.remove(head.rank.id) else {
             return;
         };
         if let Some(lora) = job.lora {
             self.residency.pin(lora, now);
         }
         self.shares.charge(job.caller, job.claim, job.tokens);
-        self.shares.advance(self.queue.callers().map(|(c, _)| c));
-        let sent = Sent {
+        self.shares
+            .advance_virtual_time(self.queue.backlogs().map(|(c, _)| c));
+        let sent = SentJob {
             lora: job.lora,
             tokens: job.tokens,
-            at: now,
+            sent_at: now,
         };
         self.sent.insert(job.id, sent);
-        self.orders.push(Action::Send(job.id));
+        self.actions.push(Action::Send(job.id));
     }
 
-    /// First request by share and deadline among those that could run now.
+    /// Next request to send, by share and deadline, among those that need no load.
     fn pick(&self) -> Option<Head> {
-        let standing = |h: &Head| self.shares.standing(h.caller);
-        let least = self.heads().map(|h| standing(&h)).reduce(f64::min)?;
+        let work_per_claim = |h: &Head| self.shares.work_per_claim(h.caller);
+        let least = self.heads().map(|h| work_per_claim(&h)).reduce(f64::min)?;
         self.heads()
-            .filter(|h| standing(h) <= least + AHEAD)
+            .filter(|h| work_per_claim(h) <= least + MAX_LEAD)
             .min_by_key(|h| (h.rank.deadline, h.rank.id))
     }
 
-    /// First requests of each caller, for each adapter that is ready.
+    /// First request of each caller in each runnable lane.
     fn heads(&self) -> impl Iterator<Item = Head> {
-        self.runnable().flat_map(Lane::heads)
+        self.runnable_lanes().flat_map(Lane::heads)
     }
 
-    /// Requests that need no load.
-    pub(super) fn runnable(&self) -> impl Iterator<Item = &Lane> {
-        let ready = self.residency.ready_all().map(Some);
+    /// Lanes of the requests that need no load.
+    pub(super) fn runnable_lanes(&self) -> impl Iterator<Item = &Lane> {
+        let ready = self.residency.ready_adapters().map(Some);
         let ready = ready.filter(|lora| self.draining != *lora);
         let lanes = std::iter::once(None).chain(ready);
         lanes.filter_map(|lora| self.queue.lane(lora))
     }
 
-    /// Whether an idle engine waits for a fuller batch.
-    fn holds(&self, now: Millis) -> bool {
+    /// Whether requests are held back at an idle engine for a fuller batch.
+    fn is_holding(&self, now: Millis) -> bool {
         self.hold_end().is_some_and(|end| now < end)
     }
 
-    /// When a held batch goes at the latest.
+    /// When a hold ends, if that is yet to come.
     pub(super) fn hold_wake(&self, now: Millis) -> Option<Millis> {
         self.hold_end().filter(|end| *end > now)
     }
 
-    /// End of the hold, if an idle engine has fewer requests to run than its batch.
+    /// End of the hold, if the engine is idle and the runnable requests don't fill its batch.
     fn hold_end(&self) -> Option<Millis> {
         let span = self.options.weights.scale_by_batch(self.options.max_hold);
         if span.0 == 0 || self.running() > 0 {
             return None;
         }
-        // A call that needs no adapter gains nothing by company.
-        let bare = self.queue.lane(None).map_or(0, Lane::count);
-        let count: usize = self.runnable().map(Lane::count).sum();
-        if bare > 0 || count == 0 || count >= self.options.max_batch as usize {
+        // Batching is no gain for requests without an adapter, so these are sent at once.
+        let no_adapter = self.queue.lane(None).map_or(0, Lane::count);
+        let count: usize = self.runnable_lanes().map(Lane::count).sum();
+        if no_adapter > 0 || count == 0 || count >= self.options.max_batch as usize {
             return None;
         }
-        let oldest = self.runnable().filter_map(Lane::oldest).min()?;
-        let start = self.runnable().filter_map(Lane::start_by).min()?;
-        let slack = start.since(oldest);
-        let hold = span.min(Millis(slack.0 / SLACK_PART));
+        let oldest = self
+            .runnable_lanes()
+            .filter_map(Lane::oldest_arrival)
+            .min()?;
+        let start_by = self
+            .runnable_lanes()
+            .filter_map(Lane::first_start_by)
+            .min()?;
+        let slack = start_by.since(oldest);
+        let hold = span.min(Millis(slack.0 / HOLD_SLACK_DIVISOR));
         Some(oldest + hold)
     }
 }
--- a/crates/policy/src/scheduler/view.rs
+++ b/crates/policy/src/scheduler/view.rs
@@ -1,4 +1,4 @@
-//! What a scheduler tells of itself.
+//! State that a scheduler reports.
 
 use pumicecleat_types::LoadFigures;
 
@@ -6,17 +6,17 @@
 use crate::LoraIx;
 
 impl Scheduler {
-    /// Load of the upstream, as of the latest poll.
+    /// Load figures of the upstream, as of the latest poll.
     #[must_use]
     pub fn figures(&self) -> LoadFigures {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let wait = self.typical_wait(self.seen);
+        let wait = self.median_wait(self.polled_at);
         LoadFigures {
             running: self.running(),
             waiting: count(self.queue.len()),
             batch: self.options.max_batch,
             slots: self.options.slots,
-            spare: count(self.residency.spare()),
+            spare: count(self.residency.spare_slots()),
             step_us: self.estimate.step_us(),
             wait_ms: u32::try_from(wait.0).unwrap_or(u32::MAX),
         }
@@ -25,16 +25,16 @@
     /// Adapters that requests may be sent to.
     #[must_use]
     pub fn resident(&self) -> Vec<LoraIx> {
-        self.residency.ready_all().collect()
+        self.residency.ready_adapters().collect()
     }
 
-    /// Adapter being loaded.
+    /// Adapter that is being loaded, or will be after the eviction under way.
     #[must_use]
     pub fn loading(&self) -> Option<LoraIx> {
         self.loading.lora()
     }
 
-    /// Requests at the engine.
+    /// Number of requests at the engine.
     pub(super) fn running(&self) -> u32 {
         let sent = u32::try_from(self.sent.len()).unwrap_or(u32::MAX);
         let unaccounted: u32 = self.unaccounted.values().sum();
