--- a/crates/policy/tests/scheduler/engine.rs
+++ b/crates/policy/tests/scheduler/engine.rs
@@ -1,4 +1,4 @@
-//! A plain model of an engine beside a scheduler, which checks every order.
+//! A simple engine model that drives a scheduler and checks every action it orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,23 +8,23 @@
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
-/// Adapters asked for; this index stands for none.
+/// Number of adapters; a request with this index needs none.
 pub const LORAS: u32 = 6;
 
-/// Engine and its scheduler.
+/// Engine model with its scheduler.
 pub struct Engine {
-    pub side: Scheduler,
+    pub scheduler: Scheduler,
     pub now: Millis,
     pub waiting: BTreeMap<JobId, Option<LoraIx>>,
     slots: usize,
     batch: usize,
-    held: BTreeSet<LoraIx>,
+    resident: BTreeSet<LoraIx>,
     running: BTreeMap<JobId, Option<LoraIx>>,
     unaccounted: Vec<LoraIx>,
     loading: Option<LoraIx>,
     unloading: Option<LoraIx>,
-    asked: bool,
-    next: u64,
+    bid_pending: bool,
+    last_id: u64,
 }
 
 impl Engine {
@@ -40,24 +40,24 @@
             ..SchedulerOptions::default()
         };
         Self {
-            side: Scheduler::new_ext(options),
+            scheduler: Scheduler::new_ext(options),
             now: Millis(0),
             waiting: BTreeMap::new(),
             slots: slots as usize,
             batch: batch as usize,
-            held: BTreeSet::new(),
+            resident: BTreeSet::new(),
             running: BTreeMap::new(),
             unaccounted: Vec::new(),
             loading: None,
             unloading: None,
-            asked: false,
-            next: 0,
+            bid_pending: false,
+            last_id: 0,
         }
     }
 
-    pub fn submit(&mut self, lora: u32, caller: u32, span: u64, tokens: u32) {
-        self.next += 1;
-        let id = JobId(self.next);
+    pub fn submit(&mut self, lora: u32, caller: u32, time_left: u64, tokens: u32) {
+        self.last_id += 1;
+        let id = JobId(self.last_id);
         let lora = (lora < LORAS).then_some(LoraIx(lora));
         let job = Job {
             id,
@@ -65,16 +65,16 @@
             caller: CallerIx(caller),
             claim: caller + 1,
             priority: 0,
-            deadline: self.now + Millis(span),
+            deadline: self.now + Millis(time_left),
             arrived: self.now,
             tokens,
         };
-        if self.side.submit(job, self.now).is_ok() {
+        if self.scheduler.submit(job, self.now).is_ok() {
             self.waiting.insert(id, lora);
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.now = self.now + Millis(ms);
     }
 
@@ -83,7 +83,7 @@
         let id = self.running.keys().nth(nth % count).copied();
         if let Some(id) = id {
             self.running.remove(&id);
-            self.side.finished(id, whole, self.now);
+            self.scheduler.finished(id, whole, self.now);
         }
     }
 
@@ -91,85 +91,93 @@
         let count = self.waiting.len().max(1);
         let id = self.waiting.keys().nth(nth % count).copied();
         if let Some(id) = id {
-            assert!(self.side.cancel(id), "{id:?} waits but was not found");
-            assert!(!self.side.cancel(id), "{id:?} cancelled twice");
+            assert!(
+                self.scheduler.cancel(id),
+                "{id:?} is waiting but was not found"
+            );
+            assert!(!self.scheduler.cancel(id), "{id:?} cancelled twice");
             self.waiting.remove(&id);
         }
     }
 
-    pub fn go(&mut self, ttl_ms: u64) {
-        self.asked = false;
-        self.side.bid_answered(LoadTurn::Go { ttl_ms }, self.now);
+    pub fn grant_turn(&mut self, ttl_ms: u64) {
+        self.bid_pending = false;
+        self.scheduler
+            .bid_answered(LoadTurn::Go { ttl_ms }, self.now);
     }
 
-    pub fn wait(&mut self, again_ms: u64) {
-        self.asked = false;
+    pub fn defer_turn(&mut self, again_ms: u64) {
+        self.bid_pending = false;
         let turn = LoadTurn::Wait {
             again_ms,
             turn_ms: again_ms * 20,
             round_ms: again_ms * 10,
         };
-        self.side.bid_answered(turn, self.now);
+        self.scheduler.bid_answered(turn, self.now);
     }
 
-    pub fn silence(&mut self, roll: u64) {
-        self.asked = false;
-        self.side.bid_unanswered(roll, self.now);
+    pub fn leave_bid_unanswered(&mut self, roll: u64) {
+        self.bid_pending = false;
+        self.scheduler.bid_unanswered(roll, self.now);
     }
 
-    pub fn loaded(&mut self, end: LoadOutcome) {
+    pub fn end_load(&mut self, outcome: LoadOutcome) {
         let Some(lora) = self.loading.take() else {
             return;
         };
-        if end == LoadOutcome::Done {
-            self.held.insert(lora);
+        if outcome == LoadOutcome::Done {
+            self.resident.insert(lora);
         }
-        self.side.loaded(lora, end, self.now);
+        self.scheduler.loaded(lora, outcome, self.now);
     }
 
-    pub fn unloaded(&mut self, gone: bool) {
+    pub fn end_unload(&mut self, gone: bool) {
         let Some(lora) = self.unloading.take() else {
             return;
         };
         if gone {
-            self.held.remove(&lora);
+            self.resident.remove(&lora);
         }
-        self.side.unloaded(lora, gone, self.now);
+        self.scheduler.unloaded(lora, gone, self.now);
     }
 
-    /// The engine restarts with one adapter resident and another in use by an unknown request.
+    /// Restarts the engine with one adapter resident and another in use by an unaccounted request.
     pub fn reset(&mut self, resident: u32, unaccounted: u32) {
         self.running.clear();
         self.loading = None;
         self.unloading = None;
-        self.asked = false;
-        self.held = [LoraIx(resident)].into();
+        self.bid_pending = false;
+        self.resident = [LoraIx(resident)].into();
         self.unaccounted.clear();
         if self.slots > 1 {
-            self.held.insert(LoraIx(unaccounted));
+            self.resident.insert(LoraIx(unaccounted));
             self.unaccounted.push(LoraIx(unaccounted));
         }
         let resident = [LoraIx(resident)];
-        self.side.reset(&resident, &self.unaccounted, self.now);
+        self.scheduler.reset(&resident, &self.unaccounted, self.now);
     }
 
-    /// An unaccounted request ends, or else one that nobody knows of, which must change nothing.
-    pub fn release(&mut self) {
-        let known = self.unaccounted.pop();
+    /// Ends an unaccounted request. If there is none, reports the end of one for the adapter of a
+    /// running request, which must change nothing.
+    pub fn finish_unaccounted(&mut self) {
+        let unaccounted = self.unaccounted.pop();
         let running = self.running.values().flatten().next().copied();
-        if let Some(lora) = known.or(running) {
-            self.side.unaccounted_finished(lora);
+        if let Some(lora) = unaccounted.or(running) {
+            self.scheduler.unaccounted_finished(lora);
         }
     }
 
-    /// Polls and checks every order.
+    /// Polls the scheduler, and checks every action and the reported figures.
     pub fn poll(&mut self) {
-        for action in self.side.poll(self.now) {
+        for action in self.scheduler.poll(self.now) {
             self.check(action);
         }
-        let wake = self.side.next_wake(self.now);
-        assert!(wake.is_none_or(|at| at > self.now), "would spin");
-        let figures = self.side.figures();
+        let wake = self.scheduler.next_wake(self.now);
+        assert!(
+            wake.is_none_or(|at| at > self.now),
+            "next wake is not in the future: {wake:?}"
+        );
+        let figures = self.scheduler.figures();
         assert_eq!(figures.waiting as usize, self.waiting.len());
         let running = self.running.len() + self.unaccounted.len();
         assert_eq!(figures.running as usize, running);
@@ -179,12 +187,21 @@
         match action {
             Action::Send(id) => self.check_send(id),
             Action::Refuse(id, _) => {
-                assert!(self.waiting.remove(&id).is_some(), "{id:?} does not wait");
+                assert!(
+                    self.waiting.remove(&id).is_some(),
+                    "{id:?} was refused but is not waiting"
+                );
             }
             Action::Bid(bid) => {
-                assert!(!self.asked, "two bids are out");
-                assert!(!self.held.contains(&bid.lora), "bid for a resident one");
-                self.asked = true;
+                assert!(
+                    !self.bid_pending,
+                    "second bid before an answer to the first"
+                );
+                assert!(
+                    !self.resident.contains(&bid.lora),
+                    "bid for a resident adapter"
+                );
+                self.bid_pending = true;
             }
             Action::ReleaseTurn => {}
             Action::Load(lora) => self.check_load(lora),
@@ -193,43 +210,55 @@
     }
 
     fn check_send(&mut self, id: JobId) {
-        let lora = self.waiting.remove(&id).expect("sent but not waiting");
-        let ready = lora.is_none_or(|l| self.held.contains(&l) && self.unloading != Some(l));
-        assert!(ready, "{lora:?} is not resident");
+        let lora = self
+            .waiting
+            .remove(&id)
+            .expect("sent request is not waiting");
+        let ready = lora.is_none_or(|l| self.resident.contains(&l) && self.unloading != Some(l));
+        assert!(ready, "sent to {lora:?}, which is not ready");
         let running = self.running.len() + self.unaccounted.len();
-        assert!(running < self.batch, "batch is full");
+        assert!(running < self.batch, "sent to a full batch");
         self.running.insert(id, lora);
     }
 
     fn check_load(&mut self, lora: LoraIx) {
-        assert!(self.loading.is_none(), "two loads are out");
-        assert!(!self.held.contains(&lora), "{lora:?} is resident");
-        assert!(self.held.len() < self.slots, "no slot is free");
+        assert!(
+            self.loading.is_none(),
+            "second load before the first has ended"
+        );
+        assert!(!self.resident.contains(&lora), "load of resident {lora:?}");
+        assert!(self.resident.len() < self.slots, "load without a free slot");
         self.loading = Some(lora);
     }
 
     fn check_unload(&mut self, lora: LoraIx) {
-        assert!(self.unloading.is_none(), "two unloads are out");
-        assert!(self.held.contains(&lora), "{lora:?} is not resident");
+        assert!(
+            self.unloading.is_none(),
+            "second unload before the first has ended"
+        );
+        assert!(self.resident.contains(&lora), "unload of absent {lora:?}");
         let used = self.running.values().any(|l| *l == Some(lora));
-        assert!(!used, "{lora:?} serves a request");
-        assert!(!self.unaccounted.contains(&lora), "{lora:?} may serve one");
+        assert!(!used, "unload of {lora:?}, which serves a request");
+        assert!(
+            !self.unaccounted.contains(&lora),
+            "unload of {lora:?}, which serves an unaccounted request"
+        );
         self.unloading = Some(lora);
     }
 
-    /// Events go well from now on, for so many milliseconds.
+    /// Lets every event succeed for `ms` milliseconds.
     pub fn settle(&mut self, ms: u64) {
         let end = self.now + Millis(ms);
-        self.side.reopen();
+        self.scheduler.reopen();
         while !self.unaccounted.is_empty() {
-            self.release();
+            self.finish_unaccounted();
         }
         while self.now < end {
-            self.pass(500);
-            self.loaded(LoadOutcome::Done);
-            self.unloaded(true);
-            if self.asked {
-                self.go(2_000);
+            self.advance(500);
+            self.end_load(LoadOutcome::Done);
+            self.end_unload(true);
+            if self.bid_pending {
+                self.grant_turn(2_000);
             }
             self.finish(0, true);
             self.poll();
--- a/crates/policy/tests/scheduler/mod.rs
+++ b/crates/policy/tests/scheduler/mod.rs
@@ -1,3 +1,3 @@
-//! Helpers of the scheduler's tests.
+//! Helpers for the scheduler tests.
 
 pub mod engine;
--- a/crates/policy/tests/scheduler_cases.rs
+++ b/crates/policy/tests/scheduler_cases.rs
@@ -1,4 +1,4 @@
-//! Faults once found, each a case file: events with the orders expected of each.
+//! Regression cases, one file each: events, with the actions expected after each event.
 
 use std::path::Path;
 
@@ -13,9 +13,9 @@
 struct Case {
     slots: u32,
     batch: u32,
-    /// Weight of full batches, percent.
+    /// Weight of filling batches, in percent.
     weight: u32,
-    /// Longest hold, milliseconds.
+    /// Longest hold, in milliseconds.
     #[serde(default)]
     hold: u64,
     steps: Vec<Step>,
@@ -25,11 +25,11 @@
 struct Step {
     at: u64,
     event: Event,
-    /// Orders, as `name number`.
+    /// Expected actions, as `name number`.
     orders: Vec<String>,
-    /// Expected wait told to entries, milliseconds.
+    /// Expected wait reported to entries, in milliseconds, if checked.
     wait_ms: Option<u32>,
-    /// Next wake, if checked.
+    /// Expected next wake, in milliseconds, if checked.
     wake: Option<u64>,
 }
 
@@ -73,19 +73,19 @@
     caller: u32,
     deadline: u64,
     tokens: u32,
-    /// Whether it is refused at once.
+    /// Whether `submit` is expected to refuse it.
     #[serde(default)]
     refused: bool,
 }
 
-fn apply(side: &mut Scheduler, event: &Event, now: Millis) {
+fn apply(scheduler: &mut Scheduler, event: &Event, now: Millis) {
     match event {
         Event::Submit(submit) => {
             let job = job(submit, now);
-            let refused = side.submit(job, now).is_err();
+            let refused = scheduler.submit(job, now).is_err();
             assert_eq!(refused, submit.refused, "{:?}", job.id);
         }
-        Event::Go { ttl_ms } => side.bid_answered(LoadTurn::Go { ttl_ms: *ttl_ms }, now),
+        Event::Go { ttl_ms } => scheduler.bid_answered(LoadTurn::Go { ttl_ms: *ttl_ms }, now),
         &Event::Wait {
             again_ms,
             turn_ms,
@@ -96,14 +96,14 @@
                 turn_ms,
                 round_ms,
             };
-            side.bid_answered(turn, now);
+            scheduler.bid_answered(turn, now);
         }
-        Event::Silence { roll } => side.bid_unanswered(*roll, now),
-        Event::Loaded { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Done, now),
-        Event::Failed { lora } => side.loaded(LoraIx(*lora), LoadOutcome::Failed, now),
-        Event::Unloaded { lora } => side.unloaded(LoraIx(*lora), true, now),
-        Event::Finished { id } => side.finished(JobId(*id), true, now),
-        Event::Close => side.close(Reason::Leaving),
+        Event::Silence { roll } => scheduler.bid_unanswered(*roll, now),
+        Event::Loaded { lora } => scheduler.loaded(LoraIx(*lora), LoadOutcome::Done, now),
+        Event::Failed { lora } => scheduler.loaded(LoraIx(*lora), LoadOutcome::Failed, now),
+        Event::Unloaded { lora } => scheduler.unloaded(LoraIx(*lora), true, now),
+        Event::Finished { id } => scheduler.finished(JobId(*id), true, now),
+        Event::Close => scheduler.close(Reason::Leaving),
         Event::Poll => {}
     }
 }
@@ -121,7 +121,7 @@
     }
 }
 
-fn name(action: &Action) -> String {
+fn describe(action: &Action) -> String {
     match action {
         Action::Send(id) => format!("send {}", id.0),
         Action::Refuse(id, _) => format!("refuse {}", id.0),
@@ -134,7 +134,7 @@
 
 fn replay(path: &Path) -> datatest_stable::Result<()> {
     let case: Case = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-    let mut side = Scheduler::new_ext(SchedulerOptions {
+    let mut scheduler = Scheduler::new_ext(SchedulerOptions {
         slots: case.slots,
         max_batch: case.batch,
         weights: ObjectiveWeights {
@@ -146,14 +146,14 @@
     });
     for (n, step) in case.steps.iter().enumerate() {
         let now = Millis(step.at);
-        apply(&mut side, &step.event, now);
-        let orders: Vec<String> = side.poll(now).iter().map(name).collect();
-        assert_eq!(orders, step.orders, "step {n}");
+        apply(&mut scheduler, &step.event, now);
+        let actions: Vec<String> = scheduler.poll(now).iter().map(describe).collect();
+        assert_eq!(actions, step.orders, "step {n}");
         if let Some(wait_ms) = step.wait_ms {
-            assert_eq!(side.figures().wait_ms, wait_ms, "step {n}");
+            assert_eq!(scheduler.figures().wait_ms, wait_ms, "step {n}");
         }
         if let Some(wake) = step.wake {
-            assert_eq!(side.next_wake(now), Some(Millis(wake)), "step {n}");
+            assert_eq!(scheduler.next_wake(now), Some(Millis(wake)), "step {n}");
         }
     }
     Ok(())
--- a/crates/policy/tests/scheduler_naive.rs
+++ b/crates/policy/tests/scheduler_naive.rs
@@ -1,4 +1,4 @@
-//! The queue, the shares and the eviction against slow versions that are plainly right.
+//! Queue order, shares and eviction, checked against naive implementations.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 use pumicecleat_types::{LoadTurn, Millis};
 
 /// Work per claim by which a caller may run ahead, as in the scheduler.
-const AHEAD: f64 = 512.0;
+const MAX_LEAD: f64 = 512.0;
 
 /// Half-life of demand in seconds, as in the scheduler.
 const HALF_LIFE_S: f64 = 60.0;
 
-const FAR: Millis = Millis(1 << 40);
+const FAR_DEADLINE: Millis = Millis(1 << 40);
 
-fn scheduler(slots: u32, batch: u32) -> Scheduler {
+fn new_scheduler(slots: u32, batch: u32) -> Scheduler {
     Scheduler::new_ext(SchedulerOptions {
         slots,
         max_batch: batch,
@@ -43,91 +43,100 @@
     }
 }
 
-/// Queue of requests that were all there from the start: scans everything for each pick.
+/// Queue of requests that all arrived at the start; scans all of them for each pick.
 struct NaiveQueue {
     jobs: Vec<Job>,
-    spent: BTreeMap<CallerIx, f64>,
+    work_per_claim: BTreeMap<CallerIx, f64>,
 }
 
 impl NaiveQueue {
     fn new(jobs: Vec<Job>) -> Self {
-        let spent = jobs.iter().map(|j| (j.caller, 0.0)).collect();
-        Self { jobs, spent }
+        let work_per_claim = jobs.iter().map(|j| (j.caller, 0.0)).collect();
+        Self {
+            jobs,
+            work_per_claim,
+        }
     }
 
     fn pick(&mut self) -> Option<JobId> {
-        let standing = |j: &Job| self.spent[&j.caller];
-        let least = self.jobs.iter().map(standing).reduce(f64::min)?;
-        let near = self.jobs.iter().filter(|j| standing(j) <= least + AHEAD);
-        let first = |j: &&Job| {
+        let work_per_claim = |j: &Job| self.work_per_claim[&j.caller];
+        let least = self.jobs.iter().map(work_per_claim).reduce(f64::min)?;
+        let within_lead = self
+            .jobs
+            .iter()
+            .filter(|j| work_per_claim(j) <= least + MAX_LEAD);
+        let top_priority = |j: &&Job| {
             let own = self.jobs.iter().filter(|o| o.caller == j.caller);
             let top = own.map(|o| o.priority).max();
             top == Some(j.priority)
         };
-        let next = *near.filter(first).min_by_key(|j| (j.deadline, j.id))?;
+        let next = *within_lead
+            .filter(top_priority)
+            .min_by_key(|j| (j.deadline, j.id))?;
         self.jobs.retain(|j| j.id != next.id);
-        *self.spent.get_mut(&next.caller)? += f64::from(next.tokens) / f64::from(next.claim);
+        *self.work_per_claim.get_mut(&next.caller)? +=
+            f64::from(next.tokens) / f64::from(next.claim);
         Some(next.id)
     }
 }
 
-/// Sends everything, one request at a time, and gives the order.
-fn order(side: &mut Scheduler) -> Vec<JobId> {
+/// Runs all requests, one at a time, and returns the order in which they were sent.
+fn send_order(scheduler: &mut Scheduler) -> Vec<JobId> {
     let mut sent = Vec::new();
     loop {
-        let actions = side.poll(Millis(0));
+        let actions = scheduler.poll(Millis(0));
         let [Action::Send(id)] = actions[..] else {
             assert!(actions.is_empty(), "{actions:?}");
             return sent;
         };
         sent.push(id);
-        side.finished(id, false, Millis(0));
+        scheduler.finished(id, false, Millis(0));
     }
 }
 
 proptest! {
     #[test]
-    fn queue_is_the_naive_one(
+    fn queue_order_matches_naive_queue(
         rows in prop::collection::vec((0..5_u32, 1..300_u32, 1..40_u64, 0..3_u8), 1..80),
     ) {
-        let mut side = scheduler(1, 1);
+        let mut scheduler = new_scheduler(1, 1);
         let mut jobs = Vec::new();
-        for (n, (caller, tokens, due, priority)) in rows.into_iter().enumerate() {
-            let deadline = FAR + Millis(due);
+        for (n, (caller, tokens, offset, priority)) in rows.into_iter().enumerate() {
+            let deadline = FAR_DEADLINE + Millis(offset);
             let mut job = job(n as u64, caller, caller + 1, tokens, deadline);
             job.priority = priority;
-            side.submit(job, Millis(0)).expect("there is time");
+            scheduler.submit(job, Millis(0)).expect("deadline is far off");
             jobs.push(job);
         }
         let mut naive = NaiveQueue::new(jobs);
         let expected: Vec<JobId> = std::iter::from_fn(|| naive.pick()).collect();
-        prop_assert_eq!(order(&mut side), expected);
+        prop_assert_eq!(send_order(&mut scheduler), expected);
     }
 
     #[test]
-    fn evicts_as_the_naive_one(
-        asks in prop::collection::vec((0..8_u32, 1..60_000_u64), 1..80),
+    fn evictions_match_naive_choice(
+        requests in prop::collection::vec((0..8_u32, 1..60_000_u64), 1..80),
         slots in 1..5_u32,
     ) {
-        let mut side = scheduler(slots, 1);
-        let mut past: Vec<(LoraIx, Millis)> = Vec::new();
-        let mut held: BTreeMap<LoraIx, Millis> = BTreeMap::new();
+        let mut scheduler = new_scheduler(slots, 1);
+        let mut history: Vec<(LoraIx, Millis)> = Vec::new();
+        let mut last_used: BTreeMap<LoraIx, Millis> = BTreeMap::new();
         let mut now = Millis(0);
-        for (n, (lora, gap)) in asks.into_iter().enumerate() {
+        for (n, (lora, gap)) in requests.into_iter().enumerate() {
             now = now + Millis(gap);
             let lora = LoraIx(lora);
-            past.push((lora, now));
-            let mut job = job(n as u64, 0, 1, 1, FAR);
+            history.push((lora, now));
+            let mut job = job(n as u64, 0, 1, 1, FAR_DEADLINE);
             job.lora = Some(lora);
-            let evicted = serve(&mut side, job, now);
-            if held.contains_key(&lora) || held.len() < slots as usize {
+            let evicted = serve(&mut scheduler, job, now);
+            if last_used.contains_key(&lora) || last_used.len() < slots as usize {
                 prop_assert_eq!(evicted, None);
             } else {
-                let victim = naive_victim(&past, &held, now);
+                let victim = naive_victim(&history, &last_used, now);
                 prop_assert_eq!(evicted, Some(victim));
-                held.remove(&victim);
+                last_used.remove(&victim);
             }
-            held.insert(lora, now);
+            last_used.insert(lora, now);
         }
     }
 }
@@ -135,82 +144,86 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Callers with more waiting than their shares get shares by claim; one that wants less than
-    /// its share gets all it wants, and the others share the rest.
+    /// A caller that wants less than its share gets all that it wants; the others, with more
+    /// waiting than their shares, divide the rest by claim.
     #[test]
-    fn shares_are_max_min(
+    fn shares_are_weighted_max_min(
         claims in prop::collection::vec(1..6_u32, 2..6),
         tokens in prop::collection::vec(50..200_u32, 6),
-        modest in 1..4_u32,
+        small_demand in 1..4_u32,
     ) {
-        let mut side = scheduler(1, 1);
-        let mut owner = BTreeMap::new();
+        let mut scheduler = new_scheduler(1, 1);
+        let mut jobs = BTreeMap::new();
         let mut id = 0;
         for (caller, claim) in (0_u32..).zip(&claims) {
-            // The first caller wants little, the others more than there is.
-            let count = if caller == 0 { modest * 20 } else { 6_000 };
+            // The first caller wants less than its share, the others more than is available.
+            let count = if caller == 0 { small_demand * 20 } else { 6_000 };
             for _ in 0..count {
                 id += 1;
-                let job = job(id, caller, *claim, tokens[caller as usize], FAR);
-                owner.insert(JobId(id), job);
-                side.submit(job, Millis(0)).expect("there is time");
+                let job = job(id, caller, *claim, tokens[caller as usize], FAR_DEADLINE);
+                jobs.insert(JobId(id), job);
+                scheduler.submit(job, Millis(0)).expect("deadline is far off");
             }
         }
-        let mut got = vec![0.0_f64; claims.len()];
+        let mut work = vec![0.0_f64; claims.len()];
         for _ in 0..5_000 {
-            let actions = side.poll(Millis(0));
+            let actions = scheduler.poll(Millis(0));
             let [Action::Send(id)] = actions[..] else {
                 panic!("{actions:?}");
             };
-            let job = owner[&id];
-            got[job.caller.0 as usize] += f64::from(job.tokens);
-            side.finished(id, false, Millis(0));
+            let job = jobs[&id];
+            work[job.caller.0 as usize] += f64::from(job.tokens);
+            scheduler.finished(id, false, Millis(0));
         }
-        let wanted = f64::from(modest * 20 * tokens[0]);
-        prop_assert!((got[0] - wanted).abs() < 0.5, "the modest one gets all");
-        let rest: f64 = got[1..].iter().sum();
-        let all: u32 = claims[1..].iter().sum();
-        for (got, claim) in got[1..].iter().zip(&claims[1..]) {
-            let due = rest * f64::from(*claim) / f64::from(all);
-            let error = (got - due).abs() / due;
-            prop_assert!(error < 0.02, "error {}, got {:?}", error, got);
+        let wanted = f64::from(small_demand * 20 * tokens[0]);
+        prop_assert!((work[0] - wanted).abs() < 0.5, "the first caller gets all that it wants");
+        let rest: f64 = work[1..].iter().sum();
+        let claim_sum: u32 = claims[1..].iter().sum();
+        for (work, claim) in work[1..].iter().zip(&claims[1..]) {
+            let expected = rest * f64::from(*claim) / f64::from(claim_sum);
+            let error = (work - expected).abs() / expected;
+            prop_assert!(error < 0.02, "error {}, work {:?}", error, work);
         }
     }
 }
 
-/// Least in demand by the sum over all requests, then the least recently used.
-fn naive_victim(past: &[(LoraIx, Millis)], held: &BTreeMap<LoraIx, Millis>, now: Millis) -> LoraIx {
+/// Adapter with the lowest demand, summed over all requests, then the least recently used.
+fn naive_victim(
+    history: &[(LoraIx, Millis)],
+    last_used: &BTreeMap<LoraIx, Millis>,
+    now: Millis,
+) -> LoraIx {
     let demand = |lora: LoraIx| -> f64 {
-        let own = past.iter().filter(|(l, _)| *l == lora);
+        let own = history.iter().filter(|(l, _)| *l == lora);
         own.map(|(_, at)| (-now.since(*at).as_secs() / HALF_LIFE_S).exp2())
             .sum()
     };
-    let least = held
+    let least = last_used
         .iter()
         .min_by(|a, b| demand(*a.0).total_cmp(&demand(*b.0)).then(a.1.cmp(b.1)));
-    *least.expect("slots are full").0
+    *least.expect("all slots are occupied").0
 }
 
-/// Runs one request alone, its load included; gives what was evicted for it.
-fn serve(side: &mut Scheduler, job: Job, now: Millis) -> Option<LoraIx> {
+/// Runs a single request, with a load if needed; returns the adapter evicted for it.
+fn serve(scheduler: &mut Scheduler, job: Job, now: Millis) -> Option<LoraIx> {
     let mut evicted = None;
-    side.submit(job, now).expect("there is time");
+    scheduler.submit(job, now).expect("deadline is far off");
     loop {
-        for action in side.poll(now) {
+        for action in scheduler.poll(now) {
             match action {
                 Action::Send(id) => {
-                    side.finished(id, false, now);
-                    side.poll(now);
+                    scheduler.finished(id, false, now);
+                    scheduler.poll(now);
                     return evicted;
                 }
-                Action::Bid(_) => side.bid_answered(LoadTurn::Go { ttl_ms: 1_000 }, now),
-                Action::Load(lora) => side.loaded(lora, LoadOutcome::Done, now),
+                Action::Bid(_) => scheduler.bid_answered(LoadTurn::Go { ttl_ms: 1_000 }, now),
+                Action::Load(lora) => scheduler.loaded(lora, LoadOutcome::Done, now),
                 Action::Unload(lora) => {
                     evicted = Some(lora);
-                    side.unloaded(lora, true, now);
+                    scheduler.unloaded(lora, true, now);
                 }
                 Action::ReleaseTurn => {}
-                Action::Refuse(..) => panic!("refused"),
+                Action::Refuse(..) => panic!("request was refused"),
             }
         }
     }
--- a/crates/policy/tests/scheduler_pins.rs
+++ b/crates/policy/tests/scheduler_pins.rs
@@ -1,5 +1,5 @@
-//! What the scheduler evicts: never an adapter in use, and another one if the engine keeps the
-//! first.
+//! Choice of the adapter to evict: never one in use, and another if the engine refuses the first
+//! unload.
 
 use pumicecleat_policy::{
     Action, CallerIx, Job, JobId, LoadOutcome, LoraIx, ObjectiveWeights, Scheduler,
@@ -7,25 +7,26 @@
 };
 use pumicecleat_types::{LoadTurn, Millis};
 
-const START: Millis = Millis(1_000);
-const TTL: u64 = 60_000;
+const START_TIME: Millis = Millis(1_000);
+const TURN_TTL_MS: u64 = 60_000;
 
-/// Adapters resident at the start, one a slot.
-const HELD: [LoraIx; 2] = [LoraIx(1), LoraIx(2)];
+/// Adapters resident at the start; they occupy both slots.
+const RESIDENT: [LoraIx; 2] = [LoraIx(1), LoraIx(2)];
 const ABSENT: LoraIx = LoraIx(3);
 
-/// Longest time for a decision that only waits for the scheduler's own clock.
-const LONGEST: Millis = Millis(2_000);
+/// Longest time to wait for an unload that needs no further event.
+const MAX_WAIT: Millis = Millis(2_000);
 
-/// A side's scheduler, whose bids are all granted.
-struct Desk {
+/// Drives a scheduler whose bids are all granted.
+struct Harness {
     scheduler: Scheduler,
     now: Millis,
-    jobs: u64,
+    last_id: u64,
 }
 
-impl Desk {
-    /// Both slots held, by `unaccounted` for requests of an earlier side.
+impl Harness {
+    /// Starts with both slots occupied; the adapters in `unaccounted` also serve requests of an
+    /// earlier side.
     fn new(unaccounted: &[LoraIx]) -> Self {
         let weights = ObjectiveWeights {
             stall: 100,
@@ -37,17 +38,17 @@
             ..SchedulerOptions::default()
         };
         let mut scheduler = Scheduler::new_ext(options);
-        scheduler.reset(&HELD, unaccounted, START);
+        scheduler.reset(&RESIDENT, unaccounted, START_TIME);
         Self {
             scheduler,
-            now: START,
-            jobs: 0,
+            now: START_TIME,
+            last_id: 0,
         }
     }
 
-    fn ask(&mut self, lora: LoraIx) -> JobId {
-        self.jobs += 1;
-        let id = JobId(self.jobs);
+    fn submit(&mut self, lora: LoraIx) -> JobId {
+        self.last_id += 1;
+        let id = JobId(self.last_id);
         let job = Job {
             id,
             lora: Some(lora),
@@ -62,31 +63,34 @@
         id
     }
 
-    /// First unload ordered within `LONGEST`, by the scheduler's own wakes.
-    fn unload(&mut self) -> Option<LoraIx> {
-        let end = self.now + LONGEST;
+    /// Adapter of the first unload ordered within `MAX_WAIT`, polling at the scheduler's wakes.
+    fn next_unload(&mut self) -> Option<LoraIx> {
+        let end = self.now + MAX_WAIT;
         while self.now <= end {
             for action in self.scheduler.poll(self.now) {
                 match action {
                     Action::Unload(lora) => return Some(lora),
                     Action::Bid(_) => {
-                        let turn = LoadTurn::Go { ttl_ms: TTL };
+                        let turn = LoadTurn::Go {
+                            ttl_ms: TURN_TTL_MS,
+                        };
                         self.scheduler.bid_answered(turn, self.now);
                     }
                     _ => {}
                 }
             }
             let wake = self.scheduler.next_wake(self.now);
-            let soon = self.now + Millis(1);
-            self.now = wake.map_or(soon, |at| at.max(soon).min(self.now + Millis(50)));
+            let soonest = self.now + Millis(1);
+            self.now = wake.map_or(soonest, |at| at.max(soonest).min(self.now + Millis(50)));
         }
         None
     }
 
-    fn run(&mut self, lora: LoraIx) -> JobId {
-        let id = self.ask(lora);
+    /// Submits a request and checks that it is sent at once.
+    fn send(&mut self, lora: LoraIx) -> JobId {
+        let id = self.submit(lora);
         let sent = self.scheduler.poll(self.now).contains(&Action::Send(id));
-        assert!(sent, "{lora:?}");
+        assert!(sent, "request for {lora:?} was not sent");
         id
     }
 }
@@ -94,111 +98,113 @@
 struct Case {
     name: &'static str,
     unaccounted: &'static [LoraIx],
-    /// Sent, and not ended when the absent one is asked for.
+    /// Adapters with a request still running when the absent adapter is requested.
     running: &'static [LoraIx],
-    /// Sent and ended before, so that the others are less in demand.
+    /// Adapters of requests that have ended before, so that the other adapters are in lower demand.
     ended: &'static [LoraIx],
-    unloads: Option<LoraIx>,
+    victim: Option<LoraIx>,
 }
 
 const CASES: [Case; 6] = [
     Case {
-        name: "one in use, less in demand",
+        name: "the first is in use and in lower demand",
         unaccounted: &[],
-        running: &[HELD[0]],
-        ended: &[HELD[1], HELD[1], HELD[1]],
-        unloads: Some(HELD[1]),
+        running: &[RESIDENT[0]],
+        ended: &[RESIDENT[1], RESIDENT[1], RESIDENT[1]],
+        victim: Some(RESIDENT[1]),
     },
     Case {
-        name: "the other one",
+        name: "the second is in use and in lower demand",
         unaccounted: &[],
-        running: &[HELD[1]],
-        ended: &[HELD[0], HELD[0], HELD[0]],
-        unloads: Some(HELD[0]),
+        running: &[RESIDENT[1]],
+        ended: &[RESIDENT[0], RESIDENT[0], RESIDENT[0]],
+        victim: Some(RESIDENT[0]),
     },
     Case {
-        name: "one in use by an earlier side",
-        unaccounted: &[HELD[0]],
+        name: "the first is in use by an earlier side",
+        unaccounted: &[RESIDENT[0]],
         running: &[],
-        ended: &[HELD[1], HELD[1]],
-        unloads: Some(HELD[1]),
+        ended: &[RESIDENT[1], RESIDENT[1]],
+        victim: Some(RESIDENT[1]),
     },
     Case {
-        name: "both in use",
+        name: "both are in use",
         unaccounted: &[],
-        running: &HELD,
+        running: &RESIDENT,
         ended: &[],
-        unloads: None,
+        victim: None,
     },
     Case {
-        name: "both in use, one by an earlier side",
-        unaccounted: &[HELD[1]],
-        running: &[HELD[0]],
+        name: "both are in use, the second by an earlier side",
+        unaccounted: &[RESIDENT[1]],
+        running: &[RESIDENT[0]],
         ended: &[],
-        unloads: None,
+        victim: None,
     },
     Case {
-        name: "none in use",
+        name: "none is in use",
         unaccounted: &[],
         running: &[],
-        ended: &[HELD[0]],
-        unloads: Some(HELD[1]),
+        ended: &[RESIDENT[0]],
+        victim: Some(RESIDENT[1]),
     },
 ];
 
 #[test]
 fn an_adapter_in_use_is_never_a_victim() {
     for case in CASES {
-        let mut desk = Desk::new(case.unaccounted);
+        let mut harness = Harness::new(case.unaccounted);
         for lora in case.ended {
-            let id = desk.run(*lora);
-            desk.scheduler.finished(id, true, desk.now);
+            let id = harness.send(*lora);
+            harness.scheduler.finished(id, true, harness.now);
         }
         for lora in case.running {
-            desk.run(*lora);
+            harness.send(*lora);
         }
-        desk.ask(ABSENT);
-        assert_eq!(desk.unload(), case.unloads, "{}", case.name);
+        harness.submit(ABSENT);
+        assert_eq!(harness.next_unload(), case.victim, "{}", case.name);
     }
 }
 
 #[test]
-fn what_ends_may_be_evicted_then() {
-    let mut desk = Desk::new(&[HELD[1]]);
-    let id = desk.run(HELD[0]);
-    desk.ask(ABSENT);
-    assert_eq!(desk.unload(), None);
-    desk.scheduler.finished(id, true, desk.now);
-    assert_eq!(desk.unload(), Some(HELD[0]));
+fn an_adapter_can_be_evicted_once_its_request_ends() {
+    let mut harness = Harness::new(&[RESIDENT[1]]);
+    let id = harness.send(RESIDENT[0]);
+    harness.submit(ABSENT);
+    assert_eq!(harness.next_unload(), None);
+    harness.scheduler.finished(id, true, harness.now);
+    assert_eq!(harness.next_unload(), Some(RESIDENT[0]));
 }
 
-/// The engine runs what this side can't know of, and keeps it.
+/// The engine may run requests that the side doesn't know of, and then refuses the unload.
 #[test]
 fn another_comes_first_if_the_engine_keeps_one() {
-    let mut desk = Desk::new(&[]);
-    let id = desk.run(HELD[1]);
-    desk.scheduler.finished(id, true, desk.now);
-    desk.ask(ABSENT);
-    assert_eq!(desk.unload(), Some(HELD[0]));
-    desk.scheduler.unloaded(HELD[0], false, desk.now);
-    assert_eq!(desk.unload(), Some(HELD[1]));
-    desk.scheduler.unloaded(HELD[1], true, desk.now);
+    let mut harness = Harness::new(&[]);
+    let id = harness.send(RESIDENT[1]);
+    harness.scheduler.finished(id, true, harness.now);
+    harness.submit(ABSENT);
+    assert_eq!(harness.next_unload(), Some(RESIDENT[0]));
+    harness.scheduler.unloaded(RESIDENT[0], false, harness.now);
+    assert_eq!(harness.next_unload(), Some(RESIDENT[1]));
+    harness.scheduler.unloaded(RESIDENT[1], true, harness.now);
     let load = Action::Load(ABSENT);
-    assert!(desk.scheduler.poll(desk.now).contains(&load));
-    desk.scheduler.loaded(ABSENT, LoadOutcome::Done, desk.now);
+    assert!(harness.scheduler.poll(harness.now).contains(&load));
+    harness
+        .scheduler
+        .loaded(ABSENT, LoadOutcome::Done, harness.now);
 }
 
-/// If the engine keeps all, they are tried again, but not in a hurry.
+/// An unload that the engine refuses is retried, but only after a delay.
 #[test]
-fn what_the_engine_keeps_is_tried_again_after_a_pause() {
-    let mut desk = Desk::new(&[HELD[1]]);
-    desk.ask(ABSENT);
-    let mut tries = Vec::new();
+fn a_refused_unload_is_retried_after_a_delay() {
+    let mut harness = Harness::new(&[RESIDENT[1]]);
+    harness.submit(ABSENT);
+    let mut ordered_at = Vec::new();
     for _ in 0..3 {
-        assert_eq!(desk.unload(), Some(HELD[0]));
-        tries.push(desk.now);
-        desk.scheduler.unloaded(HELD[0], false, desk.now);
+        assert_eq!(harness.next_unload(), Some(RESIDENT[0]));
+        ordered_at.push(harness.now);
+        harness.scheduler.unloaded(RESIDENT[0], false, harness.now);
     }
-    let calm = |w: &[Millis]| w[1].since(w[0]) >= Millis(250);
-    assert!(tries.windows(2).all(calm), "{tries:?}");
+    let delayed = |w: &[Millis]| w[1].since(w[0]) >= Millis(250);
+    assert!(ordered_at.windows(2).all(delayed), "{ordered_at:?}");
 }
--- a/crates/policy/tests/scheduler_promises.rs
+++ b/crates/policy/tests/scheduler_promises.rs
@@ -1,9 +1,10 @@
-//! What a scheduler promises under any order of events, checked against a plain model of its engine.
+//! Invariants of the scheduler under any order of events, checked against a simple engine model.
 //!
-//! - An adapter with a request in flight is never ordered to be unloaded.
-//! - Each request taken in ends in exactly one of sent, refused and cancelled.
-//! - A request is sent only to a resident adapter and only while the batch has room.
-//! - Slots are never overfull, and at most one load and one bid are out at a time.
+//! - An unload is never ordered for an adapter with a request in flight.
+//! - Each accepted request is either sent, refused or cancelled, exactly once.
+//! - A request is sent only if its adapter is resident and the batch has room.
+//! - No more adapters are loaded than there are slots, and at most one load and one bid are in
+//!   progress at a time.
 
 mod scheduler;
 
@@ -13,59 +14,59 @@
 
 use scheduler::engine::{Engine, LORAS};
 
-/// Time that every request needs at most, once events go well.
-const ENOUGH: u64 = 200_000;
+/// Time in which every request has left the queue once all events succeed, in milliseconds.
+const SETTLE_MS: u64 = 200_000;
 
 #[derive(Clone, Debug)]
 enum Event {
     Submit {
         lora: u32,
         caller: u32,
-        span: u64,
+        time_left: u64,
         tokens: u32,
     },
-    Pass(u64),
+    Advance(u64),
     Finish {
         nth: usize,
         whole: bool,
     },
     Cancel(usize),
-    Go(u64),
-    Wait(u64),
-    Silence(u64),
-    Loaded(LoadOutcome),
-    Unloaded(bool),
+    GrantTurn(u64),
+    DeferTurn(u64),
+    LeaveBidUnanswered(u64),
+    EndLoad(LoadOutcome),
+    EndUnload(bool),
     Reset {
         resident: u32,
         unaccounted: u32,
     },
-    Release,
+    FinishUnaccounted,
     Close,
     Reopen,
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let end = prop_oneof![
+    let outcome = prop_oneof![
         3 => Just(LoadOutcome::Done),
         1 => Just(LoadOutcome::Failed),
         1 => (1..2_000_u64).prop_map(|ms| LoadOutcome::Busy { retry_after: Millis(ms) }),
     ];
     prop_oneof![
         8 => (0..=LORAS, 0..4_u32, 100..60_000_u64, 1..400_u32).prop_map(
-            |(lora, caller, span, tokens)| Event::Submit { lora, caller, span, tokens }
+            |(lora, caller, time_left, tokens)| Event::Submit { lora, caller, time_left, tokens }
         ),
-        4 => (1..3_000_u64).prop_map(Event::Pass),
+        4 => (1..3_000_u64).prop_map(Event::Advance),
         4 => (any::<usize>(), any::<bool>()).prop_map(|(nth, whole)| Event::Finish { nth, whole }),
         1 => any::<usize>().prop_map(Event::Cancel),
-        4 => (1..4_000_u64).prop_map(Event::Go),
-        1 => (1..300_u64).prop_map(Event::Wait),
-        1 => any::<u64>().prop_map(Event::Silence),
-        4 => end.prop_map(Event::Loaded),
-        4 => prop::bool::weighted(0.9).prop_map(Event::Unloaded),
+        4 => (1..4_000_u64).prop_map(Event::GrantTurn),
+        1 => (1..300_u64).prop_map(Event::DeferTurn),
+        1 => any::<u64>().prop_map(Event::LeaveBidUnanswered),
+        4 => outcome.prop_map(Event::EndLoad),
+        4 => prop::bool::weighted(0.9).prop_map(Event::EndUnload),
         1 => (0..LORAS, 0..LORAS).prop_map(
             |(resident, unaccounted)| Event::Reset { resident, unaccounted }
         ),
-        1 => Just(Event::Release),
+        1 => Just(Event::FinishUnaccounted),
         1 => Just(Event::Close),
         1 => Just(Event::Reopen),
     ]
@@ -76,24 +77,24 @@
         Event::Submit {
             lora,
             caller,
-            span,
+            time_left,
             tokens,
-        } => engine.submit(lora, caller, span, tokens),
-        Event::Pass(ms) => engine.pass(ms),
+        } => engine.submit(lora, caller, time_left, tokens),
+        Event::Advance(ms) => engine.advance(ms),
         Event::Finish { nth, whole } => engine.finish(nth, whole),
         Event::Cancel(nth) => engine.cancel(nth),
-        Event::Go(ttl) => engine.go(ttl),
-        Event::Wait(again) => engine.wait(again),
-        Event::Silence(roll) => engine.silence(roll),
-        Event::Loaded(end) => engine.loaded(end),
-        Event::Unloaded(gone) => engine.unloaded(gone),
+        Event::GrantTurn(ttl_ms) => engine.grant_turn(ttl_ms),
+        Event::DeferTurn(again_ms) => engine.defer_turn(again_ms),
+        Event::LeaveBidUnanswered(roll) => engine.leave_bid_unanswered(roll),
+        Event::EndLoad(outcome) => engine.end_load(outcome),
+        Event::EndUnload(gone) => engine.end_unload(gone),
         Event::Reset {
             resident,
             unaccounted,
         } => engine.reset(resident, unaccounted),
-        Event::Release => engine.release(),
-        Event::Close => engine.side.close(Reason::Leaving),
-        Event::Reopen => engine.side.reopen(),
+        Event::FinishUnaccounted => engine.finish_unaccounted(),
+        Event::Close => engine.scheduler.close(Reason::Leaving),
+        Event::Reopen => engine.scheduler.reopen(),
     }
     engine.poll();
 }
@@ -102,7 +103,7 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn keeps_its_promises(
+    fn invariants_hold_for_any_events(
         slots in 1..4_u32,
         batch in 1..4_u32,
         weight in 0..=100_u32,
@@ -112,7 +113,7 @@
         for event in &events {
             apply(&mut engine, event);
         }
-        engine.settle(ENOUGH);
-        prop_assert!(engine.waiting.is_empty(), "left waiting: {:?}", engine.waiting);
+        engine.settle(SETTLE_MS);
+        prop_assert!(engine.waiting.is_empty(), "still waiting: {:?}", engine.waiting);
     }
 }
