--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -49,7 +49,7 @@
 
 /// A request at the engine.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentJob {
     lora: Option<LoraIx>,
     tokens: u32,
     sent_at: Millis,
@@ -62,7 +62,7 @@
     estimate: Estimate,
     queue: Queue,
     shares: Shares,
-    sent: BTreeMap<JobId, Sent>,
+    sent: BTreeMap<JobId, SentJob>,
     /// Requests at the engine that this side did not send, counted by adapter.
     unaccounted: BTreeMap<LoraIx, u32>,
     residency: Residency,
--- a/crates/policy/src/scheduler/queue/lane.rs
+++ b/crates/policy/src/scheduler/queue/lane.rs
@@ -14,7 +14,6 @@
     priority: Reverse<u8>,
     /// When the answer is due.
     pub(in crate::scheduler) deadline: Millis,
-    /// Request.
     pub(in crate::scheduler) id: JobId,
 }
 
@@ -31,9 +30,7 @@
 /// First request of one caller, with its rank.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::scheduler) struct Head {
-    /// Caller.
     pub(in crate::scheduler) caller: CallerIx,
-    /// Rank.
     pub(in crate::scheduler) rank: Rank,
 }
 
--- a/crates/policy/src/scheduler/send.rs
+++ b/crates/policy/src/scheduler/send.rs
@@ -7,7 +7,7 @@
 use pumicecleat_types::Millis;
 
 use super::queue::{Head, Lane};
-use super::{Action, Scheduler, Sent};
+use super::{Action, Scheduler, SentJob};
 
 /// Work per claim by which a caller may run ahead of the caller that has had the least.
 const MAX_LEAD: f64 = 512.0;
@@ -40,7 +40,7 @@
         self.shares.charge(job.caller, job.claim, job.tokens);
         self.shares
             .advance_virtual_time(self.queue.backlogs().map(|(c, _)| c));
-        let sent = Sent {
+        let sent = SentJob {
             lora: job.lora,
             tokens: job.tokens,
             sent_at: now,
