--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -9,7 +9,7 @@
 use pumicecleat_policy::{BaseLoads, EngineOrder, EngineState, OrderEnd, TurnAction, TurnOptions};
 use pumicecleat_types::{BaseId, Millis, Turn};
 
-use crate::PortError;
+use crate::ReportError;
 use crate::meters::{OrderLabels, TurnLabels};
 use crate::shared::{ENGINE, Shared};
 
@@ -85,7 +85,11 @@
                 batch: engine.max_batch_size,
                 base: base_loads(&base),
             });
-            let report = self.shared.port.report(&base.name, REPORT_SPAN).await;
+            let report = self
+                .shared
+                .engine_client
+                .fetch_report(&base.name, REPORT_SPAN)
+                .await;
             self.take(report);
         }
         self.act(&base.name);
@@ -98,7 +102,7 @@
         Some((engine.base_models.first()?.clone(), engine.clone()))
     }
 
-    fn take(&mut self, report: Result<EngineState, PortError>) {
+    fn take(&mut self, report: Result<EngineState, ReportError>) {
         let now = self.shared.timer.now();
         match report {
             Ok(report) => {
@@ -196,11 +200,11 @@
     let starts = shared.starts.get();
     let named = (!instance.is_empty()).then_some(instance.as_str());
     let answer = shared
-        .port
-        .order(base, &order, named, sequence, ORDER_SPAN)
+        .engine_client
+        .send_order(base, &order, named, sequence, ORDER_SPAN)
         .await;
     let now = shared.timer.now();
-    let end = end_name(answer.end);
+    let end = end_name(answer.outcome);
     let fields = [
         field("order", name),
         field("adapter", adapter),
@@ -212,8 +216,8 @@
     let labels = OrderLabels { order: name, end };
     shared.meters.orders.get_or_create(&labels).inc();
     if shared.starts.get() == starts {
-        shared.turns.borrow_mut().order_ended(answer.end, now);
-        if answer.end == OrderEnd::Misdirected {
+        shared.turns.borrow_mut().order_ended(answer.outcome, now);
+        if answer.outcome == OrderEnd::Misdirected {
             shared.engine_denied(&instance);
         }
     }
--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/engine_client.rs
@@ -10,9 +10,9 @@
 
 /// What became of an order, and what went wrong if nothing did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OrderAnswer {
+pub struct OrderResponse {
     /// What became of it.
-    pub end: OrderEnd,
+    pub outcome: OrderEnd,
     /// What went wrong, for people.
     pub detail: Option<String>,
 }
@@ -20,7 +20,7 @@
 /// A report that could not be had.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
-pub enum PortError {
+pub enum ReportError {
     /// The exchange failed.
     #[snafu(display("step read report: {source}"))]
     Net {
@@ -29,7 +29,7 @@
     },
     /// The answer is not a report.
     #[snafu(display("step decode report, peer {peer}: {detail}"))]
-    Form {
+    Decode {
         /// Peer.
         peer: String,
         /// What is wrong.
@@ -38,24 +38,24 @@
 }
 
 /// An engine that reports and takes orders.
-pub trait EnginePort {
-    /// What the engine reports, if it does within `span`.
+pub trait EngineClient {
+    /// What the engine reports, if it does within `timeout`.
     ///
     /// # Errors
-    /// [`PortError`], with the step and the peer.
-    fn report<'a>(
+    /// [`ReportError`], with the step and the peer.
+    fn fetch_report<'a>(
         &'a self,
         base: &'a BaseId,
-        span: Duration,
-    ) -> Local<'a, Result<EngineState, PortError>>;
+        timeout: Duration,
+    ) -> Local<'a, Result<EngineState, ReportError>>;
 
     /// Gives an order to `instance`, which must be at `sequence`.
-    fn order<'a>(
+    fn send_order<'a>(
         &'a self,
         base: &'a BaseId,
         order: &'a EngineOrder,
         instance: Option<&'a str>,
         sequence: u64,
-        span: Duration,
-    ) -> Local<'a, OrderAnswer>;
+        timeout: Duration,
+    ) -> Local<'a, OrderResponse>;
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -21,17 +21,17 @@
 //! ```
 
 mod drive;
+mod engine_client;
 mod entries;
 mod handler;
 mod instance;
 mod meters;
-mod port;
 mod relay;
 mod settings;
 mod shared;
 mod start;
 mod trial;
 
-pub use port::{EnginePort, OrderAnswer, PortError};
+pub use engine_client::{EngineClient, OrderResponse, ReportError};
 pub use settings::AgentSettings;
-pub use start::{Agent, AgentParts};
+pub use start::{Agent, AgentContext};
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -13,7 +13,7 @@
 use pumicecleat_policy::{RateLimits, TurnId, Turns};
 use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, ServiceId, Turn, VmId};
 
-use crate::EnginePort;
+use crate::EngineClient;
 use crate::meters::Meters;
 use crate::relay::Board;
 use crate::trial::Watch;
@@ -33,7 +33,7 @@
     pub(crate) service: ServiceId,
     /// Address of the engine, by which the list names its instance.
     pub(crate) engine: SocketAddr,
-    pub(crate) port: Rc<dyn EnginePort>,
+    pub(crate) engine_client: Rc<dyn EngineClient>,
     pub(crate) catalog: SharedCatalog,
     pub(crate) marks: Rc<Marks>,
     pub(crate) turns: RefCell<Turns>,
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -20,7 +20,7 @@
 use crate::relay::{Board, gather};
 use crate::shared::{Bell, ENGINE, Shared};
 use crate::trial::Watch;
-use crate::{AgentSettings, EnginePort};
+use crate::{AgentSettings, EngineClient};
 
 /// Time for answers under way after a stop was asked for. Turns are short, and entries do without.
 const STOP_SPAN: Duration = Duration::from_millis(500);
@@ -46,13 +46,13 @@
 
 /// The deployment, as an agent needs it.
 #[derive(Clone)]
-pub struct AgentParts {
+pub struct AgentContext {
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
     /// Form of its records.
     pub decoder: Rc<dyn RecordDecoder>,
     /// Engine.
-    pub port: Rc<dyn EnginePort>,
+    pub engine_client: Rc<dyn EngineClient>,
 }
 
 /// Fraction of the interval before the first slot of a rate limit. A full interval, because requests that got
@@ -88,12 +88,12 @@
     /// [`ListenError`] if a listener can't be bound.
     pub fn start(
         settings: &AgentSettings,
-        parts: &AgentParts,
+        context: &AgentContext,
         timer: &Timer,
         log: &Log,
     ) -> Result<Self, ListenError> {
         let metrics = Metrics::new();
-        let shared = share(settings, parts, timer, log, &metrics);
+        let shared = share(settings, context, timer, log, &metrics);
         let state = Rc::new(State {
             shared: Rc::clone(&shared),
         });
@@ -103,7 +103,7 @@
         listen("admin", address, Rc::new(admin), few, timer, log)?;
         let handler = Rc::new(PeerHandler::new(&shared));
         let peers = listen("peers", settings.peer_listen, handler, few, timer, log)?;
-        spawn_loops(&shared, settings, parts);
+        spawn_loops(&shared, settings, context);
         Ok(Self {
             peers,
             log: log.clone(),
@@ -123,7 +123,7 @@
 
 fn share(
     settings: &AgentSettings,
-    parts: &AgentParts,
+    context: &AgentContext,
     timer: &Timer,
     log: &Log,
     metrics: &Metrics,
@@ -148,7 +148,7 @@
         vm: settings.common.vm.clone(),
         service: settings.service.clone(),
         engine: settings.engine,
-        port: Rc::clone(&parts.port),
+        engine_client: Rc::clone(&context.engine_client),
         catalog: SharedCatalog::default(),
         marks: Rc::default(),
         turns: RefCell::new(Turns::new_ext(unknown)),
@@ -173,7 +173,7 @@
     })
 }
 
-fn spawn_loops(shared: &Rc<Shared>, settings: &AgentSettings, parts: &AgentParts) {
+fn spawn_loops(shared: &Rc<Shared>, settings: &AgentSettings, context: &AgentContext) {
     let options = FollowSettings {
         wait: settings.store_wait.0,
         detection_span: None,
@@ -187,8 +187,8 @@
     };
     let sources = FollowContext {
         catalog: Rc::clone(&shared.catalog),
-        store: Rc::clone(&parts.store),
-        decoder: Rc::clone(&parts.decoder),
+        store: Rc::clone(&context.store),
+        decoder: Rc::clone(&context.decoder),
         listener: shared.clone(),
         timer: shared.timer.clone(),
         log: shared.log.clone(),
@@ -197,8 +197,8 @@
     monoio::spawn(follow(Topic::Operators, sources, options));
     monoio::spawn(find_instance(
         Rc::clone(shared),
-        Rc::clone(&parts.store),
-        Rc::clone(&parts.decoder),
+        Rc::clone(&context.store),
+        Rc::clone(&context.decoder),
     ));
     monoio::spawn(drive(Rc::clone(shared), settings.report_pause.0));
     monoio::spawn(gather(Rc::clone(shared)));
