--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -1,4 +1,4 @@
-//! The loop that drives the decisions: report, decide, carry out.
+//! Scheduling loop: fetches the engine's report, runs the scheduler and carries out its actions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,162 +11,164 @@
 
 use crate::ReportError;
 use crate::meters::{OrderLabels, TurnLabels};
-use crate::shared::{ENGINE, Shared};
+use crate::shared::{ENGINE_CONDITION, Shared};
 
-/// Time for the engine's report. On the same VM it takes a few milliseconds; an engine that
-/// doesn't give it for this long is not to be sent to.
-const REPORT_SPAN: Duration = Duration::from_millis(600);
+/// Timeout for the engine's report. On the same VM it takes a few milliseconds; no requests are sent to an
+/// engine that does not answer within this time.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time for an order's answer; the order may still be carried out after it.
-const ORDER_SPAN: Duration = Duration::from_millis(800);
+/// Timeout for the response to an order, which may still be carried out later.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time between two reports while a request waits for its adapter. A load takes 250 ms from the
-/// store and a tenth of it from the host's memory, and a place is free when its last stream has
-/// ended: until a report tells, both the place and the caller wait, 12 ms on average in place of 50.
-const HASTE: Duration = Duration::from_millis(25);
+/// Interval between reports while a request waits for its adapter. A finished load (250 ms from the store,
+/// a tenth of that from the host's memory) or a slot whose last stream has ended stays unknown until the
+/// next report: 12 ms on average, instead of 50 ms, in which both the slot and the caller wait.
+const FAST_REPORT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Drives the decisions for good, with a report each `pause` at least.
-pub(crate) async fn drive(shared: Rc<Shared>, pause: Duration) {
+/// Runs the scheduler and fetches a report at least every `report_interval`. Never returns.
+pub(crate) async fn drive(shared: Rc<Shared>, report_interval: Duration) {
     let mut driver = Driver {
         shared,
-        lost: None,
-        asked: Millis(0),
-        pause,
-        sequence: 0,
+        unreachable_since: None,
+        last_report_at: Millis(0),
+        report_interval,
+        last_sequence: 0,
     };
     loop {
         driver.step().await;
-        let rest = driver.due().since(driver.shared.timer.now());
+        let time_left = driver.next_report_at().since(driver.shared.timer.now());
         let sleep = driver
             .shared
             .timer
-            .sleep(Duration::from_millis(rest.0.max(1)));
-        let rung = Box::pin(driver.shared.wake.rung());
-        select(Box::pin(sleep), rung).await;
+            .sleep(Duration::from_millis(time_left.0.max(1)));
+        let notified = Box::pin(driver.shared.wake.notified());
+        select(Box::pin(sleep), notified).await;
     }
 }
 
 struct Driver {
     shared: Rc<Shared>,
-    /// Start of the present silence of the engine.
-    lost: Option<Millis>,
-    /// When the last report was asked for.
-    asked: Millis,
-    /// Time between two reports while nothing waits for one.
-    pause: Duration,
-    /// Sequence of the last report.
-    sequence: u64,
+    /// Time of the first failed report since the last successful one.
+    unreachable_since: Option<Millis>,
+    /// When the last report was requested.
+    last_report_at: Millis,
+    /// Interval between reports while no request waits for an adapter.
+    report_interval: Duration,
+    /// Sequence number in the last report.
+    last_sequence: u64,
 }
 
 impl Driver {
-    /// When the next report is asked for.
-    fn due(&self) -> Millis {
-        let hasty = self.shared.turns.borrow().wants_adapter();
-        let pause = if hasty {
-            HASTE.min(self.pause)
+    /// Time at which the next report is requested.
+    fn next_report_at(&self) -> Millis {
+        let waits_for_adapter = self.shared.scheduler.borrow().wants_adapter();
+        let interval = if waits_for_adapter {
+            FAST_REPORT_INTERVAL.min(self.report_interval)
         } else {
-            self.pause
+            self.report_interval
         };
-        self.asked + millis(pause)
+        self.last_report_at + millis(interval)
     }
 
     async fn step(&mut self) {
         let now = self.shared.timer.now();
-        let due = now >= self.due();
+        let due = now >= self.next_report_at();
         if due {
-            self.asked = now;
+            self.last_report_at = now;
         }
-        let Some((base, engine)) = self.engine() else {
+        let Some((base, engine)) = self.engine_config() else {
             return;
         };
         if due {
-            self.shared.turns.borrow_mut().retune(TurnOptions {
-                places: places(&engine, &base),
+            self.shared.scheduler.borrow_mut().retune(TurnOptions {
+                places: adapter_slots(&engine, &base),
                 batch: engine.max_batch_size,
-                base: base_loads(&base),
+                base: base_load_times(&base),
             });
             let report = self
                 .shared
                 .engine_client
-                .fetch_report(&base.name, REPORT_SPAN)
+                .fetch_report(&base.name, REPORT_TIMEOUT)
                 .await;
-            self.take(report);
+            self.handle_report(report);
         }
-        self.act(&base.name);
+        self.run_actions(&base.name);
     }
 
-    /// The engine's base model and figures, if the configuration tells them.
-    fn engine(&self) -> Option<(BaseModel, Engine)> {
+    /// Configuration of the engine and its base model, if known.
+    fn engine_config(&self) -> Option<(BaseModel, Engine)> {
         let catalog = self.shared.catalog.borrow();
         let engine = catalog.layout()?.engine(&self.shared.service)?;
         Some((engine.base_models.first()?.clone(), engine.clone()))
     }
 
-    fn take(&mut self, report: Result<EngineState, ReportError>) {
+    fn handle_report(&mut self, report: Result<EngineState, ReportError>) {
         let now = self.shared.timer.now();
         match report {
             Ok(report) => {
-                self.meet(&report);
-                let mut turns = self.shared.turns.borrow_mut();
-                turns.observe(&report, now);
+                self.detect_restart(&report);
+                let mut scheduler = self.shared.scheduler.borrow_mut();
+                scheduler.observe(&report, now);
                 if report.loaded {
-                    self.shared.readiness.hold(ENGINE);
+                    self.shared.readiness.hold(ENGINE_CONDITION);
                 }
             }
             Err(e) => {
-                if self.lost.is_none() {
-                    self.lost = Some(now);
+                if self.unreachable_since.is_none() {
+                    self.unreachable_since = Some(now);
                     let fields = [field("address", "own engine"), field("error", &e)];
                     self.shared.log.emit(&events::OWN_ENGINE_LOST, &fields);
-                    self.shared.readiness.fail(ENGINE, "engine does not answer");
+                    self.shared
+                        .readiness
+                        .fail(ENGINE_CONDITION, "engine does not answer");
                 }
-                self.shared.turns.borrow_mut().lost();
+                self.shared.scheduler.borrow_mut().lost();
             }
         }
     }
 
-    /// Notes that the engine answers, and whether it started anew.
-    fn meet(&mut self, state: &EngineState) {
-        let born = self.shared.born.replace(state.born);
-        let restarted = has_restarted(state, born, self.sequence);
-        self.sequence = state.sequence;
+    /// Detects whether the engine has restarted, and logs if it has or if it is reachable again.
+    fn detect_restart(&mut self, report: &EngineState) {
+        let previous_start = self.shared.engine_start_time_ms.replace(report.born);
+        let restarted = has_restarted(report, previous_start, self.last_sequence);
+        self.last_sequence = report.sequence;
         if restarted {
-            self.shared.engine_restarted();
+            self.shared.handle_engine_restart();
         }
-        if self.lost.take().is_some() || restarted {
+        if self.unreachable_since.take().is_some() || restarted {
             let instance = self.shared.instance.borrow();
             let fields = [
                 field("instance", instance.as_str()),
-                field("sequence", state.sequence),
-                field("held", state.held.len()),
+                field("sequence", report.sequence),
+                field("held", report.held.len()),
             ];
             self.shared.log.emit(&events::OWN_ENGINE_SEEN, &fields);
         }
     }
 
-    fn act(&self, base: &BaseId) {
+    fn run_actions(&self, base: &BaseId) {
         let now = self.shared.timer.now();
-        let actions = self.shared.turns.borrow_mut().poll(now);
-        for miss in self.shared.turns.borrow_mut().take_misses() {
-            self.shared.meters.misses.observe(miss);
+        let actions = self.shared.scheduler.borrow_mut().poll(now);
+        for ratio in self.shared.scheduler.borrow_mut().take_misses() {
+            self.shared.meters.first_event_ratios.observe(ratio);
         }
         for action in actions {
             match action {
-                TurnAction::Go { turn, version } => self.tell(turn, Turn::Go { version }),
+                TurnAction::Go { turn, version } => self.deliver_turn(turn, Turn::Go { version }),
                 TurnAction::Refuse {
                     turn,
                     reason,
                     retry,
                 } => {
                     let retry_ms = retry.0;
-                    self.tell(turn, Turn::No { reason, retry_ms });
+                    self.deliver_turn(turn, Turn::No { reason, retry_ms });
                 }
-                TurnAction::Order { order, sequence } => self.order(base, order, sequence),
+                TurnAction::Order { order, sequence } => self.spawn_order(base, order, sequence),
             }
         }
     }
 
-    fn tell(&self, id: pumicecleat_policy::TurnId, turn: Turn) {
+    fn deliver_turn(&self, id: pumicecleat_policy::TurnId, turn: Turn) {
         let outcome = match turn {
             Turn::Go { .. } => "go",
             Turn::No { reason, .. } => reason.as_str(),
@@ -174,20 +176,20 @@
         let labels = TurnLabels { outcome };
         self.shared.meters.turns.get_or_create(&labels).inc();
         if let Some(waiter) = self.shared.waiters.borrow_mut().remove(&id) {
-            // Its entry may have left meanwhile; the handler then takes the run back.
+            // If the gateway has disconnected in the meantime, the handler ends the run.
             let _ = waiter.try_send(turn);
         }
     }
 
-    fn order(&self, base: &BaseId, order: EngineOrder, sequence: u64) {
+    fn spawn_order(&self, base: &BaseId, order: EngineOrder, sequence: u64) {
         let shared = Rc::clone(&self.shared);
         let base = base.clone();
-        monoio::spawn(async move { give(&shared, &base, order, sequence).await });
+        monoio::spawn(async move { execute_order(&shared, &base, order, sequence).await });
     }
 }
 
-async fn give(shared: &Shared, base: &BaseId, order: EngineOrder, sequence: u64) {
-    let (name, adapter, version) = describe(&order);
+async fn execute_order(shared: &Shared, base: &BaseId, order: EngineOrder, sequence: u64) {
+    let (name, adapter, version) = order_log_fields(&order);
     let fields = [
         field("order", name),
         field("adapter", adapter),
@@ -195,45 +197,52 @@
         field("sequence", sequence),
     ];
     shared.log.emit(&events::ORDER_SENT, &fields);
-    let from = shared.timer.now();
+    let sent_at = shared.timer.now();
     let instance = shared.instance.borrow().clone();
-    let starts = shared.starts.get();
-    let named = (!instance.is_empty()).then_some(instance.as_str());
-    let answer = shared
+    let start_count = shared.engine_start_count.get();
+    let target = (!instance.is_empty()).then_some(instance.as_str());
+    let response = shared
         .engine_client
-        .send_order(base, &order, named, sequence, ORDER_SPAN)
+        .send_order(base, &order, target, sequence, ORDER_TIMEOUT)
         .await;
     let now = shared.timer.now();
-    let end = end_name(answer.outcome);
+    let end = outcome_name(response.outcome);
     let fields = [
         field("order", name),
         field("adapter", adapter),
         field("end", end),
-        field("took_ms", now.since(from).0),
-        field("error", answer.detail.as_deref().unwrap_or_default()),
+        field("took_ms", now.since(sent_at).0),
+        field("error", response.detail.as_deref().unwrap_or_default()),
     ];
     shared.log.emit(&events::ORDER_ENDED, &fields);
     let labels = OrderLabels { order: name, end };
     shared.meters.orders.get_or_create(&labels).inc();
-    if shared.starts.get() == starts {
-        shared.turns.borrow_mut().order_ended(answer.outcome, now);
-        if answer.outcome == OrderEnd::Misdirected {
-            shared.engine_denied(&instance);
+    if shared.engine_start_count.get() == start_count {
+        shared
+            .scheduler
+            .borrow_mut()
+            .order_ended(response.outcome, now);
+        if response.outcome == OrderEnd::Misdirected {
+            shared.handle_denied_instance(&instance);
         }
     }
-    shared.wake.ring();
+    shared.wake.notify();
 }
 
-/// Whether a report is of another start than the one before, which had `born` and `sequence`: engines
-/// that tell when they started are known by it, others by a sequence that fell.
-fn has_restarted(state: &EngineState, born: Option<u64>, sequence: u64) -> bool {
-    match (state.born, born) {
-        (Some(now), Some(before)) => now != before,
-        _ => state.sequence < sequence,
+/// Whether the engine has restarted since the previous report. Detected by the start time if the engine
+/// reports one, otherwise by a decrease of the sequence number.
+fn has_restarted(
+    report: &EngineState,
+    previous_start: Option<u64>,
+    previous_sequence: u64,
+) -> bool {
+    match (report.born, previous_start) {
+        (Some(current), Some(previous)) => current != previous,
+        _ => report.sequence < previous_sequence,
     }
 }
 
-fn describe(order: &EngineOrder) -> (&'static str, &str, u64) {
+fn order_log_fields(order: &EngineOrder) -> (&'static str, &str, u64) {
     match order {
         EngineOrder::LoadBase => ("load_base", "", 0),
         EngineOrder::Load { adapter, version } => ("load", adapter, version.unwrap_or_default()),
@@ -241,8 +250,8 @@
     }
 }
 
-fn end_name(end: OrderEnd) -> &'static str {
-    match end {
+fn outcome_name(outcome: OrderEnd) -> &'static str {
+    match outcome {
         OrderEnd::Accepted => "accepted",
         OrderEnd::Done => "done",
         OrderEnd::Conflict => "conflict",
@@ -252,33 +261,34 @@
     }
 }
 
-/// Places for adapters: by their number, and by the space that the base model leaves.
+/// Number of adapter slots, limited by the configuration and by the memory that the base model leaves.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a float's cast saturates"
 )]
-fn places(engine: &Engine, base: &BaseModel) -> u32 {
+fn adapter_slots(engine: &Engine, base: &BaseModel) -> u32 {
     if base.adapter_size_mb <= 0.0 {
         return engine.max_adapters;
     }
-    let fitting = ((engine.weight_memory_mb - base.weights_mb) / base.adapter_size_mb).floor();
-    engine.max_adapters.min(fitting.max(0.0) as u32)
+    let slots_that_fit =
+        ((engine.weight_memory_mb - base.weights_mb) / base.adapter_size_mb).floor();
+    engine.max_adapters.min(slots_that_fit.max(0.0) as u32)
 }
 
-/// Times of a load of the base model; where one is not told, that of the next slower way.
-fn base_loads(base: &BaseModel) -> BaseLoads {
-    let known = |own: f64, slower: f64| if own > 0.0 { own } else { slower };
-    let disk = known(base.disk_load_s, base.store_load_s);
-    // A configuration's figure may be anything; none that makes sense is refused here.
-    let span = |s: f64| millis(Duration::try_from_secs_f64(s).unwrap_or_default());
+/// Load times of the base model. A time that is not configured is taken from the next slower source.
+fn base_load_times(base: &BaseModel) -> BaseLoads {
+    let or_slower = |own: f64, slower: f64| if own > 0.0 { own } else { slower };
+    let disk = or_slower(base.disk_load_s, base.store_load_s);
+    // The configured time may be any number; one that is not a valid duration counts as 0.
+    let to_millis = |s: f64| millis(Duration::try_from_secs_f64(s).unwrap_or_default());
     BaseLoads {
-        memory: span(known(base.memory_load_s, disk)),
-        disk: span(disk),
-        store: span(base.store_load_s),
+        memory: to_millis(or_slower(base.memory_load_s, disk)),
+        disk: to_millis(disk),
+        store: to_millis(base.store_load_s),
     }
 }
 
-fn millis(span: Duration) -> Millis {
-    Millis(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
+fn millis(duration: Duration) -> Millis {
+    Millis(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/agent/src/engine_client.rs
+++ b/crates/agent/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! The engine, as the agent needs it.
+//! Interface to the engine.
 
 use std::time::Duration;
 
@@ -8,48 +8,49 @@
 use pumicecleat_types::BaseId;
 use snafu::Snafu;
 
-/// What became of an order, and what went wrong if nothing did.
+/// Response to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderResponse {
-    /// What became of it.
+    /// Outcome of the order.
     pub outcome: OrderEnd,
-    /// What went wrong, for people.
+    /// Human-readable description of the failure, if there was one.
     pub detail: Option<String>,
 }
 
-/// A report that could not be had.
+/// A report could not be fetched.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ReportError {
-    /// The exchange failed.
+    /// The request failed.
     #[snafu(display("step read report: {source}"))]
     Net {
         /// Cause, with step and peer.
         source: NetError,
     },
-    /// The answer is not a report.
+    /// The response is not a valid report.
     #[snafu(display("step decode report, peer {peer}: {detail}"))]
     Decode {
-        /// Peer.
+        /// Address of the engine.
         peer: String,
-        /// What is wrong.
+        /// Description of the fault.
         detail: String,
     },
 }
 
-/// An engine that reports and takes orders.
+/// Client of one engine.
 pub trait EngineClient {
-    /// What the engine reports, if it does within `timeout`.
+    /// Fetches the engine's report.
     ///
     /// # Errors
-    /// [`ReportError`], with the step and the peer.
+    /// Returns [`ReportError`], with the step and the peer, if no valid report arrives within `timeout`.
     fn fetch_report<'a>(
         &'a self,
         base: &'a BaseId,
         timeout: Duration,
     ) -> Local<'a, Result<EngineState, ReportError>>;
 
-    /// Gives an order to `instance`, which must be at `sequence`.
+    /// Sends an order, which the engine must refuse unless it is at `sequence` and, if `instance` is given,
+    /// is that instance.
     fn send_order<'a>(
         &'a self,
         base: &'a BaseId,
--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -1,4 +1,4 @@
-//! What entries ask of the agent.
+//! Handler of calls from gateways and other agents.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,28 +13,29 @@
 
 use crate::relay::{self, FIGURES_PATH, VIEW_PATH};
 use crate::shared::Shared;
-use crate::trial::{TRIAL_PATH, decide};
+use crate::trial::{TRIAL_PATH, decide_trial};
 
-/// Path at which entries tell news and ask for turns.
+/// Path at which gateways report the progress of requests and ask for turns.
 const TURN_PATH: &str = "/peer/v1/turn";
 
-/// Longest message, bytes: a few hundred ids, or the addresses of 10,000 engines.
-const MESSAGE_LIMIT: u64 = 1 << 20;
+/// Maximum size of a message in bytes. Enough for a few hundred IDs or the addresses of 10,000 engines.
+const MAX_MESSAGE_BYTES: u64 = 1 << 20;
 
-/// Time for a message to arrive.
-const MESSAGE_SPAN: Duration = Duration::from_secs(1);
+/// Timeout for receiving a message.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Outcome of an ask for an engine that the agent does not know: the list is read within half a second.
-const UNKNOWN: Turn = Turn::No {
+/// Response for an instance that is not known to be this engine. The list of upstreams is read within half a
+/// second.
+const UNKNOWN_ENGINE: Turn = Turn::No {
     reason: TurnRefusal::NoEngine,
     retry_ms: 300,
 };
 
-/// Pause between two looks whether the engine is free for a trial.
-const TRIAL_LOOK: Duration = Duration::from_millis(25);
+/// Interval between checks whether the engine is available for a trial.
+const TRIAL_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Outcome of an ask for a trial while another is on at the engine.
-const ON_TRIAL: Turn = Turn::No {
+/// Response to a request on trial that other trials keep from the engine.
+const TRIAL_IN_PROGRESS: Turn = Turn::No {
     reason: TurnRefusal::OnTrial,
     retry_ms: 500,
 };
@@ -52,83 +53,89 @@
         }
     }
 
-    async fn reply(self, mut request: Incoming) -> Reply {
+    async fn handle_request(self, mut request: Incoming) -> Reply {
         let path = request.uri().path().to_owned();
         let timer = &self.shared.timer;
         let body = request.body_mut();
-        let bytes = match read_all(body, MESSAGE_LIMIT, MESSAGE_SPAN, timer).await {
+        let bytes = match read_all(body, MAX_MESSAGE_BYTES, MESSAGE_TIMEOUT, timer).await {
             Ok(bytes) => bytes,
             Err(e) => return plain_reply(e.status(), "message not whole\n"),
         };
-        let outcome = match path.as_str() {
+        let reply = match path.as_str() {
             TURN_PATH => match decode(&bytes) {
-                Ok(call) => Ok(self.exchange(call).await),
+                Ok(call) => Ok(self.handle_turn_call(call).await),
                 Err(e) => Err(e),
             },
-            TRIAL_PATH => decode(&bytes).map(|call| peer_reply(&decide(&self.shared, &call))),
-            VIEW_PATH => decode(&bytes).map(|call| peer_reply(&relay::view(&self.shared, call))),
+            TRIAL_PATH => decode(&bytes).map(|call| peer_reply(&decide_trial(&self.shared, &call))),
+            VIEW_PATH => {
+                decode(&bytes).map(|call| peer_reply(&relay::answer_view(&self.shared, call)))
+            }
             FIGURES_PATH => {
-                decode(&bytes).map(|call| peer_reply(&relay::figures(&self.shared, &call)))
+                decode(&bytes).map(|call| peer_reply(&relay::answer_figures(&self.shared, &call)))
             }
             _ => return plain_reply(404, "unknown exchange\n"),
         };
-        outcome.unwrap_or_else(|e| plain_reply(400, &format!("{e}\n")))
+        reply.unwrap_or_else(|e| plain_reply(400, &format!("{e}\n")))
     }
 
-    async fn exchange(&self, call: TurnCall) -> Reply {
+    async fn handle_turn_call(&self, call: TurnCall) -> Reply {
         let timer = &self.shared.timer;
         let now = timer.now();
         self.shared.marks.merge(&call.marks, now);
-        self.shared.entries.borrow_mut().heard(&call.entry, now);
-        self.shared.turns.borrow_mut().hint(&call.peers);
-        let told = call.suspects.as_ref();
-        let suspects = told.map(|told| self.shared.watch.exchange(told, now));
-        self.note(&call, now);
+        self.shared
+            .recent_gateways
+            .borrow_mut()
+            .record_contact(&call.entry, now);
+        self.shared.scheduler.borrow_mut().hint(&call.peers);
+        let news = call.suspects.as_ref();
+        let suspects = news.map(|news| self.shared.suspects.exchange_news(news, now));
+        self.apply_run_news(&call, now);
         if let Some(limit) = call.limit {
-            let mut limits = self.shared.limits.borrow_mut();
+            let mut limits = self.shared.rate_limits.borrow_mut();
             limits.apply_news(&call.instance, limit, now);
         }
-        // Also without an ask: entries that take the engine for another than we do ask nothing of it.
-        let meant = self.shared.is_meant(&call.instance);
+        // Also checked if no turn is asked for, because a gateway that knows the engine as a different instance
+        // asks for none.
+        let instance_matches = self.shared.check_instance(&call.instance);
         let turn = match call.ask {
-            Some(ask) if meant => Some(self.admit(ask, &call.instance).await),
+            Some(ask) if instance_matches => Some(self.admit(ask, &call.instance).await),
             Some(ask) => {
-                self.log_turn(&Asked::new(&ask, "unknown"), UNKNOWN, now);
-                Some(UNKNOWN)
+                self.log_turn(&LoggedAsk::new(&ask, "unknown"), UNKNOWN_ENGINE, now);
+                Some(UNKNOWN_ENGINE)
             }
             None => None,
         };
         let figures = self.shared.figures();
-        let kept = self.shared.kept(call.kept);
+        let cached_adapters = self.shared.cached_adapters(call.kept);
         peer_reply(&TurnReply {
             turn,
             figures,
-            kept,
-            entries: self.shared.entries.borrow().count(timer.now()),
+            kept: cached_adapters,
+            entries: self.shared.recent_gateways.borrow().count(timer.now()),
             marks: self.shared.marks.to_message(timer.now()),
             suspects,
         })
     }
 
-    fn note(&self, call: &TurnCall, now: Millis) {
+    fn apply_run_news(&self, call: &TurnCall, now: Millis) {
         if call.news.is_empty() {
             return;
         }
-        let mut turns = self.shared.turns.borrow_mut();
+        let mut scheduler = self.shared.scheduler.borrow_mut();
         for news in &call.news {
             if news.ended {
-                self.shared.watch.ended(&news.request);
-                turns.ended(&news.request);
+                self.shared.suspects.end_trial(&news.request);
+                scheduler.ended(&news.request);
             } else {
-                turns.started(&news.request, now);
+                scheduler.started(&news.request, now);
             }
         }
-        drop(turns);
-        self.shared.wake.ring();
+        drop(scheduler);
+        self.shared.wake.notify();
     }
 
-    /// Grants a turn within the engine's rate limit. A request that does not stay is refused instead of
-    /// waiting for a slot, because another engine may accept it immediately.
+    /// Grants a turn within the engine's rate limit. A request without `stays` is refused instead of waiting for
+    /// a slot, because another engine may accept it immediately.
     async fn admit(&self, mut ask: TurnAsk, instance: &str) -> Turn {
         let now = self.shared.timer.now();
         let max_wait = if ask.stays {
@@ -142,22 +149,22 @@
         };
         let admission = self
             .shared
-            .limits
+            .rate_limits
             .borrow_mut()
             .reserve(source, 1, max_wait, now);
         let slot = match admission {
-            Admission::Unlimited => return self.turn(ask).await,
+            Admission::Unlimited => return self.wait_for_turn(ask).await,
             Admission::Reserved(slot) => slot,
             Admission::Refused(wait) => {
                 let turn = Turn::No {
                     reason: TurnRefusal::Limited,
                     retry_ms: wait.0,
                 };
-                self.log_turn(&Asked::new(&ask, self.hold(&ask)), turn, now);
+                self.log_turn(&LoggedAsk::new(&ask, self.adapter_state(&ask)), turn, now);
                 return turn;
             }
         };
-        let mut guard = Reservation {
+        let mut guard = SlotReservation {
             shared: Rc::clone(&self.shared),
             instance: instance.to_owned(),
             slot: Some(slot),
@@ -168,24 +175,24 @@
             .await;
         ask.due_ms = ask.due_ms.saturating_sub(slot.wait.0);
         ask.patience_ms = ask.patience_ms.saturating_sub(slot.wait.0);
-        let turn = self.turn(ask).await;
+        let turn = self.wait_for_turn(ask).await;
         if matches!(turn, Turn::Go { .. }) {
             guard.slot = None;
         }
         turn
     }
 
-    async fn turn(&self, ask: TurnAsk) -> Turn {
-        let from = self.shared.timer.now();
-        if !self.may_try(&ask, from).await {
-            let asked = Asked::new(&ask, self.hold(&ask));
-            self.log_turn(&asked, ON_TRIAL, from);
-            return ON_TRIAL;
+    async fn wait_for_turn(&self, ask: TurnAsk) -> Turn {
+        let asked_at = self.shared.timer.now();
+        if !self.wait_for_trial(&ask, asked_at).await {
+            let asked = LoggedAsk::new(&ask, self.adapter_state(&ask));
+            self.log_turn(&asked, TRIAL_IN_PROGRESS, asked_at);
+            return TRIAL_IN_PROGRESS;
         }
         let (sender, receiver) = async_channel::bounded(1);
-        let request = ask.request.clone();
-        let asked = Asked::new(&ask, self.hold(&ask));
-        let id = self.shared.turns.borrow_mut().ask(
+        let request_id = ask.request.clone();
+        let asked = LoggedAsk::new(&ask, self.adapter_state(&ask));
+        let turn_id = self.shared.scheduler.borrow_mut().ask(
             TurnRequest {
                 request: ask.request,
                 adapter: ask.adapter.clone(),
@@ -197,63 +204,68 @@
                 patience: Millis(ask.patience_ms),
                 stays: ask.stays,
             },
-            from,
+            asked_at,
         );
-        self.shared.waiters.borrow_mut().insert(id, sender);
-        let guard = Withdraw {
+        self.shared.waiters.borrow_mut().insert(turn_id, sender);
+        let guard = TurnGuard {
             shared: Rc::clone(&self.shared),
-            request,
-            id,
-            done: false,
+            request_id,
+            turn_id,
+            disarmed: false,
         };
-        self.shared.wake.ring();
+        self.shared.wake.notify();
         let turn = receiver.recv().await;
-        // The sender is dropped without a word only when the agent ends.
-        let turn = turn.unwrap_or(UNKNOWN);
-        self.log_turn(&asked, turn, from);
+        // The sender is dropped without an outcome only when the agent exits.
+        let turn = turn.unwrap_or(UNKNOWN_ENGINE);
+        self.log_turn(&asked, turn, asked_at);
         if matches!(turn, Turn::No { .. }) {
-            self.shared.watch.ended(&guard.request);
+            self.shared.suspects.end_trial(&guard.request_id);
         }
-        guard.finish();
+        guard.disarm();
         turn
     }
 
-    /// Whether a request that is on trial may have the engine; one that stays waits for it.
-    async fn may_try(&self, ask: &TurnAsk, from: Millis) -> bool {
+    /// Whether the request may be sent as far as trials are concerned. A request on trial with `stays` waits until
+    /// the engine is available.
+    async fn wait_for_trial(&self, ask: &TurnAsk, asked_at: Millis) -> bool {
         let Some(trial) = ask.trial else {
             return true;
         };
         let timer = &self.shared.timer;
-        let end = from + Millis(ask.patience_ms);
+        let deadline = asked_at + Millis(ask.patience_ms);
         loop {
             let now = timer.now();
-            if self.shared.watch.begin(&ask.request, trial, now) {
+            if self
+                .shared
+                .suspects
+                .try_start_trial(&ask.request, trial, now)
+            {
                 return true;
             }
-            if !ask.stays || now >= end {
+            if !ask.stays || now >= deadline {
                 return false;
             }
-            timer.sleep(TRIAL_LOOK).await;
+            timer.sleep(TRIAL_CHECK_INTERVAL).await;
         }
     }
 
-    /// How the engine stands to the adapter asked for.
-    fn hold(&self, ask: &TurnAsk) -> &'static str {
-        let turns = self.shared.turns.borrow();
+    /// State of the requested adapter at the engine, for the log.
+    fn adapter_state(&self, ask: &TurnAsk) -> &'static str {
+        let scheduler = self.shared.scheduler.borrow();
         let adapter = ask.adapter.as_deref();
-        adapter.map_or("", |a| turns.hold(a, ask.version).as_str())
+        adapter.map_or("", |a| scheduler.hold(a, ask.version).as_str())
     }
 
-    fn log_turn(&self, asked: &Asked, turn: Turn, from: Millis) {
-        let waited = self.shared.timer.now().since(from);
-        self.shared.meters.wait.observe(waited.as_secs());
+    fn log_turn(&self, asked: &LoggedAsk, turn: Turn, asked_at: Millis) {
+        let waited = self.shared.timer.now().since(asked_at);
+        self.shared.meters.turn_wait.observe(waited.as_secs());
         let figures = self.shared.figures();
         let unread = figures.unread;
         let unread_gauge = i64::try_from(unread).unwrap_or(i64::MAX);
-        self.shared.meters.unread.set(unread_gauge);
+        self.shared.meters.unread_tokens.set(unread_gauge);
         let request = field("request", asked.request.as_str());
         let adapter = field("adapter", asked.adapter.as_str());
-        let hold = field("hold", asked.hold);
+        let hold = field("hold", asked.adapter_state);
         let waited = field("waited_ms", waited.0);
         let unread = field("unread", unread);
         let rate = field("rate", figures.traits.rate);
@@ -272,70 +284,70 @@
     }
 }
 
-/// What is logged of an ask.
-struct Asked {
+/// Properties of a request for a turn that are logged with its outcome.
+struct LoggedAsk {
     request: String,
     adapter: String,
-    /// How the engine stood to the adapter when it was asked.
-    hold: &'static str,
+    /// State of the adapter when the turn was asked for.
+    adapter_state: &'static str,
 }
 
-impl Asked {
-    fn new(ask: &TurnAsk, hold: &'static str) -> Self {
+impl LoggedAsk {
+    fn new(ask: &TurnAsk, adapter_state: &'static str) -> Self {
         Self {
             request: ask.request.clone(),
             adapter: ask.adapter.clone().unwrap_or_default(),
-            hold,
+            adapter_state,
         }
     }
 }
 
-/// Slot under the engine's rate limit; given back on drop unless `slot` was cleared.
-struct Reservation {
+/// Reserved slot of the engine's rate limit; released on drop unless `slot` was cleared.
+struct SlotReservation {
     shared: Rc<Shared>,
     instance: String,
     slot: Option<Slot>,
 }
 
-impl Drop for Reservation {
+impl Drop for SlotReservation {
     fn drop(&mut self) {
         if let Some(slot) = self.slot {
-            let mut limits = self.shared.limits.borrow_mut();
+            let mut limits = self.shared.rate_limits.borrow_mut();
             limits.give_back(&self.instance, slot);
         }
     }
 }
 
-/// Takes an ask back if its entry leaves before the outcome reached it.
-struct Withdraw {
+/// Withdraws the request for a turn on drop, if the gateway disconnects before it has the outcome.
+struct TurnGuard {
     shared: Rc<Shared>,
-    request: String,
-    id: TurnId,
-    done: bool,
+    request_id: String,
+    turn_id: TurnId,
+    disarmed: bool,
 }
 
-impl Withdraw {
-    fn finish(mut self) {
-        self.done = true;
+impl TurnGuard {
+    fn disarm(mut self) {
+        self.disarmed = true;
     }
 }
 
-impl Drop for Withdraw {
+impl Drop for TurnGuard {
     fn drop(&mut self) {
-        if self.done {
+        if self.disarmed {
             return;
         }
-        self.shared.waiters.borrow_mut().remove(&self.id);
-        self.shared.watch.ended(&self.request);
-        let mut turns = self.shared.turns.borrow_mut();
-        if !turns.withdraw(self.id) {
-            turns.ended(&self.request);
+        self.shared.waiters.borrow_mut().remove(&self.turn_id);
+        self.shared.suspects.end_trial(&self.request_id);
+        let mut scheduler = self.shared.scheduler.borrow_mut();
+        if !scheduler.withdraw(self.turn_id) {
+            scheduler.ended(&self.request_id);
         }
     }
 }
 
 impl Handler for PeerHandler {
     fn handle(&self, request: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
-        Box::pin(self.clone().reply(request))
+        Box::pin(self.clone().handle_request(request))
     }
 }
--- a/crates/agent/src/instance.rs
+++ b/crates/agent/src/instance.rs
@@ -1,9 +1,9 @@
-//! Which instance the engine is.
+//! Determines the instance name of the engine.
 //!
-//! The engine's report does not say it, the list of upstreams does. The list never rests, so it is
-//! not followed here: it is read when a gateway or a relay names another instance than the one known,
-//! and now and then while none is known. Read each 0.4 s in doubt, it took 1,520 of the 5,700 calls of
-//! 185 processes in 58 s.
+//! The engine's report does not contain it, but the list of upstreams does. The list changes all the time, so
+//! it is not followed: it is read when a gateway or a relay names an instance other than the known one, and
+//! occasionally while none is known. Reading it every 0.4 s whenever the instance was uncertain accounted for
+//! 1,520 of the 5,700 calls made by 185 processes in 58 s.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 
 use crate::shared::Shared;
 
-/// Pause between two reads of the list. An engine shows up there a second or so after its start.
-const LOOK: Duration = Duration::from_millis(400);
+/// Minimum interval between reads of the list. An engine is listed about a second after its start.
+const MIN_LOOKUP_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest time without a read while the instance is not known and nobody names one: gateways read the
-/// list several times in it.
-const UNNAMED: Duration = Duration::from_secs(4);
+/// Maximum interval between reads while the instance is not known and no other process names one. Gateways read
+/// the list several times within it.
+const MAX_LOOKUP_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Reads the list whenever the instance is in doubt, for good.
+/// Reads the list whenever the instance is unknown or uncertain. Never returns.
 pub(crate) async fn find_instance(
     shared: Rc<Shared>,
     store: Rc<dyn KeyedLog>,
@@ -30,12 +30,15 @@
 ) {
     let unreadable = RefCell::new(UnreadableKeys::default());
     loop {
-        // Whether somebody named one or the time is over, it is looked for.
-        let _ = shared.timer.within(UNNAMED, shared.naming.rung()).await;
-        if shared.in_doubt() {
+        // Looks the instance up in either case, whether one was named or the time has elapsed.
+        let _ = shared
+            .timer
+            .within(MAX_LOOKUP_INTERVAL, shared.instance_claimed.notified())
+            .await;
+        if shared.needs_instance_lookup() {
             match store.newest(decoder.stream(Topic::Upstreams)).await {
                 Ok(newest) => {
-                    let read = |r| match decoder.decode(Topic::Upstreams, r) {
+                    let decode = |r| match decoder.decode(Topic::Upstreams, r) {
                         Ok(Change::Upstream(upstream)) => Some(upstream),
                         Ok(_) => None,
                         Err(e) => {
@@ -46,12 +49,12 @@
                     let mut listed: Vec<(u64, Upstream)> = newest
                         .records
                         .iter()
-                        .filter_map(|r| Some((r.offset, read(r)?)))
+                        .filter_map(|r| Some((r.offset, decode(r)?)))
                         .collect();
-                    listed.retain(|(_, u)| shared.is_own(u) && u.standing == Standing::Ready);
+                    listed.retain(|(_, u)| shared.is_own_entry(u) && u.standing == Standing::Ready);
                     let latest = listed.into_iter().max_by_key(|(offset, _)| *offset);
                     if let Some((_, upstream)) = latest {
-                        shared.found(&upstream.instance);
+                        shared.set_listed_instance(&upstream.instance);
                     }
                 }
                 Err(e) => {
@@ -61,6 +64,6 @@
                 }
             }
         }
-        shared.timer.sleep(LOOK).await;
+        shared.timer.sleep(MIN_LOOKUP_INTERVAL).await;
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,11 +1,11 @@
-//! The process beside a model engine, the only one that gives it orders.
+//! Agent that runs beside a model engine and is the only process that sends orders to it.
 //!
-//! Requests don't pass through it: an entry asks for a turn, and sends the request straight to the
-//! engine once it has one. So an agent that dies breaks no answer, and an engine whose agent is down
-//! still serves what it holds.
+//! Requests do not pass through the agent: a gateway asks it for a turn and sends the request directly to
+//! the engine once the turn is granted. If an agent fails, responses in progress are not interrupted, and
+//! the engine still serves the models and adapters that it has loaded.
 //!
-//! [`Agent`] drives [`pumicecleat_policy::Turns`]: it reads the engine's report, which is fresh and
-//! costs nothing on the same VM, tells the decisions what happened, and carries out what they say.
+//! [`Agent`] runs the scheduler, [`pumicecleat_policy::Turns`]: it fetches the engine's report, which is
+//! current and cheap to get on the same VM, passes events to the scheduler and carries out its actions.
 //!
 //! ```
 //! use pumicecleat_agent::AgentSettings;
@@ -22,7 +22,7 @@
 
 mod drive;
 mod engine_client;
-mod entries;
+mod gateways;
 mod handler;
 mod instance;
 mod meters;
--- a/crates/agent/src/meters.rs
+++ b/crates/agent/src/meters.rs
@@ -3,20 +3,20 @@
 use prometheus_client::encoding::EncodeLabelSet;
 use pumicecleat_ops::{Counter, Family, Gauge, Histogram, Metrics};
 
-/// Upper bounds of the times of turns, s.
-const TURN_BUCKETS: &[f64] = &[0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0];
+/// Upper bounds of the wait for a turn, in seconds.
+const TURN_WAIT_BUCKETS: &[f64] = &[0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0];
 
-/// Upper bounds of times to first events, in parts of what was expected.
-const MISS_BUCKETS: &[f64] = &[0.25, 0.5, 0.8, 1.0, 1.25, 1.6, 2.0, 4.0, 8.0];
+/// Upper bounds of the ratio of the actual to the expected time to the first event.
+const FIRST_EVENT_RATIO_BUCKETS: &[f64] = &[0.25, 0.5, 0.8, 1.0, 1.25, 1.6, 2.0, 4.0, 8.0];
 
-/// Kind and end of an order.
+/// Kind and outcome of an order. The field names are the label names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct OrderLabels {
     pub(crate) order: &'static str,
     pub(crate) end: &'static str,
 }
 
-/// Outcome of an ask for a turn.
+/// Outcome of a request for a turn. The field name is the label name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct TurnLabels {
     pub(crate) outcome: &'static str,
@@ -26,9 +26,9 @@
 pub(crate) struct Meters {
     pub(crate) turns: Family<TurnLabels, Counter>,
     pub(crate) orders: Family<OrderLabels, Counter>,
-    pub(crate) wait: Histogram,
-    pub(crate) unread: Gauge,
-    pub(crate) misses: Histogram,
+    pub(crate) turn_wait: Histogram,
+    pub(crate) unread_tokens: Gauge,
+    pub(crate) first_event_ratios: Histogram,
 }
 
 impl Meters {
@@ -36,12 +36,12 @@
         Self {
             turns: metrics.counters("turns", "Asks for a turn, by outcome"),
             orders: metrics.counters("orders", "Orders to the engine, by kind and end"),
-            wait: metrics.histogram("turn_wait_seconds", "Wait for a turn", TURN_BUCKETS),
-            unread: metrics.gauge("unread_tokens", "Prompt tokens that wait to be read"),
-            misses: metrics.histogram(
+            turn_wait: metrics.histogram("turn_wait_seconds", "Wait for a turn", TURN_WAIT_BUCKETS),
+            unread_tokens: metrics.gauge("unread_tokens", "Prompt tokens that wait to be read"),
+            first_event_ratios: metrics.histogram(
                 "first_event_ratio",
                 "Time to a first event, in parts of what was expected at its turn",
-                MISS_BUCKETS,
+                FIRST_EVENT_RATIO_BUCKETS,
             ),
         }
     }
--- a/crates/agent/src/relay/mod.rs
+++ b/crates/agent/src/relay/mod.rs
@@ -1,53 +1,52 @@
-//! The figures of many engines, gathered for entries.
+//! Relay: collects the figures of many engines for gateways.
 //!
-//! An agent becomes a relay when entries ask it for a view, and is one for as long as they do. It asks
-//! the agents of its own data centre itself, and one relay in each other data centre for what is there.
-//! It decides nothing by what it hears and passes it on with its age: a wrong or old word costs an entry
-//! a worse choice, never more.
+//! An agent acts as a relay while gateways request views from it. It polls the agents of its own data centre and
+//! queries one relay in each other data centre. It makes no decisions based on the figures and passes them on with
+//! their age. Wrong or outdated figures can only cause a gateway to choose a less suitable engine.
 
-mod board;
-mod gather;
+mod poll;
+mod state;
 
 use pumicecleat_types::{FiguresCall, FiguresReply, ViewCall, ViewReply};
 
 use crate::shared::Shared;
-pub(crate) use board::Board;
-pub(crate) use gather::gather;
+pub(crate) use poll::run_relay;
+pub(crate) use state::RelayState;
 
-/// Path at which entries and other relays ask for a view.
+/// Path at which gateways and other relays request a view.
 pub(crate) const VIEW_PATH: &str = "/peer/v1/view";
 
-/// Path at which a relay asks for one engine's figures.
+/// Path at which a relay requests the figures of one engine.
 pub(crate) const FIGURES_PATH: &str = "/peer/v1/figures";
 
-/// Answers an ask for a view.
-pub(crate) fn view(shared: &Shared, call: ViewCall) -> ViewReply {
+/// Answers a request for a view.
+pub(crate) fn answer_view(shared: &Shared, call: ViewCall) -> ViewReply {
     let now = shared.timer.now();
     shared.marks.merge(&call.marks, now);
-    let suspects = shared.watch.exchange(&call.suspects, now);
+    let suspects = shared.suspects.exchange_news(&call.suspects, now);
     let figures = shared.figures();
-    let kept = shared.turns.borrow().kept();
-    let mut board = shared.board.borrow_mut();
-    board.hear_own(&figures, kept, now);
-    let idle = board.is_idle(now);
-    let mut reply = board.reply(call, now);
-    if idle {
-        shared.viewed.ring();
+    let cached_adapters = shared.scheduler.borrow().kept();
+    let mut state = shared.relay.borrow_mut();
+    state.update_own(&figures, cached_adapters, now);
+    let was_idle = state.is_idle(now);
+    let mut reply = state.reply(call, now);
+    if was_idle {
+        shared.view_requested.notify();
     }
     reply.marks = shared.marks.to_message(now);
     reply.suspects = suspects;
     reply
 }
 
-/// Answers an ask for the own engine's figures.
-pub(crate) fn figures(shared: &Shared, call: &FiguresCall) -> FiguresReply {
+/// Answers a request for the figures of the agent's engine.
+pub(crate) fn answer_figures(shared: &Shared, call: &FiguresCall) -> FiguresReply {
     let now = shared.timer.now();
     shared.marks.merge(&call.marks, now);
-    // The instance named tells an agent that took another for its engine's.
-    shared.is_meant(&call.instance);
+    // If the agent has a different instance for its engine, this triggers a lookup.
+    shared.check_instance(&call.instance);
     FiguresReply {
         figures: shared.figures(),
-        kept: shared.kept(call.kept),
+        kept: shared.cached_adapters(call.kept),
         marks: shared.marks.to_message(now),
     }
 }
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -1,11 +1,11 @@
-//! State that the agent's parts share.
+//! State shared by the components of the agent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::entries::Entries;
+use crate::gateways::RecentGateways;
 use async_channel::{Receiver, Sender};
 use pumicecleat_catalog::{Applied, CatalogListener, Marks, SharedCatalog, Upstream};
 use pumicecleat_net::{Client, Timer};
@@ -15,84 +15,84 @@
 
 use crate::EngineClient;
 use crate::meters::Meters;
-use crate::relay::Board;
-use crate::trial::Watch;
+use crate::relay::RelayState;
+use crate::trial::SuspectState;
 
 /// Readiness condition of the engine.
-pub(crate) const ENGINE: &str = "engine";
+pub(crate) const ENGINE_CONDITION: &str = "engine";
 
-/// Time for which an instance that the list names no more, or not as the newest, raises no doubt. An
-/// engine's entry may outlive it by many seconds, and those who believe in it name it ten times a second.
-const REFUTED_SPAN: Millis = Millis(2_000);
+/// Time for which a claimed instance that the list does not contain, or not as the newest, triggers no further
+/// lookup. An engine's entry may outlive it by many seconds, in which other processes name it ten times a second.
+const REJECTED_CLAIM_TTL: Millis = Millis(2_000);
 
-/// What the agent's parts share.
+/// State shared by the components of the agent.
 pub(crate) struct Shared {
     pub(crate) timer: Timer,
     pub(crate) log: Log,
     pub(crate) vm: VmId,
     pub(crate) service: ServiceId,
-    /// Address of the engine, by which the list names its instance.
-    pub(crate) engine: SocketAddr,
+    /// Address of the engine, by which its instance is found in the list.
+    pub(crate) engine_address: SocketAddr,
     pub(crate) engine_client: Rc<dyn EngineClient>,
     pub(crate) catalog: SharedCatalog,
     pub(crate) marks: Rc<Marks>,
-    pub(crate) turns: RefCell<Turns>,
+    pub(crate) scheduler: RefCell<Turns>,
     /// Rate limit of the engine.
-    pub(crate) limits: RefCell<RateLimits>,
-    /// Who waits for the outcome of a turn.
+    pub(crate) rate_limits: RefCell<RateLimits>,
+    /// Senders to the tasks that wait for a turn.
     pub(crate) waiters: RefCell<BTreeMap<TurnId, Sender<Turn>>>,
-    /// Instance of the engine; empty while it is not known.
+    /// Instance name of the engine; empty while it is not known.
     pub(crate) instance: RefCell<String>,
-    /// Unix time of the engine's start, ms, if it tells.
-    pub(crate) born: Cell<Option<u64>>,
-    /// Starts of the engine that were seen; what was ordered before the last is void.
-    pub(crate) starts: Cell<u64>,
-    /// Entries that ask for turns here.
-    pub(crate) entries: RefCell<Entries>,
+    /// Unix time of the engine's start in milliseconds, if it reports one.
+    pub(crate) engine_start_time_ms: Cell<Option<u64>>,
+    /// Number of engine starts seen. Outcomes of orders sent before the last one are ignored.
+    pub(crate) engine_start_count: Cell<u64>,
+    /// Gateways that contacted this agent recently.
+    pub(crate) recent_gateways: RefCell<RecentGateways>,
     pub(crate) readiness: Readiness,
     pub(crate) meters: Meters,
-    /// Instance that the engine said it is not, though the list may still name it.
-    pub(crate) denied: RefCell<String>,
-    /// A token here has the decisions asked again.
-    pub(crate) wake: Bell,
+    /// Instance that the engine has denied to be, although the list may still contain it.
+    pub(crate) denied_instance: RefCell<String>,
+    /// Wakes the scheduling loop.
+    pub(crate) wake: Notify,
     /// Client for other agents.
-    pub(crate) peers: Client,
-    /// Requests under which upstreams ended.
-    pub(crate) watch: Watch,
-    /// What is gathered for entries.
-    pub(crate) board: RefCell<Board>,
-    /// A token here tells that somebody asks for what is gathered.
-    pub(crate) viewed: Bell,
-    /// A gateway named another instance than the one known.
-    pub(crate) doubt: Cell<bool>,
-    /// Instance named last by another process.
-    pub(crate) named: RefCell<String>,
-    /// A token here tells that one was named that may be the engine's.
-    pub(crate) naming: Bell,
-    /// Instance that was named though the list names another, and when that was found.
-    pub(crate) refuted: RefCell<Option<(String, Millis)>>,
+    pub(crate) agent_client: Client,
+    /// Requests that were in progress when upstreams ended.
+    pub(crate) suspects: SuspectState,
+    /// State as a relay.
+    pub(crate) relay: RefCell<RelayState>,
+    /// Wakes the relay loop when a view is requested.
+    pub(crate) view_requested: Notify,
+    /// Whether another process has named an instance other than the known one.
+    pub(crate) lookup_needed: Cell<bool>,
+    /// Instance last named by another process.
+    pub(crate) claimed_instance: RefCell<String>,
+    /// Wakes the lookup when an instance was named that may be the engine's.
+    pub(crate) instance_claimed: Notify,
+    /// Named instance that was rejected because the list contains a different one, and when that was found.
+    pub(crate) rejected_claim: RefCell<Option<(String, Millis)>>,
 }
 
-/// Wakes one loop; rings while it is awake are kept as one.
+/// Wakes one task. Notifications that arrive before it waits again are combined into one.
 #[derive(Clone, Debug)]
-pub(crate) struct Bell {
+pub(crate) struct Notify {
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-impl Bell {
+impl Notify {
     pub(crate) fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
         Self { sender, receiver }
     }
 
-    pub(crate) fn ring(&self) {
-        // A full channel holds a ring already.
+    pub(crate) fn notify(&self) {
+        // A full channel already contains a notification.
         let _ = self.sender.try_send(());
     }
 
-    pub(crate) async fn rung(&self) {
-        // It can't be closed while `self` holds both ends.
+    pub(crate) async fn notified(&self) {
+        // Can't fail, as `self` owns both ends of the channel.
         let _ = self.receiver.recv().await;
     }
 }
@@ -100,109 +100,115 @@
 impl Shared {
     pub(crate) fn figures(&self) -> EngineFigures {
         let now = self.timer.now();
-        let mut figures = self.turns.borrow().figures(&self.instance.borrow(), now);
-        figures.born = self.born.get().unwrap_or_default();
+        let mut figures = self
+            .scheduler
+            .borrow()
+            .figures(&self.instance.borrow(), now);
+        figures.born = self.engine_start_time_ms.get().unwrap_or_default();
         figures
     }
 
-    /// Adapters that the engine's host keeps, unless the entry knows them already.
-    pub(crate) fn kept(&self, known: u64) -> Option<KeptAdapters> {
-        let names = self.turns.borrow().kept();
+    /// Adapters cached by the engine's host, or `None` if the caller knows them by their digest.
+    pub(crate) fn cached_adapters(&self, known_digest: u64) -> Option<KeptAdapters> {
+        let names = self.scheduler.borrow().kept();
         let digest = pumicecleat_policy::name_key(&names.join("/"));
-        (digest != known).then_some(KeptAdapters { digest, names })
+        (digest != known_digest).then_some(KeptAdapters { digest, names })
     }
 
-    /// The engine started anew: what it held is void, and the list will name another instance.
-    pub(crate) fn engine_restarted(&self) {
-        self.void();
+    /// Handles a restart of the engine: its state is reset, and the list will contain a new instance.
+    pub(crate) fn handle_engine_restart(&self) {
+        self.reset_engine_state();
         self.instance.borrow_mut().clear();
     }
 
-    /// What was believed of the engine, and ordered, is void.
-    fn void(&self) {
-        self.turns.borrow_mut().reset(self.timer.now());
-        self.watch.engine_ended();
-        self.starts.set(self.starts.get() + 1);
+    /// Discards what is known of the engine and the orders in progress.
+    fn reset_engine_state(&self) {
+        self.scheduler.borrow_mut().reset(self.timer.now());
+        self.suspects.end_all_trials();
+        self.engine_start_count
+            .set(self.engine_start_count.get() + 1);
     }
 
-    /// The engine refused an order as meant for another instance: the list still named the one
-    /// before. Until it names the engine's own, orders name none; an engine that has just started
-    /// then gets its base model at once.
-    pub(crate) fn engine_denied(&self, instance: &str) {
-        self.denied.replace(instance.to_owned());
-        self.engine_restarted();
+    /// Handles the rejection of an order that named a different instance, because the list still contained the
+    /// previous one. Orders name no instance until the list contains the engine's own, so that an engine that has
+    /// just started gets its base model immediately.
+    pub(crate) fn handle_denied_instance(&self, instance: &str) {
+        self.denied_instance.replace(instance.to_owned());
+        self.handle_engine_restart();
         self.log
             .emit(&events::OWN_ENGINE_DENIED, &[field("instance", instance)]);
     }
 
-    /// Whether it has to be found out which instance the engine is.
-    pub(crate) fn in_doubt(&self) -> bool {
-        self.instance.borrow().is_empty() || self.doubt.get()
+    /// Whether the instance of the engine is unknown or uncertain.
+    pub(crate) fn needs_instance_lookup(&self) -> bool {
+        self.instance.borrow().is_empty() || self.lookup_needed.get()
     }
 
-    /// Whether the engine is `instance`, as an entry believes; if not, it has to be found out.
-    pub(crate) fn is_meant(&self, instance: &str) -> bool {
-        let known = *self.instance.borrow() == instance;
-        if !known && !self.is_refuted(instance) {
-            self.doubt.set(true);
-            if *self.denied.borrow() != instance {
-                self.named.replace(instance.to_owned());
-                self.naming.ring();
+    /// Whether the engine is `instance`, as named by another process. Triggers a lookup if it is not.
+    pub(crate) fn check_instance(&self, instance: &str) -> bool {
+        let matches = *self.instance.borrow() == instance;
+        if !matches && !self.is_rejected_claim(instance) {
+            self.lookup_needed.set(true);
+            if *self.denied_instance.borrow() != instance {
+                self.claimed_instance.replace(instance.to_owned());
+                self.instance_claimed.notify();
             }
         }
-        known && !instance.is_empty()
+        matches && !instance.is_empty()
     }
 
-    /// Whether the list was found lately to name another than `instance`, which others still name.
-    fn is_refuted(&self, instance: &str) -> bool {
+    /// Whether the list was recently found to contain an instance other than `instance`.
+    fn is_rejected_claim(&self, instance: &str) -> bool {
         let now = self.timer.now();
-        let refuted = self.refuted.borrow();
-        let refuted = refuted.as_ref();
-        refuted.is_some_and(|(name, at)| name == instance && now.since(*at) < REFUTED_SPAN)
+        let rejected = self.rejected_claim.borrow();
+        let rejected = rejected.as_ref();
+        rejected.is_some_and(|(name, at)| name == instance && now.since(*at) < REJECTED_CLAIM_TTL)
     }
 
-    /// Whether an entry of the list is the engine's. Where both tell when the engine started, that of a
-    /// start before is known by it.
-    pub(crate) fn is_own(&self, upstream: &Upstream) -> bool {
-        let place = upstream.address == self.engine && upstream.service == self.service;
-        let other = match (upstream.born, self.born.get()) {
+    /// Whether an entry of the list is that of the engine. An entry of an earlier start is recognized by the start
+    /// time, if both the entry and the engine give one.
+    pub(crate) fn is_own_entry(&self, upstream: &Upstream) -> bool {
+        let same_place =
+            upstream.address == self.engine_address && upstream.service == self.service;
+        let other_start = match (upstream.born, self.engine_start_time_ms.get()) {
             (Some(listed), Some(own)) => listed != own,
             _ => false,
         };
-        place && !other
+        same_place && !other_start
     }
 
-    /// The list names `instance` as the engine's newest.
-    pub(crate) fn found(&self, instance: &str) {
-        if *self.denied.borrow() == instance {
+    /// Sets the newest instance of the engine in the list.
+    pub(crate) fn set_listed_instance(&self, instance: &str) {
+        if *self.denied_instance.borrow() == instance {
             return;
         }
-        self.doubt.set(false);
-        let named = self.named.take();
-        if !named.is_empty() && named != instance {
-            self.refuted.replace(Some((named, self.timer.now())));
+        self.lookup_needed.set(false);
+        let claimed = self.claimed_instance.take();
+        if !claimed.is_empty() && claimed != instance {
+            self.rejected_claim
+                .replace(Some((claimed, self.timer.now())));
         }
         if *self.instance.borrow() == instance {
             return;
         }
         if !self.instance.borrow().is_empty() {
-            // The engine's report tells what the new instance holds.
-            self.void();
+            // The next report describes the state of the new instance.
+            self.reset_engine_state();
         }
         self.instance.replace(instance.to_owned());
         let fields = [field("instance", instance)];
         self.log.emit(&events::OWN_ENGINE_SEEN, &fields);
-        self.wake.ring();
+        self.wake.notify();
     }
 }
 
 impl CatalogListener for Shared {
     fn on_applied(&self, applied: &Applied) {
         if let Applied::Version { adapter, version } = applied {
-            // Requests name an adapter behind its base model and a slash.
+            // The catalog names adapters as `base-model/adapter`.
             let name = adapter.split_once('/').map_or(adapter.as_str(), |p| p.1);
-            self.turns.borrow_mut().newest(name, *version);
+            self.scheduler.borrow_mut().newest(name, *version);
         }
-        self.wake.ring();
+        self.wake.notify();
     }
 }
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -1,4 +1,4 @@
-//! Putting an agent together, and its stop.
+//! Start and stop of an agent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,41 +17,43 @@
 use crate::handler::PeerHandler;
 use crate::instance::find_instance;
 use crate::meters::Meters;
-use crate::relay::{Board, gather};
-use crate::shared::{Bell, ENGINE, Shared};
-use crate::trial::Watch;
+use crate::relay::{RelayState, run_relay};
+use crate::shared::{ENGINE_CONDITION, Notify, Shared};
+use crate::trial::SuspectState;
 use crate::{AgentSettings, EngineClient};
 
-/// Time for answers under way after a stop was asked for. Turns are short, and entries do without.
-const STOP_SPAN: Duration = Duration::from_millis(500);
+/// Timeout for responses in progress after a stop is requested. Turns are short, and gateways can proceed
+/// without one.
+const STOP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for a connection to another agent: over a hundred ways between data centres.
-const CONNECT_SPAN: Duration = Duration::from_millis(250);
+/// Timeout for connecting to another agent: more than a hundred times the one-way latency between data
+/// centres.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for which another agent may leave bytes without acknowledgement: many ways there and back, with
-/// a loss or two.
-const ACK_SPAN: Duration = Duration::from_millis(1_200);
+/// Time for which data sent to another agent may stay unacknowledged: many round trips, with one or two lost
+/// packets.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Idle connections kept for another agent: exchanges with it follow one another.
-const IDLE: usize = 1;
+/// Maximum number of idle connections to each agent. Exchanges with an agent are sequential.
+const MAX_IDLE_CONNECTIONS: usize = 1;
 
-/// Time between two reads of the operators' records. Gateways name the versions wanted with each ask, and
-/// what else an agent needs of a configuration hardly ever changes; a hundred agents that read each
-/// record at once are most of the store's calls after a change.
-const READ_PAUSE: Duration = Duration::from_secs(20);
+/// Interval between reads of the operators' records. Gateways name the adapter version with each request for a
+/// turn, and the other settings that an agent uses rarely change. If a hundred agents read each record
+/// immediately, they account for most of the calls to the store after a change.
+const READ_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Longest pause between two attempts to reach the log. Gateways name the versions wanted, and tell
-/// when there is more to read, so that an agent can be seconds behind.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum delay between attempts to reach the log. An agent may be seconds behind, because gateways name the
+/// adapter versions and report when there are new records.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// The deployment, as an agent needs it.
+/// Services used by an agent.
 #[derive(Clone)]
 pub struct AgentContext {
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
-    /// Form of its records.
+    /// Decoder of its records.
     pub decoder: Rc<dyn RecordDecoder>,
-    /// Engine.
+    /// Client of the engine.
     pub engine_client: Rc<dyn EngineClient>,
 }
 
@@ -61,31 +63,31 @@
 
 /// A running agent.
 pub struct Agent {
-    peers: Server,
+    peer_server: Server,
     log: Log,
     timer: Timer,
 }
 
-struct State {
+struct StateDump {
     shared: Rc<Shared>,
 }
 
-impl Dump for State {
+impl Dump for StateDump {
     fn dump(&self) -> serde_json::Value {
         let catalog = self.shared.catalog.borrow();
         serde_json::json!({
             "layout": catalog.layout().map(|l| l.number),
             "engine": self.shared.figures(),
-            "runs": self.shared.turns.borrow().running(),
+            "runs": self.shared.scheduler.borrow().running(),
         })
     }
 }
 
 impl Agent {
-    /// Starts an agent on this loop.
+    /// Starts an agent on the current event loop.
     ///
     /// # Errors
-    /// [`ListenError`] if a listener can't be bound.
+    /// Returns [`ListenError`] if a listener can't be bound.
     pub fn start(
         settings: &AgentSettings,
         context: &AgentContext,
@@ -93,83 +95,93 @@
         log: &Log,
     ) -> Result<Self, ListenError> {
         let metrics = Metrics::new();
-        let shared = share(settings, context, timer, log, &metrics);
-        let state = Rc::new(State {
+        let shared = new_shared(settings, context, timer, log, &metrics);
+        let dump = Rc::new(StateDump {
             shared: Rc::clone(&shared),
         });
-        let admin = Admin::new(&metrics, &shared.readiness, state);
-        let few = ServerOptions::default();
+        let admin = Admin::new(&metrics, &shared.readiness, dump);
+        let server_options = ServerOptions::default();
         let address = settings.common.admin;
-        listen("admin", address, Rc::new(admin), few, timer, log)?;
+        listen("admin", address, Rc::new(admin), server_options, timer, log)?;
         let handler = Rc::new(PeerHandler::new(&shared));
-        let peers = listen("peers", settings.peer_listen, handler, few, timer, log)?;
+        let peer_server = listen(
+            "peers",
+            settings.peer_listen,
+            handler,
+            server_options,
+            timer,
+            log,
+        )?;
         spawn_loops(&shared, settings, context);
         Ok(Self {
-            peers,
+            peer_server,
             log: log.clone(),
             timer: timer.clone(),
         })
     }
 
-    /// Runs until a stop is asked for.
+    /// Runs until a stop is requested.
     pub async fn run(self, stop: &Stop) {
         stop.first().await;
-        self.peers.stop();
-        // Entries that still hold a connection find it closed and do without a turn.
-        let _ = self.timer.within(STOP_SPAN, self.peers.closed()).await;
+        self.peer_server.stop();
+        // Gateways whose connection is closed proceed without a turn.
+        let _ = self
+            .timer
+            .within(STOP_TIMEOUT, self.peer_server.closed())
+            .await;
         self.log.emit_last(&events::STOPPED, &[]);
     }
 }
 
-fn share(
+fn new_shared(
     settings: &AgentSettings,
     context: &AgentContext,
     timer: &Timer,
     log: &Log,
     metrics: &Metrics,
 ) -> Rc<Shared> {
-    let unknown = TurnOptions {
+    let initial_options = TurnOptions {
         places: 0,
         batch: 0,
         base: BaseLoads::default(),
     };
-    let peers = ClientOptions {
-        connect_span: CONNECT_SPAN,
-        idle: IDLE,
-        ack_span: Some(ACK_SPAN),
+    let client_options = ClientOptions {
+        connect_span: CONNECT_TIMEOUT,
+        idle: MAX_IDLE_CONNECTIONS,
+        ack_span: Some(ACK_TIMEOUT),
         abort: true,
         ..ClientOptions::default()
     };
     let centre = settings.common.centre.clone();
-    let board = Board::new(centre, settings.peer_listen, rand::random());
+    let relay = RelayState::new(centre, settings.peer_listen, rand::random());
     Rc::new(Shared {
         timer: timer.clone(),
         log: log.clone(),
         vm: settings.common.vm.clone(),
         service: settings.service.clone(),
-        engine: settings.engine,
+        engine_address: settings.engine,
         engine_client: Rc::clone(&context.engine_client),
         catalog: SharedCatalog::default(),
         marks: Rc::default(),
-        turns: RefCell::new(Turns::new_ext(unknown)),
-        limits: RefCell::new(RateLimits::new_ext(FIRST_SLOT_PHASE)),
+        scheduler: RefCell::new(Turns::new_ext(initial_options)),
+        rate_limits: RefCell::new(RateLimits::new_ext(FIRST_SLOT_PHASE)),
         waiters: RefCell::new(BTreeMap::new()),
         instance: RefCell::default(),
-        born: Cell::new(None),
-        starts: Cell::new(0),
-        denied: RefCell::default(),
-        entries: RefCell::default(),
-        readiness: Readiness::new(&[ENGINE], log),
+        engine_start_time_ms: Cell::new(None),
+        engine_start_count: Cell::new(0),
+        denied_instance: RefCell::default(),
+        recent_gateways: RefCell::default(),
+        readiness: Readiness::new(&[ENGINE_CONDITION], log),
         meters: Meters::new(metrics),
-        wake: Bell::new(),
-        peers: Client::new_ext(peers, timer),
-        watch: Watch::new(rand::random()),
-        board: RefCell::new(board),
-        viewed: Bell::new(),
-        named: RefCell::default(),
-        naming: Bell::new(),
-        refuted: RefCell::default(),
-        doubt: Cell::new(false),
+        wake: Notify::new(),
+        agent_client: Client::new_ext(client_options, timer),
+        suspects: SuspectState::new(rand::random()),
+        relay: RefCell::new(relay),
+        view_requested: Notify::new(),
+        claimed_instance: RefCell::default(),
+        instance_claimed: Notify::new(),
+        rejected_claim: RefCell::default(),
+        lookup_needed: Cell::new(false),
     })
 }
 
@@ -178,14 +190,14 @@
         wait: settings.store_wait.0,
         detection_span: None,
         answer_timeout: None,
-        pace: READ_PAUSE,
+        pace: READ_INTERVAL,
         max_list_age: Duration::ZERO,
-        hint_interval: READ_PAUSE,
-        max_hint_interval: READ_PAUSE,
-        max_backoff: LONGEST_PAUSE,
+        hint_interval: READ_INTERVAL,
+        max_hint_interval: READ_INTERVAL,
+        max_backoff: MAX_BACKOFF,
         seed: pumicecleat_policy::upstream_key(&settings.common.vm),
     };
-    let sources = FollowContext {
+    let follow_context = FollowContext {
         catalog: Rc::clone(&shared.catalog),
         store: Rc::clone(&context.store),
         decoder: Rc::clone(&context.decoder),
@@ -194,12 +206,12 @@
         log: shared.log.clone(),
         marks: Rc::clone(&shared.marks),
     };
-    monoio::spawn(follow(Topic::Operators, sources, options));
+    monoio::spawn(follow(Topic::Operators, follow_context, options));
     monoio::spawn(find_instance(
         Rc::clone(shared),
         Rc::clone(&context.store),
         Rc::clone(&context.decoder),
     ));
     monoio::spawn(drive(Rc::clone(shared), settings.report_pause.0));
-    monoio::spawn(gather(Rc::clone(shared)));
+    monoio::spawn(run_relay(Rc::clone(shared)));
 }
--- a/crates/agent/src/trial.rs
+++ b/crates/agent/src/trial.rs
@@ -1,7 +1,8 @@
-//! Requests under which upstreams end: permission to send one once more, and those that are being tried.
+//! Suspects, that is requests that were in progress when upstreams ended: permission to send one again, and the
+//! trials in progress at the engine.
 //!
-//! Which requests they are is heard from entries and passed on; nothing here decides by it but the
-//! permission that entries ask for.
+//! News of suspects is received from gateways and other agents and passed on. The agent uses it only to decide
+//! on permissions.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,91 +13,92 @@
 
 use crate::shared::Shared;
 
-/// Path at which entries ask for permission.
+/// Path at which gateways ask for permission.
 pub(crate) const TRIAL_PATH: &str = "/peer/v1/trial";
 
-/// Time after which a trial counts as over though nobody told its end: its entry may have ended.
-const TRIAL_SPAN: Millis = Millis(10_000);
+/// Time after which a trial is considered finished if its end was not reported, as its gateway may have ended.
+const TRIAL_TIMEOUT: Millis = Millis(10_000);
 
-/// Requests that share an engine while they are on trial: few enough that one of them is found out at
-/// the cost of one engine more.
-const SHARED_MOST: usize = 8;
+/// Maximum number of requests in shared trials at an engine. Small enough that the one that is the cause is
+/// identified at the cost of one more engine.
+const MAX_SHARED_TRIALS: usize = 8;
 
-/// What an agent knows of requests under which upstreams end.
-pub(crate) struct Watch {
-    pub(crate) suspects: RefCell<SuspectTable>,
-    /// Relays of other data centres that are called.
-    pub(crate) links: RefCell<SuspectSync>,
+/// State of an agent's suspects and trials.
+pub(crate) struct SuspectState {
+    pub(crate) table: RefCell<SuspectTable>,
+    /// Exchange of suspects with the relays of other data centres.
+    pub(crate) sync: RefCell<SuspectSync>,
     trials: RefCell<Trials>,
-    /// Requests on trial at the own engine, and since when.
-    running: RefCell<BTreeMap<String, (Trial, Millis)>>,
+    /// Requests on trial at the agent's engine, and when each trial started.
+    active: RefCell<BTreeMap<String, (Trial, Millis)>>,
 }
 
-impl Watch {
-    /// Knows of none; `start` tells this start of the process from others.
+impl SuspectState {
+    /// Creates an empty state; `start` identifies this start of the process.
     pub(crate) fn new(start: u64) -> Self {
         Self {
-            suspects: RefCell::new(SuspectTable::new(start)),
-            links: RefCell::default(),
+            table: RefCell::new(SuspectTable::new(start)),
+            sync: RefCell::default(),
             trials: RefCell::default(),
-            running: RefCell::default(),
+            active: RefCell::default(),
         }
     }
 
-    /// Takes in what a caller tells, and gives what is new to it.
-    pub(crate) fn exchange(&self, told: &SuspectNews, now: Millis) -> SuspectNews {
-        let mut suspects = self.suspects.borrow_mut();
-        suspects.merge(&told.words, now);
-        suspects.news(told.seen, now)
+    /// Applies the news of a caller and returns what is new to it.
+    pub(crate) fn exchange_news(&self, received: &SuspectNews, now: Millis) -> SuspectNews {
+        let mut table = self.table.borrow_mut();
+        table.merge(&received.words, now);
+        table.news(received.seen, now)
     }
 
-    /// Takes the own engine for the trial of `request`, if those that are on trial there allow it.
-    pub(crate) fn begin(&self, request: &str, trial: Trial, now: Millis) -> bool {
-        let mut running = self.running.borrow_mut();
-        running.retain(|_, (_, since)| now.since(*since) < TRIAL_SPAN);
-        let alone = running.values().any(|(trial, _)| *trial == Trial::Alone);
+    /// Starts a trial of `request` at the agent's engine, unless the trials in progress there prevent it. Returns
+    /// whether it was started.
+    pub(crate) fn try_start_trial(&self, request: &str, trial: Trial, now: Millis) -> bool {
+        let mut active = self.active.borrow_mut();
+        active.retain(|_, (_, since)| now.since(*since) < TRIAL_TIMEOUT);
+        let exclusive = active.values().any(|(trial, _)| *trial == Trial::Alone);
         let free = match trial {
-            Trial::Shared => !alone && running.len() < SHARED_MOST,
-            Trial::Alone => running.is_empty(),
+            Trial::Shared => !exclusive && active.len() < MAX_SHARED_TRIALS,
+            Trial::Alone => active.is_empty(),
         };
         if free {
-            running.insert(request.to_owned(), (trial, now));
+            active.insert(request.to_owned(), (trial, now));
         }
         free
     }
 
-    /// The engine has ended, and all that ran there.
-    pub(crate) fn engine_ended(&self) {
-        self.running.borrow_mut().clear();
+    /// Removes all trials, because the engine has ended.
+    pub(crate) fn end_all_trials(&self) {
+        self.active.borrow_mut().clear();
     }
 
-    /// A request has ended.
-    pub(crate) fn ended(&self, request: &str) {
-        self.running.borrow_mut().remove(request);
+    /// Removes the trial of a request that has ended, if it was on trial.
+    pub(crate) fn end_trial(&self, request: &str) {
+        self.active.borrow_mut().remove(request);
     }
 }
 
-/// Decides on permission for one send of a request.
-pub(crate) fn decide(shared: &Shared, call: &TrialCall) -> TrialReply {
+/// Decides whether a request may be sent once more.
+pub(crate) fn decide_trial(shared: &Shared, call: &TrialCall) -> TrialReply {
     let now = shared.timer.now();
     let known = shared
-        .watch
         .suspects
+        .table
         .borrow()
         .end_count(&call.fingerprint, now);
     let ends = known.max(call.ends.len());
-    let mut trials = shared.watch.trials.borrow_mut();
+    let mut trials = shared.suspects.trials.borrow_mut();
     if call.unused {
         trials.give_back(&call.fingerprint);
         return TrialReply::default();
     }
-    let rest = shared
-        .watch
+    let retry_after = shared
         .suspects
+        .table
         .borrow()
         .retry_after(&call.fingerprint, now);
-    let outcome = match rest {
-        Some(rest) => Err(rest),
+    let outcome = match retry_after {
+        Some(retry_after) => Err(retry_after),
         None => trials.try_grant(call.fingerprint, ends, now),
     };
     let retry_ms = outcome.err().unwrap_or_default().0;
