--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Detects whether the engine has restarted, and logs if it has or if it is reachable again.
+    /// Handles a restart of the engine if the report shows one. Logs this, or that the engine is reachable again.
     fn detect_restart(&mut self, report: &EngineState) {
         let previous_start = self.shared.engine_start_time_ms.replace(report.born);
         let restarted = has_restarted(report, previous_start, self.last_sequence);
--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -34,7 +34,7 @@
 /// Interval between checks whether the engine is available for a trial.
 const TRIAL_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Response to a request on trial that other trials keep from the engine.
+/// Response to a request on trial while other trials occupy the engine.
 const TRIAL_IN_PROGRESS: Turn = Turn::No {
     reason: TurnRefusal::OnTrial,
     retry_ms: 500,
