--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -6,7 +6,9 @@
 use futures_util::future::select;
 use pumicecleat_catalog::{Base, Engine};
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{BaseLoads, EngineOrder, EngineState, OrderEnd, TurnAction, TurnOptions};
+use pumicecleat_policy::{
+    BaseLoadTimes, EngineOrder, EngineReport, OrderOutcome, TurnAction, TurnOptions,
+};
 use pumicecleat_types::{BaseId, Millis, Turn};
 
 use crate::PortError;
@@ -81,9 +83,9 @@
         };
         if due {
             self.shared.turns.borrow_mut().retune(TurnOptions {
-                places: places(&engine, &base),
-                batch: engine.batch,
-                base: base_loads(&base),
+                adapter_slots: places(&engine, &base),
+                max_batch: engine.batch,
+                base_load_times: base_loads(&base),
             });
             let report = self.shared.port.report(&base.name, REPORT_SPAN).await;
             self.take(report);
@@ -98,14 +100,14 @@
         Some((engine.bases.first()?.clone(), engine.clone()))
     }
 
-    fn take(&mut self, report: Result<EngineState, PortError>) {
+    fn take(&mut self, report: Result<EngineReport, PortError>) {
         let now = self.shared.timer.now();
         match report {
             Ok(report) => {
                 self.meet(&report);
                 let mut turns = self.shared.turns.borrow_mut();
                 turns.observe(&report, now);
-                if report.loaded {
+                if report.base_loaded {
                     self.shared.readiness.hold(ENGINE);
                 }
             }
@@ -122,8 +124,8 @@
     }
 
     /// Notes that the engine answers, and whether it started anew.
-    fn meet(&mut self, state: &EngineState) {
-        let born = self.shared.born.replace(state.born);
+    fn meet(&mut self, state: &EngineReport) {
+        let born = self.shared.born.replace(state.start_time_ms);
         let restarted = has_restarted(state, born, self.sequence);
         self.sequence = state.sequence;
         if restarted {
@@ -134,7 +136,7 @@
             let fields = [
                 field("instance", instance.as_str()),
                 field("sequence", state.sequence),
-                field("held", state.held.len()),
+                field("held", state.adapters.len()),
             ];
             self.shared.log.emit(&events::OWN_ENGINE_SEEN, &fields);
         }
@@ -148,11 +150,11 @@
         }
         for action in actions {
             match action {
-                TurnAction::Go { turn, version } => self.tell(turn, Turn::Go { version }),
+                TurnAction::Grant { turn, version } => self.tell(turn, Turn::Go { version }),
                 TurnAction::Refuse {
                     turn,
                     reason,
-                    retry,
+                    retry_after: retry,
                 } => {
                     let retry_ms = retry.0;
                     self.tell(turn, Turn::No { reason, retry_ms });
@@ -213,7 +215,7 @@
     shared.meters.orders.get_or_create(&labels).inc();
     if shared.starts.get() == starts {
         shared.turns.borrow_mut().order_ended(answer.end, now);
-        if answer.end == OrderEnd::Misdirected {
+        if answer.end == OrderOutcome::Misdirected {
             shared.engine_denied(&instance);
         }
     }
@@ -222,8 +224,8 @@
 
 /// Whether a report is of another start than the one before, which had `born` and `sequence`: engines
 /// that tell when they started are known by it, others by a sequence that fell.
-fn has_restarted(state: &EngineState, born: Option<u64>, sequence: u64) -> bool {
-    match (state.born, born) {
+fn has_restarted(state: &EngineReport, born: Option<u64>, sequence: u64) -> bool {
+    match (state.start_time_ms, born) {
         (Some(now), Some(before)) => now != before,
         _ => state.sequence < sequence,
     }
@@ -237,14 +239,14 @@
     }
 }
 
-fn end_name(end: OrderEnd) -> &'static str {
+fn end_name(end: OrderOutcome) -> &'static str {
     match end {
-        OrderEnd::Accepted => "accepted",
-        OrderEnd::Done => "done",
-        OrderEnd::Conflict => "conflict",
-        OrderEnd::Refused => "refused",
-        OrderEnd::Misdirected => "misdirected",
-        OrderEnd::Unknown => "unknown",
+        OrderOutcome::Accepted => "accepted",
+        OrderOutcome::Done => "done",
+        OrderOutcome::Conflict => "conflict",
+        OrderOutcome::Refused => "refused",
+        OrderOutcome::Misdirected => "misdirected",
+        OrderOutcome::Unknown => "unknown",
     }
 }
 
@@ -263,12 +265,12 @@
 }
 
 /// Times of a load of the base model; where one is not told, that of the next slower way.
-fn base_loads(base: &Base) -> BaseLoads {
+fn base_loads(base: &Base) -> BaseLoadTimes {
     let known = |own: f64, slower: f64| if own > 0.0 { own } else { slower };
     let disk = known(base.disk_s, base.load_s);
     // A configuration's figure may be anything; none that makes sense is refused here.
     let span = |s: f64| millis(Duration::try_from_secs_f64(s).unwrap_or_default());
-    BaseLoads {
+    BaseLoadTimes {
         memory: span(known(base.warm_s, disk)),
         disk: span(disk),
         store: span(base.load_s),
--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -187,15 +187,15 @@
         let asked = Asked::new(&ask, self.hold(&ask));
         let id = self.shared.turns.borrow_mut().ask(
             TurnRequest {
-                request: ask.request,
+                request_id: ask.request,
                 adapter: ask.adapter.clone(),
-                version: ask.version,
-                tokens: ask.tokens,
+                min_version: ask.version,
+                prompt_tokens: ask.tokens,
                 priority: ask.priority,
                 objective: Millis(ask.objective_ms),
-                due: Millis(ask.due_ms),
+                objective_left: Millis(ask.due_ms),
                 patience: Millis(ask.patience_ms),
-                stays: ask.stays,
+                waits_for_slot: ask.stays,
             },
             from,
         );
--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/port.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_infra::Local;
 use pumicecleat_net::NetError;
-use pumicecleat_policy::{EngineOrder, EngineState, OrderEnd};
+use pumicecleat_policy::{EngineOrder, EngineReport, OrderOutcome};
 use pumicecleat_types::BaseId;
 use snafu::Snafu;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderAnswer {
     /// What became of it.
-    pub end: OrderEnd,
+    pub end: OrderOutcome,
     /// What went wrong, for people.
     pub detail: Option<String>,
 }
@@ -47,7 +47,7 @@
         &'a self,
         base: &'a BaseId,
         span: Duration,
-    ) -> Local<'a, Result<EngineState, PortError>>;
+    ) -> Local<'a, Result<EngineReport, PortError>>;
 
     /// Gives an order to `instance`, which must be at `sequence`.
     fn order<'a>(
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -9,7 +9,7 @@
 use pumicecleat_infra::KeyedLog;
 use pumicecleat_net::{Client, ClientOptions, Server, ServerOptions, Timer};
 use pumicecleat_ops::{Admin, Dump, ListenError, Log, Metrics, Readiness, Stop, events, listen};
-use pumicecleat_policy::{BaseLoads, RateLimits, TurnOptions, Turns};
+use pumicecleat_policy::{BaseLoadTimes, RateLimits, TurnOptions, Turns};
 
 use crate::drive::drive;
 use crate::handler::PeerHandler;
@@ -127,9 +127,9 @@
     metrics: &Metrics,
 ) -> Rc<Shared> {
     let unknown = TurnOptions {
-        places: 0,
-        batch: 0,
-        base: BaseLoads::default(),
+        adapter_slots: 0,
+        max_batch: 0,
+        base_load_times: BaseLoadTimes::default(),
     };
     let peers = ClientOptions {
         connect_span: CONNECT_SPAN,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -45,9 +45,10 @@
 pub use limits::{Admission, LimitChange, LimitSource, RateLimits, Slot};
 pub use load_order::{LoadOrder, LoadOrderOptions};
 pub use prompt::{
-    AdapterState, BaseCopy, BaseLoads, EngineChoice, EngineOrder, EngineState, EngineView,
-    OrderEnd, RelayPick, RelaySelector, RepeatOptions, RepeatWindow, RunSeen, TurnAction, TurnId,
-    TurnOptions, TurnRequest, TurnSearch, Turns, UpstreamLoad, UpstreamStats, members_digest,
+    AdapterState, BaseLoadTimes, BaseLocation, EngineChoice, EngineOrder, EngineReport, EngineView,
+    OrderOutcome, RelayPick, RelaySelector, RepeatOptions, RepeatWindow, ReportedRun, TurnAction,
+    TurnId, TurnOptions, TurnRequest, TurnSearch, Turns, UpstreamLoad, UpstreamStats,
+    members_digest,
 };
 pub use router::{
     Ask, BudgetOptions, Choice, Outcome, Pick, Prompt, RetryBudget, Router, RouterOptions,
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -22,11 +22,12 @@
 mod turns;
 
 pub use engine::{AdapterState, EngineChoice, EngineView};
-pub use places::{EngineOrder, OrderEnd};
+pub use places::{EngineOrder, OrderOutcome};
 pub use relay::{RelayPick, RelaySelector, members_digest};
 pub use repeat::{RepeatOptions, RepeatWindow};
 pub use search::TurnSearch;
 pub use slots::{UpstreamLoad, UpstreamStats};
 pub use turns::{
-    BaseCopy, BaseLoads, EngineState, RunSeen, TurnAction, TurnId, TurnOptions, TurnRequest, Turns,
+    BaseLoadTimes, BaseLocation, EngineReport, ReportedRun, TurnAction, TurnId, TurnOptions,
+    TurnRequest, Turns,
 };
--- a/crates/policy/src/prompt/places.rs
+++ b/crates/policy/src/prompt/places.rs
@@ -51,7 +51,7 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
     /// What it asks for holds already, or is done.
@@ -368,14 +368,16 @@
     }
 
     /// The exchange of the order that is out has ended.
-    pub(super) fn ended(&mut self, end: OrderEnd, now: Millis) {
+    pub(super) fn ended(&mut self, end: OrderOutcome, now: Millis) {
         let Some(mut out) = self.out.take() else {
             return;
         };
         match end {
-            OrderEnd::Accepted | OrderEnd::Done => self.carry_out(out.order, end, now),
-            OrderEnd::Conflict | OrderEnd::Refused | OrderEnd::Misdirected => self.doubt = true,
-            OrderEnd::Unknown => {
+            OrderOutcome::Accepted | OrderOutcome::Done => self.carry_out(out.order, end, now),
+            OrderOutcome::Conflict | OrderOutcome::Refused | OrderOutcome::Misdirected => {
+                self.doubt = true
+            }
+            OrderOutcome::Unknown => {
                 out.unknown = true;
                 self.out = Some(out);
                 self.doubt = true;
@@ -383,9 +385,9 @@
         }
     }
 
-    fn carry_out(&mut self, order: EngineOrder, end: OrderEnd, now: Millis) {
+    fn carry_out(&mut self, order: EngineOrder, end: OrderOutcome, now: Millis) {
         match (order, end) {
-            (EngineOrder::Load { adapter, .. }, OrderEnd::Accepted) => {
+            (EngineOrder::Load { adapter, .. }, OrderOutcome::Accepted) => {
                 let coming = Coming {
                     since: Some(now),
                     depth: self.given_up.iter().position(|n| *n == adapter),
@@ -393,7 +395,7 @@
                 };
                 self.loading.insert(adapter, coming);
             }
-            (EngineOrder::Unload { adapter }, OrderEnd::Accepted) => {
+            (EngineOrder::Unload { adapter }, OrderOutcome::Accepted) => {
                 self.leaving.insert(adapter);
             }
             (EngineOrder::Unload { adapter }, _) => {
--- a/crates/policy/src/prompt/turns/admit.rs
+++ b/crates/policy/src/prompt/turns/admit.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_types::{Millis, TurnRefusal};
 
-use super::{BaseCopy, Condition, TurnAction, Turns, Waiting};
+use super::{BaseLocation, Condition, TurnAction, Turns, Waiting};
 
 /// Share of a caller's patience up to which a first event is still promised.
 const PROMISE: f64 = 0.75;
@@ -27,7 +27,7 @@
         let mut ahead = self.unread();
         for turn in self.in_order(now) {
             let waiting = &self.waiting[&turn];
-            let after = ahead + u64::from(waiting.request.tokens);
+            let after = ahead + u64::from(waiting.request.prompt_tokens);
             match self.verdict(waiting, after, now) {
                 None => ahead = after,
                 Some((reason, retry)) => {
@@ -36,7 +36,7 @@
                     actions.push(TurnAction::Refuse {
                         turn,
                         reason,
-                        retry,
+                        retry_after: retry,
                     });
                 }
             }
@@ -59,17 +59,17 @@
             return Some((TurnRefusal::Late, waited + read - promise));
         }
         let load = match &waiting.request.adapter {
-            Some(a) if self.usable(a, waiting.request.version).is_none() => {
+            Some(a) if self.usable(a, waiting.request.min_version).is_none() => {
                 let load = self.places.load_time(a);
                 let coming = self.places.is_coming(a);
-                if !coming && !waiting.request.stays && !self.has_place(a) {
+                if !coming && !waiting.request.waits_for_slot && !self.has_place(a) {
                     return Some((TurnRefusal::NoPlace, load));
                 }
                 load
             }
             _ => Millis(0),
         };
-        let own = self.read_time(u64::from(waiting.request.tokens));
+        let own = self.read_time(u64::from(waiting.request.prompt_tokens));
         (waited + ready + load + own > promise).then_some((TurnRefusal::NoPlace, load))
     }
 
@@ -81,7 +81,7 @@
     /// Places that a further adapter could take now, without those that are waited for; `but` is not
     /// counted among them.
     pub(super) fn spare_places(&self, but: Option<&str>) -> u32 {
-        let staying = self.waiting.values().filter(|w| w.request.stays);
+        let staying = self.waiting.values().filter(|w| w.request.waits_for_slot);
         let wanted: BTreeSet<&str> = staying
             .filter_map(|w| w.request.adapter.as_deref())
             .filter(|a| Some(*a) != but)
@@ -93,11 +93,11 @@
 
     /// Time of a load of the base model.
     fn base_load(&self) -> Millis {
-        let loads = self.options.base;
+        let loads = self.options.base_load_times;
         match self.copy {
-            BaseCopy::Memory => loads.memory,
-            BaseCopy::Disk => loads.disk,
-            BaseCopy::Store => loads.store,
+            BaseLocation::Memory => loads.memory,
+            BaseLocation::Disk => loads.disk,
+            BaseLocation::Store => loads.store,
         }
     }
 
--- a/crates/policy/src/prompt/turns/figures.rs
+++ b/crates/policy/src/prompt/turns/figures.rs
@@ -10,7 +10,7 @@
     #[must_use]
     pub fn figures(&self, instance: &str, now: Millis) -> EngineFigures {
         let waiting = self.waiting.values();
-        let waiting: u64 = waiting.map(|w| u64::from(w.request.tokens)).sum();
+        let waiting: u64 = waiting.map(|w| u64::from(w.request.prompt_tokens)).sum();
         let running = self.runs.len() + self.waiting.len();
         EngineFigures {
             instance: instance.to_owned(),
@@ -62,7 +62,7 @@
     pub fn wants_adapter(&self) -> bool {
         let absent = |w: &Waiting| {
             let adapter = w.request.adapter.as_deref();
-            adapter.is_some_and(|a| self.usable(a, w.request.version).is_none())
+            adapter.is_some_and(|a| self.usable(a, w.request.min_version).is_none())
         };
         self.waiting.values().any(absent)
     }
--- a/crates/policy/src/prompt/turns/mod.rs
+++ b/crates/policy/src/prompt/turns/mod.rs
@@ -10,10 +10,11 @@
 use pumicecleat_types::{EngineTraits, Millis};
 
 use super::pace::{Pace, Unread};
-use super::places::{EngineOrder, OrderEnd, Places};
+use super::places::{EngineOrder, OrderOutcome, Places};
 use run::Run;
 pub use types::{
-    BaseCopy, BaseLoads, EngineState, RunSeen, TurnAction, TurnId, TurnOptions, TurnRequest,
+    BaseLoadTimes, BaseLocation, EngineReport, ReportedRun, TurnAction, TurnId, TurnOptions,
+    TurnRequest,
 };
 
 /// Time for which prompts are handed to the engine ahead of their reading: a usual prompt's, and what
@@ -69,7 +70,7 @@
     next: u64,
     engine: Condition,
     /// Where the weights of its base model were when it had to load it.
-    copy: BaseCopy,
+    copy: BaseLocation,
     leaving: bool,
     newest: BTreeMap<String, u64>,
     /// When the engine will have read what was handed over, with the rest that is due after it.
@@ -85,12 +86,12 @@
     pub fn new_ext(options: TurnOptions) -> Self {
         Self {
             options,
-            places: Places::new(options.places),
+            places: Places::new(options.adapter_slots),
             waiting: BTreeMap::new(),
             runs: BTreeMap::new(),
             next: 0,
             engine: Condition::Unknown,
-            copy: BaseCopy::default(),
+            copy: BaseLocation::default(),
             leaving: false,
             newest: BTreeMap::new(),
             read: Millis(0),
@@ -102,7 +103,7 @@
     /// Takes new options; what is held stays.
     pub fn retune(&mut self, options: TurnOptions) {
         self.options = options;
-        self.places.resize(options.places);
+        self.places.resize(options.adapter_slots);
     }
 
     /// Takes in how fast the engine's peers work.
@@ -138,29 +139,33 @@
     }
 
     /// Takes in what the engine reports.
-    pub fn observe(&mut self, state: &EngineState, now: Millis) {
-        self.engine = match (state.loaded, state.busy, self.engine) {
+    pub fn observe(&mut self, state: &EngineReport, now: Millis) {
+        self.engine = match (state.base_loaded, state.busy, self.engine) {
             (true, _, _) => Condition::Ready,
             (false, true, Condition::Loading { since }) => Condition::Loading { since },
             (false, true, _) => Condition::Loading { since: now },
             (false, false, _) => Condition::Empty,
         };
         if self.engine == Condition::Empty {
-            self.copy = state.copy;
+            self.copy = state.base_location;
         }
         self.leaving |= state.leaving;
-        self.places
-            .observe(state.sequence, &state.held, &state.loading, now);
+        self.places.observe(
+            state.sequence,
+            &state.adapters,
+            &state.loading_adapters,
+            now,
+        );
         self.match_runs(state, now);
     }
 
-    fn match_runs(&mut self, state: &EngineState, now: Millis) {
+    fn match_runs(&mut self, state: &EngineReport, now: Millis) {
         let seen: BTreeMap<&str, u64> = state
             .runs
             .iter()
-            .map(|r| (r.request.as_str(), r.events))
+            .map(|r| (r.request_id.as_str(), r.events))
             .collect();
-        let idle = state.active == 0 && state.waiting == 0;
+        let idle = state.active == 0 && state.queued == 0;
         let (pace, misses) = (&mut self.pace, &mut self.misses);
         self.runs.retain(|id, run| {
             let age = now.since(run.at);
@@ -217,7 +222,7 @@
     }
 
     /// The exchange of the order that is out has ended.
-    pub fn order_ended(&mut self, end: OrderEnd, now: Millis) {
+    pub fn order_ended(&mut self, end: OrderOutcome, now: Millis) {
         self.places.ended(end, now);
     }
 
@@ -246,7 +251,7 @@
                 let due = if late {
                     Millis(0)
                 } else {
-                    w.since + w.request.due
+                    w.since + w.request.objective_left
                 };
                 (late, due, w.request.priority, *turn)
             })
@@ -257,8 +262,8 @@
 
     /// Whether the first event would be late even if the request had its turn now.
     fn is_late(&self, waiting: &Waiting, now: Millis) -> bool {
-        let read = self.read_time(u64::from(waiting.request.tokens));
-        now.since(waiting.since) + read > waiting.request.due
+        let read = self.read_time(u64::from(waiting.request.prompt_tokens));
+        now.since(waiting.since) + read > waiting.request.objective_left
     }
 
     fn go(&mut self, now: Millis, actions: &mut Vec<TurnAction>) {
@@ -272,25 +277,25 @@
             let request = self.waiting[&turn].request.clone();
             let version = match &request.adapter {
                 None => None,
-                Some(adapter) => match self.usable(adapter, request.version) {
+                Some(adapter) => match self.usable(adapter, request.min_version) {
                     None => continue,
                     version => version,
                 },
             };
-            self.hand(request.tokens, now);
+            self.hand(request.prompt_tokens, now);
             if let Some(waiting) = self.waiting.remove(&turn) {
                 let request = waiting.request;
                 let run = Run {
                     adapter: request.adapter,
-                    tokens: request.tokens,
+                    tokens: request.prompt_tokens,
                     at: now,
                     due: self.read,
                     started: false,
                     shown: false,
                 };
-                self.runs.insert(request.request, run);
+                self.runs.insert(request.request_id, run);
             }
-            actions.push(TurnAction::Go { turn, version });
+            actions.push(TurnAction::Grant { turn, version });
         }
     }
 
@@ -298,7 +303,7 @@
     fn is_full(&self, now: Millis) -> bool {
         let blind = self.pace.rate().is_none();
         self.read > now + AHEAD
-            || self.runs.len() >= self.options.batch as usize
+            || self.runs.len() >= self.options.max_batch as usize
             || (blind && self.runs.values().filter(|r| !r.started).count() >= BLIND)
     }
 
@@ -326,10 +331,10 @@
         self.in_order(now).into_iter().find_map(|turn| {
             let request = &self.waiting[&turn].request;
             let adapter = request.adapter.as_deref()?;
-            if self.usable(adapter, request.version).is_some() {
+            if self.usable(adapter, request.min_version).is_some() {
                 return None;
             }
-            let version = self.oldest(adapter, request.version);
+            let version = self.oldest(adapter, request.min_version);
             self.places
                 .order_for(adapter, version, &in_use, &wanted, now)
         })
--- a/crates/policy/src/prompt/turns/types.rs
+++ b/crates/policy/src/prompt/turns/types.rs
@@ -12,39 +12,39 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TurnRequest {
     /// Request's id.
-    pub request: String,
+    pub request_id: String,
     /// Adapter, if it wants one.
     pub adapter: Option<String>,
     /// Oldest version that will do.
-    pub version: u64,
+    pub min_version: u64,
     /// Prompt tokens that are likely to be read.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// Rank, 0 before all others.
     pub priority: u8,
     /// Time within which its first event is wanted, from its arrival at the entry.
     pub objective: Millis,
     /// What is left of that.
-    pub due: Millis,
+    pub objective_left: Millis,
     /// Time after which its caller is gone.
     pub patience: Millis,
     /// Waits for a place for its adapter; otherwise it is refused at once where none is free.
-    pub stays: bool,
+    pub waits_for_slot: bool,
 }
 
 /// Options of [`Turns`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnOptions {
     /// Places for adapters.
-    pub places: u32,
+    pub adapter_slots: u32,
     /// Requests in one batch.
-    pub batch: u32,
+    pub max_batch: u32,
     /// Times of a load of the base model, by where its weights are.
-    pub base: BaseLoads,
+    pub base_load_times: BaseLoadTimes,
 }
 
 /// Times of a load of the base model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BaseLoads {
+pub struct BaseLoadTimes {
     /// From the host's memory.
     pub memory: Millis,
     /// From the host's disk.
@@ -55,7 +55,7 @@
 
 /// Where an engine finds the weights of its base model nearest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum BaseCopy {
+pub enum BaseLocation {
     /// In its host's memory.
     Memory,
     /// On its host's disk.
@@ -67,36 +67,36 @@
 
 /// What the engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EngineState {
+pub struct EngineReport {
     /// Orders accepted since its start.
     pub sequence: u64,
     /// Unix time of its start, ms, if it tells.
-    pub born: Option<u64>,
+    pub start_time_ms: Option<u64>,
     /// Base model is loaded.
-    pub loaded: bool,
+    pub base_loaded: bool,
     /// Where its weights are.
-    pub copy: BaseCopy,
+    pub base_location: BaseLocation,
     /// Takes no requests any more.
     pub leaving: bool,
     /// An order is being carried out that allows no other.
     pub busy: bool,
     /// Adapters held, with versions.
-    pub held: Vec<(String, u64)>,
+    pub adapters: Vec<(String, u64)>,
     /// Adapters on their way, with versions.
-    pub loading: Vec<(String, u64)>,
+    pub loading_adapters: Vec<(String, u64)>,
     /// Requests under way.
-    pub runs: Vec<RunSeen>,
+    pub runs: Vec<ReportedRun>,
     /// Requests that wait in the engine.
-    pub waiting: u32,
+    pub queued: u32,
     /// Requests in the batch.
     pub active: u32,
 }
 
 /// A request that the engine reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunSeen {
+pub struct ReportedRun {
     /// Request's id.
-    pub request: String,
+    pub request_id: String,
     /// Events made.
     pub events: u64,
 }
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TurnAction {
     /// The request may be sent.
-    Go {
+    Grant {
         /// Whose turn it is.
         turn: TurnId,
         /// Version of the adapter that is held.
@@ -118,7 +118,7 @@
         /// Why.
         reason: TurnRefusal,
         /// When to come back.
-        retry: Millis,
+        retry_after: Millis,
     },
     /// The engine is to be given an order, at this sequence.
     Order {
--- a/crates/policy/tests/fleet/engine.rs
+++ b/crates/policy/tests/fleet/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pumicecleat_policy::{EngineOrder, EngineState, OrderEnd, RunSeen};
+use pumicecleat_policy::{EngineOrder, EngineReport, OrderOutcome, ReportedRun};
 use pumicecleat_types::Millis;
 
 use super::STEP;
@@ -130,18 +130,18 @@
     }
 
     /// Carries an order out at once, as engines do for adapters.
-    pub fn order(&mut self, order: &EngineOrder, sequence: u64) -> OrderEnd {
+    pub fn order(&mut self, order: &EngineOrder, sequence: u64) -> OrderOutcome {
         if sequence != self.sequence {
-            return OrderEnd::Conflict;
+            return OrderOutcome::Conflict;
         }
         match order {
-            EngineOrder::LoadBase => OrderEnd::Done,
+            EngineOrder::LoadBase => OrderOutcome::Done,
             EngineOrder::Load { adapter, .. } => self.load(adapter),
             EngineOrder::Unload { adapter } => self.unload(adapter),
         }
     }
 
-    fn load(&mut self, adapter: &str) -> OrderEnd {
+    fn load(&mut self, adapter: &str) -> OrderOutcome {
         assert!(!self.holds(adapter), "{adapter} is loaded twice");
         let taken = self.held.len() + self.loading.len();
         assert!(taken < self.sheet.places as usize, "no place for {adapter}");
@@ -157,34 +157,34 @@
         self.loading
             .push((adapter.to_owned(), span as f64, fetched));
         self.sequence += 1;
-        OrderEnd::Accepted
+        OrderOutcome::Accepted
     }
 
-    fn unload(&mut self, adapter: &str) -> OrderEnd {
+    fn unload(&mut self, adapter: &str) -> OrderOutcome {
         let used = self.runs.iter().any(|r| r.adapter == adapter);
         assert!(!used, "{adapter} is in use");
         self.held.retain(|a| a != adapter);
         self.host.push_front(adapter.to_owned());
         self.host.truncate(self.sheet.keeps);
         self.sequence += 1;
-        OrderEnd::Done
+        OrderOutcome::Done
     }
 
-    pub fn report(&self) -> EngineState {
+    pub fn report(&self) -> EngineReport {
         let named = |name: &String| (name.clone(), 1);
         let started = self.runs.iter().filter(|r| r.made > 0);
-        let seen = started.map(|r| RunSeen {
-            request: r.id.clone(),
+        let seen = started.map(|r| ReportedRun {
+            request_id: r.id.clone(),
             events: r.made,
         });
-        EngineState {
+        EngineReport {
             sequence: self.sequence,
-            loaded: true,
-            held: self.held.iter().map(named).collect(),
-            loading: self.loading.iter().map(|l| named(&l.0)).collect(),
+            base_loaded: true,
+            adapters: self.held.iter().map(named).collect(),
+            loading_adapters: self.loading.iter().map(|l| named(&l.0)).collect(),
             runs: seen.collect(),
             active: self.runs.len() as u32,
-            ..EngineState::default()
+            ..EngineReport::default()
         }
     }
 }
--- a/crates/policy/tests/fleet/play.rs
+++ b/crates/policy/tests/fleet/play.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use pumicecleat_policy::{
-    AdapterState, BaseLoads, EngineChoice, EngineView, TurnAction, TurnId, TurnOptions,
+    AdapterState, BaseLoadTimes, EngineChoice, EngineView, TurnAction, TurnId, TurnOptions,
     TurnRequest, TurnSearch, Turns, name_key,
 };
 use pumicecleat_types::{EngineFigures, Millis, TurnRefusal};
@@ -66,9 +66,9 @@
         let pair = |sheet: &Sheet| Pair {
             engine: Engine::new(*sheet),
             turns: Turns::new_ext(TurnOptions {
-                places: sheet.places,
-                batch: 64,
-                base: BaseLoads::default(),
+                adapter_slots: sheet.places,
+                max_batch: 64,
+                base_load_times: BaseLoadTimes::default(),
             }),
             figures: EngineFigures::default(),
             kept: Vec::new(),
@@ -226,15 +226,15 @@
     let age = now - request.at;
     let turn = pair.turns.ask(
         TurnRequest {
-            request: request.id.clone(),
+            request_id: request.id.clone(),
             adapter: Some(request.adapter.clone()),
-            version: 0,
-            tokens: request.tokens,
+            min_version: 0,
+            prompt_tokens: request.tokens,
             priority: request.rank,
             objective: Millis(demand.objective),
-            due: Millis(demand.objective.saturating_sub(age)),
+            objective_left: Millis(demand.objective.saturating_sub(age)),
             patience: Millis((demand.objective * PATIENCE).saturating_sub(age)),
-            stays,
+            waits_for_slot: stays,
         },
         millis(now),
     );
@@ -273,7 +273,7 @@
     for pair in &mut fleet.pairs {
         for action in pair.turns.poll(millis(now)) {
             match action {
-                TurnAction::Go { turn, .. } => {
+                TurnAction::Grant { turn, .. } => {
                     let job = pair.waiting.remove(&turn).unwrap();
                     let request = &jobs[job].request;
                     let Request { id, adapter, .. } = request;
@@ -287,7 +287,7 @@
                 TurnAction::Refuse {
                     turn,
                     reason,
-                    retry,
+                    retry_after: retry,
                 } => {
                     let job = &mut jobs[pair.waiting.remove(&turn).unwrap()];
                     job.refusals.push((now, reason));
--- a/crates/policy/tests/prompt_learning.rs
+++ b/crates/policy/tests/prompt_learning.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use fleet::{Demand, Fleet, Outcome, Sheet, play};
-use pumicecleat_policy::{BaseLoads, TurnOptions, Turns};
+use pumicecleat_policy::{BaseLoadTimes, TurnOptions, Turns};
 use pumicecleat_types::{EngineTraits, Millis};
 
 /// An engine of the middle of all ranges.
@@ -201,9 +201,9 @@
 #[test]
 fn an_engine_that_starts_again_begins_with_what_its_peers_do() {
     let mut turns = Turns::new_ext(TurnOptions {
-        places: 6,
-        batch: 64,
-        base: BaseLoads::default(),
+        adapter_slots: 6,
+        max_batch: 64,
+        base_load_times: BaseLoadTimes::default(),
     });
     let peers = EngineTraits {
         rate: 40_000,
--- a/crates/policy/tests/prompt_turns.rs
+++ b/crates/policy/tests/prompt_turns.rs
@@ -1,22 +1,22 @@
 //! Turns at one engine: places, orders, order of turns and refusals.
 
 use pumicecleat_policy::{
-    BaseCopy, BaseLoads, EngineOrder, EngineState, OrderEnd, RunSeen, TurnAction, TurnId,
-    TurnOptions, TurnRequest, Turns,
+    BaseLoadTimes, BaseLocation, EngineOrder, EngineReport, OrderOutcome, ReportedRun, TurnAction,
+    TurnId, TurnOptions, TurnRequest, Turns,
 };
 use pumicecleat_types::{EngineTraits, Millis, TurnRefusal};
 
 /// Times of a load of the base model.
-const LOADS: BaseLoads = BaseLoads {
+const LOADS: BaseLoadTimes = BaseLoadTimes {
     memory: Millis(200),
     disk: Millis(1_000),
     store: Millis(3_000),
 };
 
 const OPTIONS: TurnOptions = TurnOptions {
-    places: 2,
-    batch: 8,
-    base: LOADS,
+    adapter_slots: 2,
+    max_batch: 8,
+    base_load_times: LOADS,
 };
 
 /// What the engine's peers were found to do.
@@ -29,26 +29,26 @@
 
 fn request(id: &str, adapter: &str) -> TurnRequest {
     TurnRequest {
-        request: id.to_owned(),
+        request_id: id.to_owned(),
         adapter: Some(adapter.to_owned()),
-        version: 0,
-        tokens: 2_000,
+        min_version: 0,
+        prompt_tokens: 2_000,
         priority: 1,
         objective: Millis(1_000),
-        due: Millis(1_000),
+        objective_left: Millis(1_000),
         patience: Millis(4_000),
-        stays: true,
+        waits_for_slot: true,
     }
 }
 
-fn state(sequence: u64, held: &[&str], loading: &[&str]) -> EngineState {
+fn state(sequence: u64, held: &[&str], loading: &[&str]) -> EngineReport {
     let versioned = |names: &[&str]| names.iter().map(|n| ((*n).to_owned(), 1)).collect();
-    EngineState {
+    EngineReport {
         sequence,
-        loaded: true,
-        held: versioned(held),
-        loading: versioned(loading),
-        ..EngineState::default()
+        base_loaded: true,
+        adapters: versioned(held),
+        loading_adapters: versioned(loading),
+        ..EngineReport::default()
     }
 }
 
@@ -80,7 +80,7 @@
 }
 
 fn go(turn: TurnId) -> TurnAction {
-    TurnAction::Go {
+    TurnAction::Grant {
         turn,
         version: Some(1),
     }
@@ -93,7 +93,7 @@
     assert_eq!(turns.poll(Millis(1)), [go(held)]);
     let absent = turns.ask(request("r2", "a2"), Millis(2));
     assert_eq!(turns.poll(Millis(2)), [load("a2", 0)]);
-    turns.order_ended(OrderEnd::Accepted, Millis(3));
+    turns.order_ended(OrderOutcome::Accepted, Millis(3));
     turns.observe(&state(1, &["a1"], &["a2"]), Millis(100));
     assert_eq!(turns.poll(Millis(100)), []);
     turns.observe(&state(1, &["a1", "a2"], &[]), Millis(300));
@@ -111,7 +111,7 @@
     }
     turns.ask(request("r4", "a3"), Millis(800));
     assert_eq!(turns.poll(Millis(800)), [unload("a2", 0)]);
-    turns.order_ended(OrderEnd::Done, Millis(801));
+    turns.order_ended(OrderOutcome::Done, Millis(801));
     assert_eq!(turns.poll(Millis(801)), [load("a3", 1)]);
 }
 
@@ -134,11 +134,11 @@
     let mut turns = turns(&["a1", "a2"]);
     turns.ask(request("r1", "a3"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [unload("a1", 0)]);
-    turns.order_ended(OrderEnd::Accepted, Millis(2));
+    turns.order_ended(OrderOutcome::Accepted, Millis(2));
     assert_eq!(turns.poll(Millis(300)), [], "a1 is not out");
     turns.observe(&state(1, &["a1", "a2"], &[]), Millis(501));
     assert_eq!(turns.poll(Millis(501)), [unload("a2", 1)]);
-    turns.order_ended(OrderEnd::Done, Millis(502));
+    turns.order_ended(OrderOutcome::Done, Millis(502));
     assert_eq!(turns.poll(Millis(502)), [load("a3", 2)]);
 }
 
@@ -147,14 +147,14 @@
     let mut turns = turns(&["a1"]);
     turns.ask(request("r1", "a2"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [load("a2", 0)]);
-    turns.order_ended(OrderEnd::Unknown, Millis(300));
+    turns.order_ended(OrderOutcome::Unknown, Millis(300));
     assert_eq!(turns.poll(Millis(301)), [], "nothing before a report");
     turns.observe(&state(0, &["a1"], &[]), Millis(400));
     // The lost load may still take the second place: one has to be freed, by an order that is void
     // if it did.
     turns.ask(request("r2", "a3"), Millis(401));
     assert_eq!(turns.poll(Millis(401)), [unload("a1", 0)]);
-    turns.order_ended(OrderEnd::Conflict, Millis(402));
+    turns.order_ended(OrderOutcome::Conflict, Millis(402));
     assert_eq!(turns.poll(Millis(403)), [], "nothing before a report");
     turns.observe(&state(1, &["a1"], &["a2"]), Millis(500));
     assert_eq!(turns.poll(Millis(500)), [unload("a1", 1)]);
@@ -165,7 +165,7 @@
     let mut turns = turns(&["a1"]);
     turns.ask(request("r1", "a2"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [load("a2", 0)]);
-    turns.order_ended(OrderEnd::Done, Millis(2));
+    turns.order_ended(OrderOutcome::Done, Millis(2));
     turns.observe(&state(0, &["a1", "a2"], &[]), Millis(100));
     let actions = turns.poll(Millis(100));
     assert_eq!(actions, [go(TurnId(0))]);
@@ -215,7 +215,7 @@
         TurnAction::Refuse {
             turn,
             reason,
-            retry,
+            retry_after: retry,
         } if *turn == last => Some((*reason, *retry)),
         _ => None,
     });
@@ -227,7 +227,7 @@
 #[test]
 fn an_engine_that_takes_nothing_refuses_all() {
     let cases = [(
-        EngineState {
+        EngineReport {
             leaving: true,
             ..state(0, &["a1"], &[])
         },
@@ -254,9 +254,9 @@
         matches!(&actions[..], [TurnAction::Refuse { turn, .. }] if *turn == first),
         "{actions:?}"
     );
-    let on_disk = EngineState {
-        copy: BaseCopy::Disk,
-        ..EngineState::default()
+    let on_disk = EngineReport {
+        base_location: BaseLocation::Disk,
+        ..EngineReport::default()
     };
     turns.observe(&on_disk, Millis(10));
     turns.ask(request("r2", "a1"), Millis(11));
@@ -271,17 +271,17 @@
 #[test]
 fn an_engine_without_its_base_model_is_ordered_to_load_it_once() {
     let mut turns = Turns::new_ext(OPTIONS);
-    turns.observe(&EngineState::default(), Millis(0));
+    turns.observe(&EngineReport::default(), Millis(0));
     let wanted = TurnAction::Order {
         order: EngineOrder::LoadBase,
         sequence: 0,
     };
     assert_eq!(turns.poll(Millis(0)), [wanted]);
-    turns.order_ended(OrderEnd::Accepted, Millis(1));
-    let loading = EngineState {
+    turns.order_ended(OrderOutcome::Accepted, Millis(1));
+    let loading = EngineReport {
         sequence: 1,
         busy: true,
-        ..EngineState::default()
+        ..EngineReport::default()
     };
     turns.observe(&loading, Millis(100));
     assert_eq!(turns.poll(Millis(100)), []);
@@ -293,8 +293,8 @@
     turns.ask(request("r1", "a1"), Millis(1));
     turns.poll(Millis(1));
     let mut seen = state(0, &["a1"], &[]);
-    seen.runs.push(RunSeen {
-        request: "r1".to_owned(),
+    seen.runs.push(ReportedRun {
+        request_id: "r1".to_owned(),
         events: 2,
     });
     seen.active = 1;
@@ -320,7 +320,7 @@
     turns.started("r1", Millis(2));
     turns.started("r2", Millis(2));
     let passing = TurnRequest {
-        stays: false,
+        waits_for_slot: false,
         ..request("r3", "a3")
     };
     let passing = turns.ask(passing, Millis(2));
@@ -330,7 +330,7 @@
     let staying = turns.ask(request("r4", "a4"), Millis(3));
     assert_eq!(turns.poll(Millis(1_500)), [], "r4 stays");
     let behind = TurnRequest {
-        stays: false,
+        waits_for_slot: false,
         ..request("r5", "a5")
     };
     turns.ended("r1");
@@ -338,9 +338,9 @@
     let actions = turns.poll(Millis(1_501));
     assert!(actions.contains(&unload("a1", 0)), "for r4: {actions:?}");
     assert!(actions.iter().any(|a| refused(a, behind)), "r4 was first");
-    turns.order_ended(OrderEnd::Done, Millis(1_502));
+    turns.order_ended(OrderOutcome::Done, Millis(1_502));
     assert_eq!(turns.poll(Millis(1_502)), [load("a4", 1)]);
-    turns.order_ended(OrderEnd::Accepted, Millis(1_503));
+    turns.order_ended(OrderOutcome::Accepted, Millis(1_503));
     turns.observe(&state(2, &["a2", "a4"], &[]), Millis(1_800));
     assert_eq!(turns.poll(Millis(1_800)), [go(staying)]);
 }
@@ -395,7 +395,7 @@
     turns.ask(request("r2", "a2"), Millis(1));
     assert!(turns.wants_adapter(), "it is not held");
     turns.poll(Millis(1));
-    turns.order_ended(OrderEnd::Accepted, Millis(2));
+    turns.order_ended(OrderOutcome::Accepted, Millis(2));
     assert!(turns.wants_adapter(), "it is on its way");
     turns.observe(&state(1, &["a1", "a2"], &[]), Millis(30));
     turns.poll(Millis(30));
@@ -456,8 +456,8 @@
         let asked: Vec<TurnId> = (0..3)
             .map(|n| {
                 let wanted = TurnRequest {
-                    tokens: 500,
-                    due: Millis(case.due[n]),
+                    prompt_tokens: 500,
+                    objective_left: Millis(case.due[n]),
                     priority: case.priority[n],
                     ..request(&format!("r{n}"), "a1")
                 };
@@ -476,14 +476,14 @@
     let mut turns = turns(&["a1"]);
     turns.ask(request("r1", "a2"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [load("a2", 0)]);
-    turns.order_ended(OrderEnd::Unknown, Millis(300));
+    turns.order_ended(OrderOutcome::Unknown, Millis(300));
     turns.reset(Millis(400));
     turns.observe(&state(0, &["a5"], &[]), Millis(500));
     // One of two places is a5's, the other the stray load's.
     assert_eq!(turns.poll(Millis(500)), [unload("a5", 0)]);
-    turns.order_ended(OrderEnd::Done, Millis(501));
+    turns.order_ended(OrderOutcome::Done, Millis(501));
     assert_eq!(turns.poll(Millis(501)), [load("a2", 1)]);
-    turns.order_ended(OrderEnd::Accepted, Millis(502));
+    turns.order_ended(OrderOutcome::Accepted, Millis(502));
     turns.observe(&state(2, &["a2"], &[]), Millis(800));
     turns.ask(request("r2", "a3"), Millis(800));
     let actions = turns.poll(Millis(800));
@@ -497,15 +497,15 @@
 #[test]
 fn an_engine_without_its_base_model_tells_when_it_will_have_it() {
     let cases = [
-        (BaseCopy::Memory, 200),
-        (BaseCopy::Disk, 1_000),
-        (BaseCopy::Store, 3_000),
+        (BaseLocation::Memory, 200),
+        (BaseLocation::Disk, 1_000),
+        (BaseLocation::Store, 3_000),
     ];
     for (copy, wanted) in cases {
         let mut turns = Turns::new_ext(OPTIONS);
-        let empty = EngineState {
-            copy,
-            ..EngineState::default()
+        let empty = EngineReport {
+            base_location: copy,
+            ..EngineReport::default()
         };
         turns.observe(&empty, Millis(0));
         let ready = turns.figures("i", Millis(0)).ready_ms;
