--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -63,7 +63,7 @@
 impl Driver {
     /// When the next report is asked for.
     fn due(&self) -> Millis {
-        let hasty = self.shared.turns.borrow().wants_adapter();
+        let hasty = self.shared.turns.borrow().is_waiting_for_adapter();
         let pause = if hasty {
             HASTE.min(self.pause)
         } else {
@@ -82,7 +82,7 @@
             return;
         };
         if due {
-            self.shared.turns.borrow_mut().retune(TurnOptions {
+            self.shared.turns.borrow_mut().set_options(TurnOptions {
                 adapter_slots: places(&engine, &base),
                 max_batch: engine.batch,
                 base_load_times: base_loads(&base),
@@ -106,7 +106,7 @@
             Ok(report) => {
                 self.meet(&report);
                 let mut turns = self.shared.turns.borrow_mut();
-                turns.observe(&report, now);
+                turns.apply_report(&report, now);
                 if report.base_loaded {
                     self.shared.readiness.hold(ENGINE);
                 }
@@ -118,7 +118,7 @@
                     self.shared.log.emit(&events::OWN_ENGINE_LOST, &fields);
                     self.shared.readiness.fail(ENGINE, "engine does not answer");
                 }
-                self.shared.turns.borrow_mut().lost();
+                self.shared.turns.borrow_mut().mark_unreachable();
             }
         }
     }
@@ -145,7 +145,7 @@
     fn act(&self, base: &BaseId) {
         let now = self.shared.timer.now();
         let actions = self.shared.turns.borrow_mut().poll(now);
-        for miss in self.shared.turns.borrow_mut().take_misses() {
+        for miss in self.shared.turns.borrow_mut().take_first_event_ratios() {
             self.shared.meters.misses.observe(miss);
         }
         for action in actions {
--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -80,7 +80,7 @@
         let now = timer.now();
         self.shared.marks.hear(&call.marks, now);
         self.shared.entries.borrow_mut().heard(&call.entry, now);
-        self.shared.turns.borrow_mut().hint(&call.peers);
+        self.shared.turns.borrow_mut().set_peer_traits(&call.peers);
         let told = call.suspects.as_ref();
         let suspects = told.map(|told| self.shared.watch.exchange(told, now));
         self.note(&call, now);
@@ -118,9 +118,9 @@
         for news in &call.news {
             if news.ended {
                 self.shared.watch.ended(&news.request);
-                turns.ended(&news.request);
+                turns.request_ended(&news.request);
             } else {
-                turns.started(&news.request, now);
+                turns.request_started(&news.request, now);
             }
         }
         drop(turns);
@@ -185,7 +185,7 @@
         let (sender, receiver) = async_channel::bounded(1);
         let request = ask.request.clone();
         let asked = Asked::new(&ask, self.hold(&ask));
-        let id = self.shared.turns.borrow_mut().ask(
+        let id = self.shared.turns.borrow_mut().enqueue(
             TurnRequest {
                 request_id: ask.request,
                 adapter: ask.adapter.clone(),
@@ -241,7 +241,7 @@
     fn hold(&self, ask: &TurnAsk) -> &'static str {
         let turns = self.shared.turns.borrow();
         let adapter = ask.adapter.as_deref();
-        adapter.map_or("", |a| turns.hold(a, ask.version).as_str())
+        adapter.map_or("", |a| turns.adapter_state(a, ask.version).as_str())
     }
 
     fn log_turn(&self, asked: &Asked, turn: Turn, from: Millis) {
@@ -328,8 +328,8 @@
         self.shared.waiters.borrow_mut().remove(&self.id);
         self.shared.watch.ended(&self.request);
         let mut turns = self.shared.turns.borrow_mut();
-        if !turns.withdraw(self.id) {
-            turns.ended(&self.request);
+        if !turns.cancel(self.id) {
+            turns.request_ended(&self.request);
         }
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,7 +4,7 @@
 //! engine once it has one. So an agent that dies breaks no answer, and an engine whose agent is down
 //! still serves what it holds.
 //!
-//! [`Agent`] drives [`pumicecleat_policy::Turns`]: it reads the engine's report, which is fresh and
+//! [`Agent`] drives [`pumicecleat_policy::TurnScheduler`]: it reads the engine's report, which is fresh and
 //! costs nothing on the same VM, tells the decisions what happened, and carries out what they say.
 //!
 //! ```
--- a/crates/agent/src/relay/mod.rs
+++ b/crates/agent/src/relay/mod.rs
@@ -26,7 +26,7 @@
     shared.marks.hear(&call.marks, now);
     let suspects = shared.watch.exchange(&call.suspects, now);
     let figures = shared.figures();
-    let kept = shared.turns.borrow().kept();
+    let kept = shared.turns.borrow().cached_adapters();
     let mut board = shared.board.borrow_mut();
     board.hear_own(&figures, kept, now);
     let idle = board.is_idle(now);
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -10,7 +10,7 @@
 use pumicecleat_catalog::{Applied, Follow, Marks, Shared as Catalog, Upstream};
 use pumicecleat_net::{Client, Timer};
 use pumicecleat_ops::{Log, Readiness, events, field};
-use pumicecleat_policy::{RateLimits, TurnId, Turns};
+use pumicecleat_policy::{RateLimits, TurnId, TurnScheduler};
 use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, ServiceId, Turn, VmId};
 
 use crate::EnginePort;
@@ -36,7 +36,7 @@
     pub(crate) port: Rc<dyn EnginePort>,
     pub(crate) catalog: Catalog,
     pub(crate) marks: Rc<Marks>,
-    pub(crate) turns: RefCell<Turns>,
+    pub(crate) turns: RefCell<TurnScheduler>,
     /// Rate limit of the engine.
     pub(crate) limits: RefCell<RateLimits>,
     /// Who waits for the outcome of a turn.
@@ -107,7 +107,7 @@
 
     /// Adapters that the engine's host keeps, unless the entry knows them already.
     pub(crate) fn kept(&self, known: u64) -> Option<KeptAdapters> {
-        let names = self.turns.borrow().kept();
+        let names = self.turns.borrow().cached_adapters();
         let digest = pumicecleat_policy::name_key(&names.join("/"));
         (digest != known).then_some(KeptAdapters { digest, names })
     }
@@ -201,7 +201,7 @@
         if let Applied::Version { adapter, version } = applied {
             // Requests name an adapter behind its base model and a slash.
             let name = adapter.split_once('/').map_or(adapter.as_str(), |p| p.1);
-            self.turns.borrow_mut().newest(name, *version);
+            self.turns.borrow_mut().declare_version(name, *version);
         }
         self.wake.ring();
     }
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -9,7 +9,7 @@
 use pumicecleat_infra::KeyedLog;
 use pumicecleat_net::{Client, ClientOptions, Server, ServerOptions, Timer};
 use pumicecleat_ops::{Admin, Dump, ListenError, Log, Metrics, Readiness, Stop, events, listen};
-use pumicecleat_policy::{BaseLoadTimes, RateLimits, TurnOptions, Turns};
+use pumicecleat_policy::{BaseLoadTimes, RateLimits, TurnOptions, TurnScheduler};
 
 use crate::drive::drive;
 use crate::handler::PeerHandler;
@@ -74,7 +74,7 @@
         serde_json::json!({
             "layout": catalog.layout().map(|l| l.number),
             "engine": self.shared.figures(),
-            "runs": self.shared.turns.borrow().running(),
+            "runs": self.shared.turns.borrow().running_requests(),
         })
     }
 }
@@ -149,7 +149,7 @@
         port: Rc::clone(&parts.port),
         catalog: Catalog::default(),
         marks: Rc::default(),
-        turns: RefCell::new(Turns::new_ext(unknown)),
+        turns: RefCell::new(TurnScheduler::new_ext(unknown)),
         limits: RefCell::new(RateLimits::new_ext(FIRST_SLOT_PHASE)),
         waiters: RefCell::new(BTreeMap::new()),
         instance: RefCell::default(),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -47,7 +47,7 @@
 pub use prompt::{
     AdapterState, BaseLoadTimes, BaseLocation, EngineChoice, EngineOrder, EngineReport, EngineView,
     OrderOutcome, RelayPick, RelaySelector, RepeatOptions, RepeatWindow, ReportedRun, TurnAction,
-    TurnId, TurnOptions, TurnRequest, TurnSearch, Turns, UpstreamLoad, UpstreamStats,
+    TurnId, TurnOptions, TurnRequest, TurnScheduler, TurnSearch, UpstreamLoad, UpstreamStats,
     members_digest,
 };
 pub use router::{
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -4,7 +4,7 @@
 //! counted in prompt tokens that wait to be read, never in requests. How fast an engine reads and loads
 //! is learned from it alone; no figure of any engine stands here.
 //!
-//! [`Turns`] is the side's part: which adapters its engine holds, whose turn it is, who is refused.
+//! [`TurnScheduler`] is the side's part: which adapters its engine holds, whose turn it is, who is refused.
 //! [`RelaySelector`] says who gathers the figures of many engines.
 //!
 //! [`EngineChoice`] and [`TurnSearch`] are the entry's: which engine to ask, and where to wait. [`UpstreamStats`] places plain requests, and
@@ -29,5 +29,5 @@
 pub use slots::{UpstreamLoad, UpstreamStats};
 pub use turns::{
     BaseLoadTimes, BaseLocation, EngineReport, ReportedRun, TurnAction, TurnId, TurnOptions,
-    TurnRequest, Turns,
+    TurnRequest, TurnScheduler,
 };
--- a/crates/policy/src/prompt/turns/admit.rs
+++ b/crates/policy/src/prompt/turns/admit.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_types::{Millis, TurnRefusal};
 
-use super::{BaseLocation, Condition, TurnAction, Turns, Waiting};
+use super::{BaseLocation, Condition, TurnAction, TurnScheduler, Waiting};
 
 /// Share of a caller's patience up to which a first event is still promised.
 const PROMISE: f64 = 0.75;
@@ -21,7 +21,7 @@
 /// Expected rest of a load of the base model that takes longer than expected.
 const BASE_LEAST: Millis = Millis(200);
 
-impl Turns {
+impl TurnScheduler {
     /// Refuses what would come too late, or can't come at all.
     pub(super) fn refuse(&mut self, now: Millis, actions: &mut Vec<TurnAction>) {
         let mut ahead = self.unread();
--- a/crates/policy/src/prompt/turns/figures.rs
+++ b/crates/policy/src/prompt/turns/figures.rs
@@ -2,10 +2,10 @@
 
 use pumicecleat_types::{EngineFigures, EngineTraits, Millis};
 
-use super::{Turns, Waiting, whole};
+use super::{TurnScheduler, Waiting, whole};
 use crate::prompt::engine::AdapterState;
 
-impl Turns {
+impl TurnScheduler {
     /// The engine as the entries are told of it.
     #[must_use]
     pub fn figures(&self, instance: &str, now: Millis) -> EngineFigures {
@@ -39,13 +39,13 @@
 
     /// Adapters that the host's memory keeps beside those that the engine holds.
     #[must_use]
-    pub fn kept(&self) -> Vec<String> {
+    pub fn cached_adapters(&self) -> Vec<String> {
         self.places.kept().cloned().collect()
     }
 
     /// How the engine stands to an adapter.
     #[must_use]
-    pub fn hold(&self, adapter: &str, version: u64) -> AdapterState {
+    pub fn adapter_state(&self, adapter: &str, version: u64) -> AdapterState {
         if self.usable(adapter, version).is_some() {
             AdapterState::Loaded
         } else if self.places.is_coming(adapter) {
@@ -59,7 +59,7 @@
 
     /// Whether a request waits for its adapter, so that each report may let it go.
     #[must_use]
-    pub fn wants_adapter(&self) -> bool {
+    pub fn is_waiting_for_adapter(&self) -> bool {
         let absent = |w: &Waiting| {
             let adapter = w.request.adapter.as_deref();
             adapter.is_some_and(|a| self.usable(a, w.request.min_version).is_none())
--- a/crates/policy/src/prompt/turns/mod.rs
+++ b/crates/policy/src/prompt/turns/mod.rs
@@ -62,7 +62,7 @@
 
 /// Turns at one engine; see the module.
 #[derive(Clone, Debug)]
-pub struct Turns {
+pub struct TurnScheduler {
     options: TurnOptions,
     places: Places,
     waiting: BTreeMap<TurnId, Waiting>,
@@ -80,7 +80,7 @@
     misses: Vec<f64>,
 }
 
-impl Turns {
+impl TurnScheduler {
     /// Turns at an engine of which nothing is known.
     #[must_use]
     pub fn new_ext(options: TurnOptions) -> Self {
@@ -101,13 +101,13 @@
     }
 
     /// Takes new options; what is held stays.
-    pub fn retune(&mut self, options: TurnOptions) {
+    pub fn set_options(&mut self, options: TurnOptions) {
         self.options = options;
         self.places.resize(options.adapter_slots);
     }
 
     /// Takes in how fast the engine's peers work.
-    pub fn hint(&mut self, peers: &EngineTraits) {
+    pub fn set_peer_traits(&mut self, peers: &EngineTraits) {
         self.pace.hint(peers.rate);
         self.places.hint(peers);
     }
@@ -123,23 +123,23 @@
     }
 
     /// The engine does not answer.
-    pub fn lost(&mut self) {
+    pub fn mark_unreachable(&mut self) {
         self.engine = Condition::Unknown;
     }
 
     /// The engine must get no more requests, by another sign than its report.
-    pub fn leave(&mut self) {
+    pub fn mark_leaving(&mut self) {
         self.leaving = true;
     }
 
     /// Newest version of an adapter.
-    pub fn newest(&mut self, adapter: &str, version: u64) {
+    pub fn declare_version(&mut self, adapter: &str, version: u64) {
         let known = self.newest.entry(adapter.to_owned()).or_default();
         *known = (*known).max(version);
     }
 
     /// Takes in what the engine reports.
-    pub fn observe(&mut self, state: &EngineReport, now: Millis) {
+    pub fn apply_report(&mut self, state: &EngineReport, now: Millis) {
         self.engine = match (state.base_loaded, state.busy, self.engine) {
             (true, _, _) => Condition::Ready,
             (false, true, Condition::Loading { since }) => Condition::Loading { since },
@@ -186,7 +186,7 @@
     }
 
     /// Takes a request in, to be answered by a later [`poll`](Self::poll).
-    pub fn ask(&mut self, request: TurnRequest, now: Millis) -> TurnId {
+    pub fn enqueue(&mut self, request: TurnRequest, now: Millis) -> TurnId {
         let turn = TurnId(self.next);
         self.next += 1;
         if let Some(adapter) = &request.adapter {
@@ -201,12 +201,12 @@
     }
 
     /// The request does not wait any more; `false` if its turn was given or refused.
-    pub fn withdraw(&mut self, turn: TurnId) -> bool {
+    pub fn cancel(&mut self, turn: TurnId) -> bool {
         self.waiting.remove(&turn).is_some()
     }
 
     /// Its answer has begun.
-    pub fn started(&mut self, request: &str, now: Millis) {
+    pub fn request_started(&mut self, request: &str, now: Millis) {
         if let Some(run) = self.runs.get_mut(request)
             && !run.started
         {
@@ -217,7 +217,7 @@
     }
 
     /// It has ended at the engine, or never reached it.
-    pub fn ended(&mut self, request: &str) {
+    pub fn request_ended(&mut self, request: &str) {
         self.runs.remove(request);
     }
 
@@ -395,13 +395,13 @@
 
     /// Times to first events since the last call, in parts of what was expected when the prompts were
     /// handed over.
-    pub fn take_misses(&mut self) -> Vec<f64> {
+    pub fn take_first_event_ratios(&mut self) -> Vec<f64> {
         std::mem::take(&mut self.misses)
     }
 
     /// Requests that have had their turn and have not ended.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_requests(&self) -> usize {
         self.runs.len()
     }
 }
--- a/crates/policy/src/prompt/turns/types.rs
+++ b/crates/policy/src/prompt/turns/types.rs
@@ -31,7 +31,7 @@
     pub waits_for_slot: bool,
 }
 
-/// Options of [`Turns`].
+/// Options of [`TurnScheduler`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnOptions {
     /// Places for adapters.
--- a/crates/policy/tests/fleet/play.rs
+++ b/crates/policy/tests/fleet/play.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_policy::{
     AdapterState, BaseLoadTimes, EngineChoice, EngineView, TurnAction, TurnId, TurnOptions,
-    TurnRequest, TurnSearch, Turns, name_key,
+    TurnRequest, TurnScheduler, TurnSearch, name_key,
 };
 use pumicecleat_types::{EngineFigures, Millis, TurnRefusal};
 
@@ -30,7 +30,7 @@
 /// An engine and the side beside it.
 pub struct Pair {
     pub engine: Engine,
-    pub turns: Turns,
+    pub turns: TurnScheduler,
     figures: EngineFigures,
     kept: Vec<String>,
     reported: u64,
@@ -65,7 +65,7 @@
     pub fn new(sheets: &[Sheet]) -> Self {
         let pair = |sheet: &Sheet| Pair {
             engine: Engine::new(*sheet),
-            turns: Turns::new_ext(TurnOptions {
+            turns: TurnScheduler::new_ext(TurnOptions {
                 adapter_slots: sheet.places,
                 max_batch: 64,
                 base_load_times: BaseLoadTimes::default(),
@@ -159,23 +159,23 @@
     let due = pair.news.extract_if(.., |n| n.0 <= now);
     for (_, id, ended) in due {
         if ended {
-            pair.turns.ended(&id);
+            pair.turns.request_ended(&id);
         } else {
-            pair.turns.started(&id, millis(now));
+            pair.turns.request_started(&id, millis(now));
         }
     }
-    let pause = if pair.turns.wants_adapter() {
+    let pause = if pair.turns.is_waiting_for_adapter() {
         HASTE
     } else {
         REPORT
     };
     if now == 0 || now >= pair.reported + pause {
         pair.reported = now;
-        pair.turns.observe(&pair.engine.report(), millis(now));
+        pair.turns.apply_report(&pair.engine.report(), millis(now));
     }
     if (now + at as u64 * STEP).is_multiple_of(FIGURES) {
         pair.figures = pair.turns.figures("i", millis(now));
-        pair.kept = pair.turns.kept();
+        pair.kept = pair.turns.cached_adapters();
         pair.asking.retain(|a| a.0 + WAY > now);
     }
 }
@@ -224,7 +224,7 @@
 
 fn ask(pair: &mut Pair, request: &Request, job: usize, demand: &Demand, stays: bool, now: u64) {
     let age = now - request.at;
-    let turn = pair.turns.ask(
+    let turn = pair.turns.enqueue(
         TurnRequest {
             request_id: request.id.clone(),
             adapter: Some(request.adapter.clone()),
@@ -281,7 +281,7 @@
                     if now < request.at + demand.objective * PATIENCE {
                         pair.engine.send(id, adapter, tokens, events);
                     } else {
-                        pair.turns.ended(id);
+                        pair.turns.request_ended(id);
                     }
                 }
                 TurnAction::Refuse {
--- a/crates/policy/tests/prompt_learning.rs
+++ b/crates/policy/tests/prompt_learning.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use fleet::{Demand, Fleet, Outcome, Sheet, play};
-use pumicecleat_policy::{BaseLoadTimes, TurnOptions, Turns};
+use pumicecleat_policy::{BaseLoadTimes, TurnOptions, TurnScheduler};
 use pumicecleat_types::{EngineTraits, Millis};
 
 /// An engine of the middle of all ranges.
@@ -200,7 +200,7 @@
 
 #[test]
 fn an_engine_that_starts_again_begins_with_what_its_peers_do() {
-    let mut turns = Turns::new_ext(TurnOptions {
+    let mut turns = TurnScheduler::new_ext(TurnOptions {
         adapter_slots: 6,
         max_batch: 64,
         base_load_times: BaseLoadTimes::default(),
@@ -211,7 +211,7 @@
         kept_ms: 15,
         keeps: 40,
     };
-    turns.hint(&peers);
+    turns.set_peer_traits(&peers);
     assert_eq!(turns.figures("i", Millis(0)).traits, peers);
     turns.reset(Millis(0));
     assert_eq!(turns.figures("j", Millis(0)).traits, peers, "another start");
--- a/crates/policy/tests/prompt_turns.rs
+++ b/crates/policy/tests/prompt_turns.rs
@@ -2,7 +2,7 @@
 
 use pumicecleat_policy::{
     BaseLoadTimes, BaseLocation, EngineOrder, EngineReport, OrderOutcome, ReportedRun, TurnAction,
-    TurnId, TurnOptions, TurnRequest, Turns,
+    TurnId, TurnOptions, TurnRequest, TurnScheduler,
 };
 use pumicecleat_types::{EngineTraits, Millis, TurnRefusal};
 
@@ -53,10 +53,10 @@
 }
 
 /// Turns at an engine that holds `held`.
-fn turns(held: &[&str]) -> Turns {
-    let mut turns = Turns::new_ext(OPTIONS);
-    turns.hint(&PEERS);
-    turns.observe(&state(0, held, &[]), Millis(0));
+fn turns(held: &[&str]) -> TurnScheduler {
+    let mut turns = TurnScheduler::new_ext(OPTIONS);
+    turns.set_peer_traits(&PEERS);
+    turns.apply_report(&state(0, held, &[]), Millis(0));
     turns
 }
 
@@ -89,14 +89,14 @@
 #[test]
 fn a_held_adapter_goes_at_once_and_an_absent_one_after_its_load() {
     let mut turns = turns(&["a1"]);
-    let held = turns.ask(request("r1", "a1"), Millis(1));
+    let held = turns.enqueue(request("r1", "a1"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [go(held)]);
-    let absent = turns.ask(request("r2", "a2"), Millis(2));
+    let absent = turns.enqueue(request("r2", "a2"), Millis(2));
     assert_eq!(turns.poll(Millis(2)), [load("a2", 0)]);
     turns.order_ended(OrderOutcome::Accepted, Millis(3));
-    turns.observe(&state(1, &["a1"], &["a2"]), Millis(100));
+    turns.apply_report(&state(1, &["a1"], &["a2"]), Millis(100));
     assert_eq!(turns.poll(Millis(100)), []);
-    turns.observe(&state(1, &["a1", "a2"], &[]), Millis(300));
+    turns.apply_report(&state(1, &["a1", "a2"], &[]), Millis(300));
     assert_eq!(turns.poll(Millis(300)), [go(absent)]);
 }
 
@@ -105,11 +105,11 @@
     let mut turns = turns(&["a1", "a2"]);
     for (n, adapter) in ["a1", "a1", "a1", "a2"].iter().enumerate() {
         let (id, now) = (format!("r{n}"), Millis(200 * n as u64));
-        let asked = turns.ask(request(&id, adapter), now);
+        let asked = turns.enqueue(request(&id, adapter), now);
         assert_eq!(turns.poll(now), [go(asked)]);
-        turns.ended(&id);
+        turns.request_ended(&id);
     }
-    turns.ask(request("r4", "a3"), Millis(800));
+    turns.enqueue(request("r4", "a3"), Millis(800));
     assert_eq!(turns.poll(Millis(800)), [unload("a2", 0)]);
     turns.order_ended(OrderOutcome::Done, Millis(801));
     assert_eq!(turns.poll(Millis(801)), [load("a3", 1)]);
@@ -118,12 +118,12 @@
 #[test]
 fn an_adapter_in_use_never_makes_way() {
     let mut turns = turns(&["a1", "a2"]);
-    turns.ask(request("r1", "a1"), Millis(1));
-    turns.ask(request("r2", "a2"), Millis(1));
+    turns.enqueue(request("r1", "a1"), Millis(1));
+    turns.enqueue(request("r2", "a2"), Millis(1));
     turns.poll(Millis(1));
-    turns.ask(request("r3", "a3"), Millis(2));
+    turns.enqueue(request("r3", "a3"), Millis(2));
     assert_eq!(turns.poll(Millis(2)), []);
-    turns.ended("r1");
+    turns.request_ended("r1");
     assert_eq!(turns.poll(Millis(3)), [unload("a1", 0)]);
 }
 
@@ -132,11 +132,11 @@
 #[test]
 fn an_unload_that_waits_for_runs_keeps_its_place() {
     let mut turns = turns(&["a1", "a2"]);
-    turns.ask(request("r1", "a3"), Millis(1));
+    turns.enqueue(request("r1", "a3"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [unload("a1", 0)]);
     turns.order_ended(OrderOutcome::Accepted, Millis(2));
     assert_eq!(turns.poll(Millis(300)), [], "a1 is not out");
-    turns.observe(&state(1, &["a1", "a2"], &[]), Millis(501));
+    turns.apply_report(&state(1, &["a1", "a2"], &[]), Millis(501));
     assert_eq!(turns.poll(Millis(501)), [unload("a2", 1)]);
     turns.order_ended(OrderOutcome::Done, Millis(502));
     assert_eq!(turns.poll(Millis(502)), [load("a3", 2)]);
@@ -145,28 +145,28 @@
 #[test]
 fn an_order_without_an_answer_counts_as_done_and_as_not_done() {
     let mut turns = turns(&["a1"]);
-    turns.ask(request("r1", "a2"), Millis(1));
+    turns.enqueue(request("r1", "a2"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [load("a2", 0)]);
     turns.order_ended(OrderOutcome::Unknown, Millis(300));
     assert_eq!(turns.poll(Millis(301)), [], "nothing before a report");
-    turns.observe(&state(0, &["a1"], &[]), Millis(400));
+    turns.apply_report(&state(0, &["a1"], &[]), Millis(400));
     // The lost load may still take the second place: one has to be freed, by an order that is void
     // if it did.
-    turns.ask(request("r2", "a3"), Millis(401));
+    turns.enqueue(request("r2", "a3"), Millis(401));
     assert_eq!(turns.poll(Millis(401)), [unload("a1", 0)]);
     turns.order_ended(OrderOutcome::Conflict, Millis(402));
     assert_eq!(turns.poll(Millis(403)), [], "nothing before a report");
-    turns.observe(&state(1, &["a1"], &["a2"]), Millis(500));
+    turns.apply_report(&state(1, &["a1"], &["a2"]), Millis(500));
     assert_eq!(turns.poll(Millis(500)), [unload("a1", 1)]);
 }
 
 #[test]
 fn an_order_that_held_already_does_not_lose_the_sequence() {
     let mut turns = turns(&["a1"]);
-    turns.ask(request("r1", "a2"), Millis(1));
+    turns.enqueue(request("r1", "a2"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [load("a2", 0)]);
     turns.order_ended(OrderOutcome::Done, Millis(2));
-    turns.observe(&state(0, &["a1", "a2"], &[]), Millis(100));
+    turns.apply_report(&state(0, &["a1", "a2"], &[]), Millis(100));
     let actions = turns.poll(Millis(100));
     assert_eq!(actions, [go(TurnId(0))]);
 }
@@ -174,8 +174,8 @@
 #[test]
 fn a_version_that_is_too_old_is_replaced_and_not_used() {
     let mut turns = turns(&["a1"]);
-    turns.newest("a1", 4);
-    turns.ask(request("r1", "a1"), Millis(1));
+    turns.declare_version("a1", 4);
+    turns.enqueue(request("r1", "a1"), Millis(1));
     let wanted = TurnAction::Order {
         order: EngineOrder::Load {
             adapter: "a1".to_owned(),
@@ -194,11 +194,11 @@
     for n in 0..10 {
         let mut request = request(&format!("r{n}"), "a1");
         request.priority = u8::from(n < 9);
-        ids.push(turns.ask(request, Millis(1)));
+        ids.push(turns.enqueue(request, Millis(1)));
     }
     let actions = turns.poll(Millis(1));
     assert_eq!(actions, [go(ids[9]), go(ids[0])]);
-    turns.started("r9", Millis(50));
+    turns.request_started("r9", Millis(50));
     assert_eq!(turns.poll(Millis(50)), []);
     assert_eq!(turns.poll(Millis(120)), [go(ids[1])]);
 }
@@ -208,7 +208,7 @@
     let mut turns = turns(&["a1"]);
     let mut last = TurnId(0);
     for n in 0..40 {
-        last = turns.ask(request(&format!("r{n}"), "a1"), Millis(1));
+        last = turns.enqueue(request(&format!("r{n}"), "a1"), Millis(1));
     }
     let actions = turns.poll(Millis(1));
     let refused = actions.iter().find_map(|a| match a {
@@ -234,9 +234,9 @@
         TurnRefusal::Leaving,
     )];
     for (state, wanted) in cases {
-        let mut turns = Turns::new_ext(OPTIONS);
-        turns.observe(&state, Millis(0));
-        turns.ask(request("r1", "a1"), Millis(1));
+        let mut turns = TurnScheduler::new_ext(OPTIONS);
+        turns.apply_report(&state, Millis(0));
+        turns.enqueue(request("r1", "a1"), Millis(1));
         let actions = turns.poll(Millis(1));
         let refused = actions
             .iter()
@@ -247,8 +247,8 @@
 
 #[test]
 fn an_engine_that_does_not_answer_refuses_all_and_one_that_starts_lets_them_wait() {
-    let mut turns = Turns::new_ext(OPTIONS);
-    let first = turns.ask(request("r1", "a1"), Millis(1));
+    let mut turns = TurnScheduler::new_ext(OPTIONS);
+    let first = turns.enqueue(request("r1", "a1"), Millis(1));
     let actions = turns.poll(Millis(1));
     assert!(
         matches!(&actions[..], [TurnAction::Refuse { turn, .. }] if *turn == first),
@@ -258,8 +258,8 @@
         base_location: BaseLocation::Disk,
         ..EngineReport::default()
     };
-    turns.observe(&on_disk, Millis(10));
-    turns.ask(request("r2", "a1"), Millis(11));
+    turns.apply_report(&on_disk, Millis(10));
+    turns.enqueue(request("r2", "a1"), Millis(11));
     let actions = turns.poll(Millis(11));
     assert!(
         matches!(&actions[..], [TurnAction::Order { .. }]),
@@ -270,8 +270,8 @@
 
 #[test]
 fn an_engine_without_its_base_model_is_ordered_to_load_it_once() {
-    let mut turns = Turns::new_ext(OPTIONS);
-    turns.observe(&EngineReport::default(), Millis(0));
+    let mut turns = TurnScheduler::new_ext(OPTIONS);
+    turns.apply_report(&EngineReport::default(), Millis(0));
     let wanted = TurnAction::Order {
         order: EngineOrder::LoadBase,
         sequence: 0,
@@ -283,14 +283,14 @@
         busy: true,
         ..EngineReport::default()
     };
-    turns.observe(&loading, Millis(100));
+    turns.apply_report(&loading, Millis(100));
     assert_eq!(turns.poll(Millis(100)), []);
 }
 
 #[test]
 fn a_run_that_the_report_drops_has_ended() {
     let mut turns = turns(&["a1"]);
-    turns.ask(request("r1", "a1"), Millis(1));
+    turns.enqueue(request("r1", "a1"), Millis(1));
     turns.poll(Millis(1));
     let mut seen = state(0, &["a1"], &[]);
     seen.runs.push(ReportedRun {
@@ -298,15 +298,15 @@
         events: 2,
     });
     seen.active = 1;
-    turns.observe(&seen, Millis(100));
-    assert_eq!(turns.running(), 1);
+    turns.apply_report(&seen, Millis(100));
+    assert_eq!(turns.running_requests(), 1);
     assert_eq!(
         turns.figures("i-1", Millis(100)).unread,
         0,
         "its answer has begun"
     );
-    turns.observe(&state(0, &["a1"], &[]), Millis(200));
-    assert_eq!(turns.running(), 0);
+    turns.apply_report(&state(0, &["a1"], &[]), Millis(200));
+    assert_eq!(turns.running_requests(), 0);
 }
 
 /// Regression: requests waited for 2.5 s at an engine whose places streams held, while another had
@@ -314,34 +314,34 @@
 #[test]
 fn an_engine_without_a_place_says_so_at_once_and_keeps_the_line_of_those_that_stay() {
     let mut turns = turns(&["a1", "a2"]);
-    turns.ask(request("r1", "a1"), Millis(1));
-    turns.ask(request("r2", "a2"), Millis(1));
+    turns.enqueue(request("r1", "a1"), Millis(1));
+    turns.enqueue(request("r2", "a2"), Millis(1));
     turns.poll(Millis(1));
-    turns.started("r1", Millis(2));
-    turns.started("r2", Millis(2));
+    turns.request_started("r1", Millis(2));
+    turns.request_started("r2", Millis(2));
     let passing = TurnRequest {
         waits_for_slot: false,
         ..request("r3", "a3")
     };
-    let passing = turns.ask(passing, Millis(2));
+    let passing = turns.enqueue(passing, Millis(2));
     let refused = |a: &TurnAction, id: TurnId| matches!(a, TurnAction::Refuse { turn, reason: TurnRefusal::NoPlace, .. } if *turn == id);
     let actions = turns.poll(Millis(2));
     assert!(actions.iter().any(|a| refused(a, passing)), "{actions:?}");
-    let staying = turns.ask(request("r4", "a4"), Millis(3));
+    let staying = turns.enqueue(request("r4", "a4"), Millis(3));
     assert_eq!(turns.poll(Millis(1_500)), [], "r4 stays");
     let behind = TurnRequest {
         waits_for_slot: false,
         ..request("r5", "a5")
     };
-    turns.ended("r1");
-    let behind = turns.ask(behind, Millis(1_501));
+    turns.request_ended("r1");
+    let behind = turns.enqueue(behind, Millis(1_501));
     let actions = turns.poll(Millis(1_501));
     assert!(actions.contains(&unload("a1", 0)), "for r4: {actions:?}");
     assert!(actions.iter().any(|a| refused(a, behind)), "r4 was first");
     turns.order_ended(OrderOutcome::Done, Millis(1_502));
     assert_eq!(turns.poll(Millis(1_502)), [load("a4", 1)]);
     turns.order_ended(OrderOutcome::Accepted, Millis(1_503));
-    turns.observe(&state(2, &["a2", "a4"], &[]), Millis(1_800));
+    turns.apply_report(&state(2, &["a2", "a4"], &[]), Millis(1_800));
     assert_eq!(turns.poll(Millis(1_800)), [go(staying)]);
 }
 
@@ -378,11 +378,16 @@
     for case in cases {
         let mut turns = turns(&[]);
         for held in case.reports {
-            turns.observe(&state(0, held, &[]), Millis(0));
+            turns.apply_report(&state(0, held, &[]), Millis(0));
         }
-        assert_eq!(turns.kept(), case.kept, "{}", case.name);
+        assert_eq!(turns.cached_adapters(), case.kept, "{}", case.name);
         turns.reset(Millis(0));
-        assert_eq!(turns.kept(), [""; 0], "{}: another instance", case.name);
+        assert_eq!(
+            turns.cached_adapters(),
+            [""; 0],
+            "{}: another instance",
+            case.name
+        );
     }
 }
 
@@ -390,16 +395,16 @@
 #[test]
 fn a_request_that_waits_for_its_adapter_makes_reports_urgent() {
     let mut turns = turns(&["a1"]);
-    turns.ask(request("r1", "a1"), Millis(1));
-    assert!(!turns.wants_adapter(), "it is held");
-    turns.ask(request("r2", "a2"), Millis(1));
-    assert!(turns.wants_adapter(), "it is not held");
+    turns.enqueue(request("r1", "a1"), Millis(1));
+    assert!(!turns.is_waiting_for_adapter(), "it is held");
+    turns.enqueue(request("r2", "a2"), Millis(1));
+    assert!(turns.is_waiting_for_adapter(), "it is not held");
     turns.poll(Millis(1));
     turns.order_ended(OrderOutcome::Accepted, Millis(2));
-    assert!(turns.wants_adapter(), "it is on its way");
-    turns.observe(&state(1, &["a1", "a2"], &[]), Millis(30));
+    assert!(turns.is_waiting_for_adapter(), "it is on its way");
+    turns.apply_report(&state(1, &["a1", "a2"], &[]), Millis(30));
     turns.poll(Millis(30));
-    assert!(!turns.wants_adapter(), "it had its turn");
+    assert!(!turns.is_waiting_for_adapter(), "it had its turn");
 }
 
 /// After a loss of all power a backlog of two seconds was served in the order of its arrival: all of it
@@ -461,7 +466,7 @@
                     priority: case.priority[n],
                     ..request(&format!("r{n}"), "a1")
                 };
-                turns.ask(wanted, Millis(1))
+                turns.enqueue(wanted, Millis(1))
             })
             .collect();
         let expected: Vec<TurnAction> = case.order.iter().map(|n| go(asked[*n])).collect();
@@ -474,18 +479,18 @@
 #[test]
 fn a_load_from_before_a_start_keeps_a_place_free_while_it_may_arrive() {
     let mut turns = turns(&["a1"]);
-    turns.ask(request("r1", "a2"), Millis(1));
+    turns.enqueue(request("r1", "a2"), Millis(1));
     assert_eq!(turns.poll(Millis(1)), [load("a2", 0)]);
     turns.order_ended(OrderOutcome::Unknown, Millis(300));
     turns.reset(Millis(400));
-    turns.observe(&state(0, &["a5"], &[]), Millis(500));
+    turns.apply_report(&state(0, &["a5"], &[]), Millis(500));
     // One of two places is a5's, the other the stray load's.
     assert_eq!(turns.poll(Millis(500)), [unload("a5", 0)]);
     turns.order_ended(OrderOutcome::Done, Millis(501));
     assert_eq!(turns.poll(Millis(501)), [load("a2", 1)]);
     turns.order_ended(OrderOutcome::Accepted, Millis(502));
-    turns.observe(&state(2, &["a2"], &[]), Millis(800));
-    turns.ask(request("r2", "a3"), Millis(800));
+    turns.apply_report(&state(2, &["a2"], &[]), Millis(800));
+    turns.enqueue(request("r2", "a3"), Millis(800));
     let actions = turns.poll(Millis(800));
     assert!(
         actions.contains(&load("a3", 2)),
@@ -502,12 +507,12 @@
         (BaseLocation::Store, 3_000),
     ];
     for (copy, wanted) in cases {
-        let mut turns = Turns::new_ext(OPTIONS);
+        let mut turns = TurnScheduler::new_ext(OPTIONS);
         let empty = EngineReport {
             base_location: copy,
             ..EngineReport::default()
         };
-        turns.observe(&empty, Millis(0));
+        turns.apply_report(&empty, Millis(0));
         let ready = turns.figures("i", Millis(0)).ready_ms;
         assert_eq!(ready, Some(wanted), "{copy:?}");
     }
@@ -517,11 +522,11 @@
 #[test]
 fn a_first_event_is_measured_against_what_was_expected() {
     let mut turns = turns(&["a1"]);
-    turns.ask(request("r1", "a1"), Millis(0));
+    turns.enqueue(request("r1", "a1"), Millis(0));
     turns.poll(Millis(0));
-    assert!(turns.take_misses().is_empty());
+    assert!(turns.take_first_event_ratios().is_empty());
     // 2,000 tokens at 0.85 of 20,000 a second: 117 ms.
-    turns.started("r1", Millis(234));
-    assert_eq!(turns.take_misses(), [2.0]);
-    assert!(turns.take_misses().is_empty(), "taken once");
+    turns.request_started("r1", Millis(234));
+    assert_eq!(turns.take_first_event_ratios(), [2.0]);
+    assert!(turns.take_first_event_ratios().is_empty(), "taken once");
 }
