--- a/crates/policy/src/prompt/engine.rs
+++ b/crates/policy/src/prompt/engine.rs
@@ -1,71 +1,72 @@
-//! The entry's choice of engine: where the first event is expected first.
+//! Choice of engine in the gateway: the engine with the lowest expected time to the first event.
 
 use pumicecleat_types::EngineTraits;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time of a load from the weight store before any was measured, ms. The first requests measure it;
-/// until then it only has to be told from nothing.
-const LOAD: f64 = 100.0;
+/// Time of a load from the weight store while none has been measured, ms. It only has to differ from zero:
+/// the first requests measure the real value.
+const DEFAULT_STORE_LOAD_MS: f64 = 100.0;
 
-/// Part of a load from the store that one from the host's memory takes, before any was measured.
-const KEPT: f64 = 0.2;
+/// Time of a load from host memory while none has been measured, as a fraction of a load from the weight
+/// store.
+const DEFAULT_CACHED_LOAD_RATIO: f64 = 0.2;
 
-/// Cost of a load from the weight store beside its time, in such loads: its pace is shared by all
-/// engines, and what one host more keeps pushes another adapter out there. Knowing what hosts keep, in
-/// place of homes by rank alone, took loads from the store down by 4 in 100 over 60 played days; a third
-/// and twice as much made no difference that could be told from chance.
-const FETCH: f64 = 1.0;
+/// Cost of a load from the weight store in addition to its own time, in store loads. All engines share the
+/// bandwidth of the store, and caching the adapter on one more host evicts another adapter from that cache.
+/// Taking the host caches into account, instead of home ranks alone, reduced loads from the store by 4 in
+/// 100 over 60 simulated days; a third of this cost and twice this cost gave no significant difference.
+const STORE_LOAD_COST_LOADS: f64 = 1.0;
 
-/// Expected rest of a load under way, in whole ones.
-const COMING: f64 = 0.4;
+/// Expected remaining part of a load in progress, as a fraction of a whole load.
+const REMAINING_LOAD_RATIO: f64 = 0.4;
 
-/// Cost of a load that has to push another adapter out, in loads from the store: that one is loaded
-/// again later.
-const EVICT: f64 = 1.3;
+/// Cost of a load that evicts another adapter, in store loads: the evicted adapter has to be loaded again
+/// later.
+const EVICTION_COST_LOADS: f64 = 1.3;
 
-/// Cost of an engine without a place to spare, in loads from the store: a place frees when a stream
-/// ends, which takes longer than any load.
-const CROWDED: f64 = 3.0;
+/// Cost of an engine without an available adapter slot, in store loads: a slot is freed when a stream ends,
+/// which takes longer than any load.
+const NO_SLOT_COST_LOADS: f64 = 3.0;
 
-/// Cost of each rank behind an adapter's home, in loads from the store, where no host keeps it: entries
-/// that ask at the same time then agree on one. A sixth, a half and one made no
-/// difference that could be told from chance over 60 played days.
-const RANK: f64 = 0.5;
+/// Cost of each rank below the adapter's home, in store loads, where no host has the adapter cached. It makes
+/// gateways that choose at the same time agree on one engine. A sixth, a half and one gave no significant
+/// difference over 60 simulated days.
+const HOME_RANK_COST_LOADS: f64 = 0.5;
 
-/// Ranks that are told apart.
-const RANKS: usize = 3;
+/// Number of home ranks that are distinguished.
+const HOME_RANKS: usize = 3;
 
-/// Cost of figures that are old, ms: the engine or its side may be gone.
-const STALE: f64 = 400.0;
+/// Cost of stale figures, ms: the engine or its agent may be down.
+const STALE_COST_MS: f64 = 400.0;
 
-/// Cost of another data centre, ms: two ways of 1.4 ms.
-const REMOTE: f64 = 3.0;
+/// Cost of an engine in another data centre, ms: a round trip of two times 1.4 ms.
+const REMOTE_COST_MS: f64 = 3.0;
 
-/// Cost of each request under way, ms: it lengthens the engine's steps.
-const RUNNING: f64 = 1.5;
+/// Cost of each running request, ms: it lengthens the engine's decode steps.
+const RUNNING_COST_MS: f64 = 1.5;
 
-/// Part of a prompt's reading that each stream beside it counts for. While a prompt is read the streams
-/// beside it stand almost still, and hold their adapters' places all the while; so prompts go where few
-/// streams run, and engines take to one or the other by themselves. Of long prompts beside long answers
-/// 0.921 had their first event in time, and 0.908 without it (`prompt_load`).
-const BESIDE: f64 = 0.15;
+/// Cost of the prefill for each running stream, as a fraction of the prefill time. During a prefill the
+/// other streams of the engine almost stop and keep their adapter slots occupied. The cost sends prompts to
+/// engines with few streams, so that engines specialise in prefill or in decoding. With long prompts and long
+/// answers, 0.921 of requests got their first event in time, and 0.908 without this cost (`prompt_load`).
+const STREAM_STALL_RATIO: f64 = 0.15;
 
-/// How an engine stands to an adapter.
+/// State of an adapter at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdapterState {
-    /// Holds it, at a version that will do; or none is needed.
+    /// Loaded at a sufficient version, or the request needs no adapter.
     Loaded,
-    /// Loads it.
+    /// A load is in progress.
     Loading,
-    /// Its host keeps it in memory.
+    /// Not loaded, but cached in the memory of the engine's host.
     Cached,
-    /// Would have to load it from the weight store.
+    /// Has to be loaded from the weight store.
     #[default]
     Absent,
 }
 
 impl AdapterState {
-    /// Its name in logs.
+    /// Name in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -76,122 +77,127 @@
         }
     }
 
-    /// Whether the adapter has to be given a place.
+    /// Whether the adapter still needs an adapter slot.
     #[must_use]
     pub fn needs_slot(self) -> bool {
         matches!(self, Self::Cached | Self::Absent)
     }
 }
 
-/// What an entry knows of an engine, for one request.
+/// What a gateway knows about an engine, in relation to one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineView {
-    /// Key, the same at every entry.
+    /// Hash key of the engine, the same in every gateway.
     pub key: u64,
-    /// How it stands to the adapter.
+    /// State of the requested adapter.
     pub adapter_state: AdapterState,
-    /// Places that a further adapter could take.
+    /// Adapter slots that another adapter could take.
     pub available_slots: u32,
-    /// Prompt tokens that wait to be read, own sends counted in.
+    /// Prompt tokens that wait for prefill, including those this gateway has just sent.
     pub unread_tokens: u64,
-    /// Prompt tokens of the request itself.
+    /// Prompt tokens of the request.
     pub prompt_tokens: u32,
-    /// How fast it works, as far as is known.
+    /// Learned speed of the engine; zero where unknown.
     pub traits: EngineTraits,
-    /// Requests under way.
+    /// Running requests.
     pub running: u32,
-    /// Time until it takes requests, ms.
+    /// Time until the engine accepts requests, ms.
     pub ready_in_ms: u64,
-    /// Figures are too old to rely on.
+    /// The figures are too old to rely on.
     pub stale: bool,
-    /// In another data centre.
+    /// The engine is in another data centre.
     pub remote: bool,
-    /// Time for which recent failures put it behind its peers, ms.
+    /// Cost of recent failures, ms.
     pub failure_penalty_ms: u64,
 }
 
-/// Choice of engine for requests for one adapter.
+/// Chooses an engine for requests that use one adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineChoice {
-    adapter: u64,
+    adapter_key: u64,
 }
 
 impl EngineChoice {
-    /// Choice for an adapter by its key, the same at every entry.
+    /// Creates the choice for an adapter. Its key must be the same in every gateway.
     #[must_use]
-    pub fn new(adapter: u64) -> Self {
-        Self { adapter }
+    pub fn new(adapter_key: u64) -> Self {
+        Self { adapter_key }
     }
 
-    /// Index of the engine where the first event is expected first.
+    /// Index of the engine with the lowest expected time to the first event.
     #[must_use]
     pub fn pick(self, engines: &[EngineView]) -> Option<usize> {
-        let peers = EngineTraits::middle(engines.iter().map(|e| e.traits));
-        let homes = self.homes(engines);
-        let costs = engines.iter().map(|e| self.cost(e, &homes, &peers));
+        let peer_traits = EngineTraits::middle(engines.iter().map(|e| e.traits));
+        let home_weights = self.home_weights(engines);
+        let costs = engines
+            .iter()
+            .map(|e| self.cost(e, &home_weights, &peer_traits));
         let indexed = costs.enumerate();
         indexed.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(i, _)| i)
     }
 
-    /// Expected time to the first event, ms, with what the choice costs others; `peers` stands for
-    /// what is not known of `engine`.
-    fn cost(self, engine: &EngineView, homes: &[u64], peers: &EngineTraits) -> f64 {
-        let traits = engine.traits.or(peers);
+    /// Expected time to the first event, ms, plus the cost that the choice has for other requests.
+    /// `peer_traits` replaces the traits of `engine` that are unknown.
+    fn cost(self, engine: &EngineView, home_weights: &[u64], peer_traits: &EngineTraits) -> f64 {
+        let traits = engine.traits.or(peer_traits);
         let tokens = engine.unread_tokens + u64::from(engine.prompt_tokens);
         let mut cost = approximate(tokens) * 1_000.0 / approximate(traits.rate.max(1));
-        let own = f64::from(engine.prompt_tokens) * 1_000.0 / approximate(traits.rate.max(1));
-        cost += f64::from(engine.running) * (RUNNING + own * BESIDE);
+        let prefill_ms =
+            f64::from(engine.prompt_tokens) * 1_000.0 / approximate(traits.rate.max(1));
+        cost += f64::from(engine.running) * (RUNNING_COST_MS + prefill_ms * STREAM_STALL_RATIO);
         cost += approximate(engine.failure_penalty_ms + engine.ready_in_ms);
         if engine.stale {
-            cost += STALE;
+            cost += STALE_COST_MS;
         }
         if engine.remote {
-            cost += REMOTE;
+            cost += REMOTE_COST_MS;
         }
-        let load = measured(traits.load_ms, LOAD);
-        let kept = measured(traits.kept_ms, load * KEPT);
+        let store_load_ms = measured_or(traits.load_ms, DEFAULT_STORE_LOAD_MS);
+        let cached_load_ms = measured_or(traits.kept_ms, store_load_ms * DEFAULT_CACHED_LOAD_RATIO);
         match engine.adapter_state {
             AdapterState::Loaded => cost,
-            AdapterState::Loading => cost + load * COMING,
-            AdapterState::Cached => cost + kept + load * place(engine),
+            AdapterState::Loading => cost + store_load_ms * REMAINING_LOAD_RATIO,
+            AdapterState::Cached => cost + cached_load_ms + store_load_ms * slot_cost_loads(engine),
             AdapterState::Absent => {
-                let home = approximate(self.rank(engine, homes)) * RANK;
-                cost + load * (1.0 + FETCH + home + place(engine))
+                let rank_cost =
+                    approximate(self.home_rank(engine, home_weights)) * HOME_RANK_COST_LOADS;
+                cost + store_load_ms
+                    * (1.0 + STORE_LOAD_COST_LOADS + rank_cost + slot_cost_loads(engine))
             }
         }
     }
 
-    /// Weights of the engines that come first as the adapter's home.
-    fn homes(self, engines: &[EngineView]) -> Vec<u64> {
-        let mut homes: Vec<u64> = engines.iter().map(|e| self.weight(e.key)).collect();
-        homes.sort_unstable_by(|a, b| b.cmp(a));
-        homes.truncate(RANKS);
-        homes
+    /// Rendezvous hash weights of the engines that rank first as the adapter's home, highest first.
+    fn home_weights(self, engines: &[EngineView]) -> Vec<u64> {
+        let mut weights: Vec<u64> = engines.iter().map(|e| self.weight(e.key)).collect();
+        weights.sort_unstable_by(|a, b| b.cmp(a));
+        weights.truncate(HOME_RANKS);
+        weights
     }
 
-    /// Engines that come before `engine` as the adapter's home, as far as they are told apart.
-    fn rank(self, engine: &EngineView, homes: &[u64]) -> u64 {
+    /// Number of engines that rank above `engine` as the adapter's home, up to [`HOME_RANKS`].
+    fn home_rank(self, engine: &EngineView, home_weights: &[u64]) -> u64 {
         let own = self.weight(engine.key);
-        homes.iter().filter(|home| **home > own).count() as u64
+        home_weights.iter().filter(|home| **home > own).count() as u64
     }
 
-    fn weight(self, key: u64) -> u64 {
-        xxh3_64_with_seed(&key.to_le_bytes(), self.adapter)
+    fn weight(self, engine_key: u64) -> u64 {
+        xxh3_64_with_seed(&engine_key.to_le_bytes(), self.adapter_key)
     }
 }
 
-/// Cost of a place for one more adapter, in loads from the store.
-fn place(engine: &EngineView) -> f64 {
+/// Cost of an adapter slot, in store loads.
+fn slot_cost_loads(engine: &EngineView) -> f64 {
     if engine.available_slots == 0 {
-        CROWDED
+        NO_SLOT_COST_LOADS
     } else {
-        EVICT
+        EVICTION_COST_LOADS
     }
 }
 
-/// A measured time, ms; `unknown` before it was measured.
-fn measured(ms: u64, unknown: f64) -> f64 {
-    if ms == 0 { unknown } else { approximate(ms) }
+/// A measured time, ms, or `default_ms` if it is 0, which means not measured.
+fn measured_or(ms: u64, default_ms: f64) -> f64 {
+    if ms == 0 { default_ms } else { approximate(ms) }
 }
 
 #[allow(clippy::cast_precision_loss, reason = "tokens stay far below 2^52")]
--- a/crates/policy/src/prompt/loads.rs
+++ b/crates/policy/src/prompt/loads.rs
@@ -1,124 +1,132 @@
-//! How long loads of adapters take at one engine, and how many its host keeps, learned from loads.
+//! Learned load times of adapters at one engine, and the learned size of its host's cache.
 //!
-//! An adapter that was never held here comes from the weight store, which all engines share; one held
-//! lately comes from the host's memory, several times faster. Which of the two a load was is told by
-//! its time, and how many adapters were held since its last time tells how many the host keeps.
+//! An adapter that was never loaded at an engine comes from the weight store, which all engines share. One
+//! that was loaded recently comes from the host's memory, several times faster. The duration of a load tells
+//! which of the two it was, and the number of adapters unloaded since the adapter was last loaded tells how
+//! many adapters the host caches.
 
 use pumicecleat_types::{EngineTraits, Millis};
 
-/// Weight of the newest load. The store's pace falls while many engines fetch, for some seconds.
-const NEW: f64 = 0.25;
+/// Weight of the newest load in the mean. The store's bandwidth drops for several seconds while many engines
+/// load from it.
+const NEWEST_WEIGHT: f64 = 0.25;
 
-/// Part of a load from the store below which one came from the host's memory: reports come each 25 to
-/// 100 ms, and add up to that to both.
-const FAST: f64 = 0.4;
+/// Fraction of the load time from the store below which a load came from host memory. Reports arrive every 25
+/// to 100 ms and add up to that to both times.
+const CACHED_LOAD_RATIO: f64 = 0.4;
 
-/// Loads from the store that an engine begins with, and has under way at most; the platform allows four.
-/// Where eight engines start at once and the store gives two loads at full speed, 0.98 of all requests
-/// are served with the window and 0.82 with four loads each (`prompt_load`).
-const WINDOW_FIRST: f64 = 2.0;
-const WINDOW_MOST: f64 = 4.0;
+/// Initial and maximum number of concurrent loads from the store; the platform allows four. When eight engines
+/// start at once and the store serves two loads at full speed, 0.98 of all requests are served with the
+/// window, and 0.82 with four concurrent loads each (`prompt_load`).
+const INITIAL_WINDOW: f64 = 2.0;
+const MAX_WINDOW: f64 = 4.0;
 
-/// Load time, in the shortest seen lately, up to which the store is taken to have room for one more.
-const UNHURRIED: f64 = 1.5;
+/// Load time, relative to the shortest recent one, up to which the store is considered able to serve one more
+/// load.
+const UNCONGESTED_RATIO: f64 = 1.5;
 
-/// Growth of the window with each such load, and what is left of it after a slower one.
-const WIDER: f64 = 0.5;
-const NARROWER: f64 = 0.5;
+/// Additive increase of the window after such a load, and multiplicative decrease after a slower one.
+const WINDOW_INCREASE: f64 = 0.5;
+const WINDOW_DECREASE: f64 = 0.5;
 
-/// Part by which the shortest time forgets with each load.
-const FORGET: f64 = 0.01;
+/// Fraction by which the shortest recent load time grows with each load.
+const SHORTEST_GROWTH: f64 = 0.01;
 
-/// Times of loads of adapters, and what the host keeps.
+/// Load times of adapters, and the size of the host's cache.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LoadTimes {
-    /// From the weight store, ms.
-    store: Option<f64>,
-    /// From the host's memory, ms.
-    host: Option<f64>,
-    /// Adapters that the host keeps beside those held.
-    keeps: Option<usize>,
-    /// Shortest load from the store lately, ms.
-    least: Option<f64>,
-    /// Loads from the store that may be under way beyond the first ones.
-    window: f64,
+    /// Load time from the weight store, ms.
+    store_ms: Option<f64>,
+    /// Load time from host memory, ms.
+    cached_ms: Option<f64>,
+    /// Number of adapters that the host caches in addition to the loaded ones.
+    cache_size: Option<usize>,
+    /// Shortest recent load time from the store, ms.
+    shortest_ms: Option<f64>,
+    /// Concurrent loads from the store that are allowed in addition to the initial number.
+    extra_window: f64,
 }
 
 impl LoadTimes {
-    /// An adapter was loaded in `span`; `depth` others were given up since it was, if it was ever held.
-    pub(super) fn took(&mut self, depth: Option<usize>, span: Millis) {
-        let span = span.as_secs() * 1_000.0;
-        let fast = self.store.is_some_and(|s| span < s * FAST);
-        if fast {
-            blend(&mut self.host, span);
+    /// Records the load of an adapter. `depth` is the number of other adapters unloaded since this one was,
+    /// or `None` if it was never loaded here.
+    pub(super) fn record(&mut self, depth: Option<usize>, duration: Millis) {
+        let duration_ms = duration.as_secs() * 1_000.0;
+        let cached = self
+            .store_ms
+            .is_some_and(|s| duration_ms < s * CACHED_LOAD_RATIO);
+        if cached {
+            update_mean(&mut self.cached_ms, duration_ms);
         } else {
-            blend(&mut self.store, span);
-            self.pace(span);
+            update_mean(&mut self.store_ms, duration_ms);
+            self.adjust_window(duration_ms);
         }
         let Some(depth) = depth else {
             return;
         };
-        let keeps = self.keeps.unwrap_or(depth);
-        self.keeps = Some(match fast {
-            true => keeps.max(depth + 1),
-            // One slow load may have had another cause: half of the way.
-            false if depth < keeps => depth + (keeps - depth) / 2,
-            false => keeps,
+        let cache_size = self.cache_size.unwrap_or(depth);
+        self.cache_size = Some(match cached {
+            true => cache_size.max(depth + 1),
+            // A single slow load may have another cause, so the size moves only half of the way.
+            false if depth < cache_size => depth + (cache_size - depth) / 2,
+            false => cache_size,
         });
     }
 
-    /// Loads from the store that may be under way at once. The store shares its pace among all engines:
-    /// where it is asked for more than that, each load takes longer, and those asked for first come no
-    /// sooner than the last. One after the other the same number comes in the same time, the most wanted
-    /// first.
+    /// Allowed number of concurrent loads from the store. All engines share the store's bandwidth: beyond it,
+    /// each load takes longer, and the loads requested first finish no earlier than the last. Loading one
+    /// after the other takes the same total time and finishes the most requested adapters first.
     pub(super) fn window(&self) -> usize {
-        let window = whole(Some(WINDOW_FIRST + self.window));
+        let window = to_millis(Some(INITIAL_WINDOW + self.extra_window));
         usize::try_from(window.0).unwrap_or(1)
     }
 
-    /// The engine started again, most likely with others.
-    pub(super) fn restarted(&mut self) {
-        self.window = 0.0;
+    /// Resets the window after a restart of the engine: other engines have probably restarted as well.
+    pub(super) fn engine_restarted(&mut self) {
+        self.extra_window = 0.0;
     }
 
-    fn pace(&mut self, span: f64) {
-        let least = self.least.map_or(span, |l| (l * (1.0 + FORGET)).min(span));
-        self.least = Some(least);
-        self.window = if span <= least * UNHURRIED {
-            (self.window + WIDER).min(WINDOW_MOST - WINDOW_FIRST)
+    fn adjust_window(&mut self, duration_ms: f64) {
+        let shortest_ms = self.shortest_ms.map_or(duration_ms, |l| {
+            (l * (1.0 + SHORTEST_GROWTH)).min(duration_ms)
+        });
+        self.shortest_ms = Some(shortest_ms);
+        self.extra_window = if duration_ms <= shortest_ms * UNCONGESTED_RATIO {
+            (self.extra_window + WINDOW_INCREASE).min(MAX_WINDOW - INITIAL_WINDOW)
         } else {
-            self.window * NARROWER
+            self.extra_window * WINDOW_DECREASE
         };
     }
 
-    /// Takes in what was learned at the engine's peers, where nothing was learned here.
-    pub(super) fn hint(&mut self, peers: &EngineTraits) {
-        let span = |ms: u64| (ms > 0).then(|| Millis(ms).as_secs() * 1_000.0);
-        self.store = self.store.or(span(peers.load_ms));
-        self.host = self.host.or(span(peers.kept_ms));
-        let keeps = (peers.keeps > 0).then_some(peers.keeps as usize);
-        self.keeps = self.keeps.or(keeps);
+    /// Uses the traits of the engine's peers for what has not been learned here.
+    pub(super) fn set_peer_traits(&mut self, peers: &EngineTraits) {
+        let duration_ms = |ms: u64| (ms > 0).then(|| Millis(ms).as_secs() * 1_000.0);
+        self.store_ms = self.store_ms.or(duration_ms(peers.load_ms));
+        self.cached_ms = self.cached_ms.or(duration_ms(peers.kept_ms));
+        let cache_size = (peers.keeps > 0).then_some(peers.keeps as usize);
+        self.cache_size = self.cache_size.or(cache_size);
     }
 
-    /// Expected time of a load from the weight store; 0 before the first.
-    pub(super) fn store(&self) -> Millis {
-        whole(self.store)
+    /// Expected load time from the weight store; 0 before the first load.
+    pub(super) fn from_store(&self) -> Millis {
+        to_millis(self.store_ms)
     }
 
-    /// Expected time of a load from the host's memory; 0 before the first.
-    pub(super) fn host(&self) -> Millis {
-        whole(self.host)
+    /// Expected load time from host memory; 0 before the first load.
+    pub(super) fn from_cache(&self) -> Millis {
+        to_millis(self.cached_ms)
     }
 
-    /// Adapters that the host keeps beside those held; `None` before any was held again.
-    pub(super) fn keeps(&self) -> Option<usize> {
-        self.keeps
+    /// Number of adapters that the host caches in addition to the loaded ones; `None` before an adapter was
+    /// loaded a second time.
+    pub(super) fn cache_size(&self) -> Option<usize> {
+        self.cache_size
     }
 }
 
-fn blend(mean: &mut Option<f64>, sample: f64) {
+fn update_mean(mean: &mut Option<f64>, sample: f64) {
     let old = mean.unwrap_or(sample);
-    *mean = Some(old + NEW * (sample - old));
+    *mean = Some(old + NEWEST_WEIGHT * (sample - old));
 }
 
 #[allow(
@@ -126,6 +134,6 @@
     clippy::cast_sign_loss,
     reason = "a span far below 2^52 ms"
 )]
-fn whole(span: Option<f64>) -> Millis {
-    Millis(span.unwrap_or_default() as u64)
+fn to_millis(ms: Option<f64>) -> Millis {
+    Millis(ms.unwrap_or_default() as u64)
 }
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -1,14 +1,15 @@
-//! Decisions where reading prompts is the scarce work and adapters have few places.
+//! Scheduling for deployments in which prefill is the bottleneck and engines have few adapter slots.
 //!
-//! Reading one prompt takes an engine as long as dozens of steps of a full batch. Load is therefore
-//! counted in prompt tokens that wait to be read, never in requests. How fast an engine reads and loads
-//! is learned from it alone; no figure of any engine stands here.
+//! The prefill of one prompt takes an engine as long as dozens of decode steps of a full batch. Load is
+//! therefore measured in prompt tokens that wait for prefill, not in requests. Prefill rates and load times
+//! are learned from each engine; this module contains no figures of particular engines.
 //!
-//! [`TurnScheduler`] is the side's part: which adapters its engine holds, whose turn it is, who is refused.
-//! [`RelaySelector`] says who gathers the figures of many engines.
+//! The agent of an engine uses [`TurnScheduler`], which manages the adapters of its engine and decides which
+//! requests are sent, wait or are refused. [`RelaySelector`] selects the agent that collects the figures of
+//! many engines.
 //!
-//! [`EngineChoice`] and [`TurnSearch`] are the entry's: which engine to ask, and where to wait. [`UpstreamStats`] places plain requests, and
-//! [`RepeatWindow`] bounds what is sent more than once.
+//! The gateway uses [`EngineChoice`] and [`TurnSearch`] to decide which engine to ask and where to wait,
+//! [`UpstreamStats`] to choose among upstreams without adapters, and [`RepeatWindow`] to limit repeated sends.
 
 mod demand;
 mod engine;
--- a/crates/policy/src/prompt/places.rs
+++ b/crates/policy/src/prompt/places.rs
@@ -1,39 +1,39 @@
-//! The places for adapters of one engine, and the orders that fill and free them.
+//! Adapter slots of one engine, and the orders that load and unload adapters.
 //!
-//! One order is out at a time and names the sequence that the engine must be at. An order without an
-//! answer may still be carried out: until the engine's sequence has moved on, its adapter counts as
-//! taking a place and as not to be used.
+//! Only one order is outstanding at a time. It names the sequence that the engine must be at. An order
+//! without an answer may still be carried out: until the engine's sequence has advanced, its adapter counts
+//! as occupying a slot and as unusable.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use pumicecleat_types::{EngineTraits, Millis};
 
-use super::demand::Demand;
+use super::demand::AdapterDemand;
 use super::loads::LoadTimes;
 
-/// Adapters that may be on their way to an engine at once.
-const LOADS: usize = 4;
+/// Maximum number of adapters that an engine loads at the same time.
+const MAX_LOADS: usize = 4;
 
-/// Time for which reports at a lower sequence are taken for older than our last order; one that comes
-/// later is right, and we counted an order that was not.
-const SEQUENCE_SPAN: Millis = Millis(1_000);
+/// Time for which reports with a lower sequence are considered older than the last counted order. A later
+/// report is right, and the order was counted by mistake.
+const STALE_REPORT_TIME: Millis = Millis(1_000);
 
-/// Time that an unload which waits for runs is waited for before another adapter makes way: most
+/// Time for which an unload that waits for running requests blocks the eviction of another adapter. Most
 /// streams end within it.
-const LEAVE_SPAN: Millis = Millis(400);
+const UNLOAD_WAIT_TIME: Millis = Millis(400);
 
-/// Time for which an order may be on its way to an engine: the deployments' are carried out up to 12 s
+/// Time for which an order may still reach an engine. In the deployments, orders are carried out up to 12 s
 /// late.
-const STRAY_SPAN: Millis = Millis(15_000);
+const LATE_ORDER_TIME: Millis = Millis(15_000);
 
-/// Adapters given up that are remembered: more than a host with memory for a few base models keeps,
-/// and a message of a few KB.
-const REMEMBERED: usize = 256;
+/// Maximum number of remembered unloaded adapters: more than a host with memory for a few base models
+/// caches, and a message of a few KB.
+const MAX_UNLOADED: usize = 256;
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOrder {
-    /// Load a base model.
+    /// Load the base model.
     LoadBase,
     /// Load an adapter, or replace it by this version.
     Load {
@@ -49,176 +49,180 @@
     },
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being carried out.
+    /// The order is being carried out.
     Accepted,
-    /// What it asks for holds already, or is done.
+    /// The order is complete, or the requested state already held.
     Done,
     /// The engine is at another sequence, or busy; nothing was done.
     Conflict,
-    /// The engine did not take it; nothing was done.
+    /// The engine rejected the order; nothing was done.
     Refused,
     /// The engine is not the instance that the order named; nothing was done.
     Misdirected,
-    /// No answer: it may be carried out, now or later.
+    /// No answer: the order may be carried out, now or later.
     Unknown,
 }
 
-/// An adapter in its place.
+/// A loaded adapter.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Loaded {
     version: u64,
-    used: Millis,
+    last_used: Millis,
 }
 
-/// An adapter on its way.
+/// A load in progress.
 #[derive(Clone, Copy, Debug, Default)]
-struct Coming {
-    /// When its load was accepted, if that is known.
+struct PendingLoad {
+    /// When the order was accepted, if known.
     since: Option<Millis>,
-    /// Adapters given up since it was, if it was.
+    /// Number of adapters unloaded since this one was; `None` if it was never loaded here.
     depth: Option<usize>,
-    /// Comes from the weight store, as far as is known.
-    fetched: bool,
+    /// The adapter comes from the weight store, as far as is known.
+    from_store: bool,
 }
 
-/// An order that is out, or of which nobody knows what became.
+/// An order without an answer so far, or whose outcome is unknown.
 #[derive(Clone, Debug)]
-struct Out {
+struct OutstandingOrder {
     order: EngineOrder,
     sequence: u64,
-    /// Its exchange has ended without an answer.
+    /// The exchange has ended without an answer.
     unknown: bool,
 }
 
-/// Places of one engine.
+/// Adapter slots of one engine.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Places {
-    most: usize,
-    held: BTreeMap<String, Held>,
-    /// Adapters that the engine holds no more, latest first: its host keeps some of them.
-    given_up: VecDeque<String>,
-    times: LoadTimes,
-    loading: BTreeMap<String, Coming>,
-    /// Ordered out of the engine, which still runs requests for them: places taken, and not to be
-    /// used.
-    leaving: BTreeSet<String>,
-    out: Option<Out>,
-    /// Sequences named by loads that may still reach the engine from before its last start, and until
-    /// when.
-    strays: Vec<(u64, Millis)>,
+pub(super) struct AdapterSlots {
+    capacity: usize,
+    loaded: BTreeMap<String, Loaded>,
+    /// Adapters that were unloaded, latest first. The host caches some of them.
+    unloaded: VecDeque<String>,
+    load_times: LoadTimes,
+    loading: BTreeMap<String, PendingLoad>,
+    /// Adapters whose unload was accepted while the engine still runs requests for them. They occupy a slot
+    /// and can't be used.
+    unloading: BTreeSet<String>,
+    outstanding: Option<OutstandingOrder>,
+    /// Sequences named by loads that were sent before the engine's last start and may still arrive, and the
+    /// time until which they may.
+    late_loads: Vec<(u64, Millis)>,
     sequence: u64,
-    /// Last order that was counted as carried out.
-    counted: Millis,
-    /// What the engine holds is in doubt until its next report.
-    doubt: bool,
-    demand: Demand,
+    /// When an order was last counted as carried out.
+    last_counted: Millis,
+    /// The state of the engine is uncertain until its next report.
+    needs_report: bool,
+    demand: AdapterDemand,
 }
 
-impl Places {
-    pub(super) fn new(most: u32) -> Self {
+impl AdapterSlots {
+    pub(super) fn new(capacity: u32) -> Self {
         Self {
-            most: most as usize,
+            capacity: capacity as usize,
             ..Self::default()
         }
     }
 
-    pub(super) fn resize(&mut self, most: u32) {
-        self.most = most as usize;
+    pub(super) fn set_capacity(&mut self, capacity: u32) {
+        self.capacity = capacity as usize;
     }
 
-    /// Takes in what was learned of loads at the engine's peers.
-    pub(super) fn hint(&mut self, peers: &EngineTraits) {
-        self.times.hint(peers);
+    /// Sets the load times learned at the engine's peers.
+    pub(super) fn set_peer_traits(&mut self, peers: &EngineTraits) {
+        self.load_times.set_peer_traits(peers);
     }
 
-    /// What was learned of loads here.
-    pub(super) fn times(&self) -> &LoadTimes {
-        &self.times
+    /// Load times learned at this engine.
+    pub(super) fn load_times(&self) -> &LoadTimes {
+        &self.load_times
     }
 
-    /// Expected time of a load of `adapter`; 0 before anything is known.
+    /// Expected load time of `adapter`; 0 while nothing is known.
     pub(super) fn load_time(&self, adapter: &str) -> Millis {
-        if self.kept().any(|name| name == adapter) {
-            return self.times.host();
+        if self.cached().any(|name| name == adapter) {
+            return self.load_times.from_cache();
         }
-        self.times.store()
+        self.load_times.from_store()
     }
 
-    /// Takes in what the engine reports.
-    pub(super) fn observe(
+    /// Applies the adapters and the sequence of an engine's report.
+    pub(super) fn apply_report(
         &mut self,
         sequence: u64,
-        held: &[(String, u64)],
+        loaded: &[(String, u64)],
         loading: &[(String, u64)],
         now: Millis,
     ) {
-        if self.out.as_ref().is_some_and(|o| !o.unknown) {
-            // The report may be from before the order or after it; the next one tells.
+        if self.outstanding.as_ref().is_some_and(|o| !o.unknown) {
+            // The report may be from before or after the order; the next report is conclusive.
             return;
         }
-        if sequence < self.sequence && now.since(self.counted) < SEQUENCE_SPAN {
+        if sequence < self.sequence && now.since(self.last_counted) < STALE_REPORT_TIME {
             return;
         }
-        self.doubt = false;
-        if self.out.as_ref().is_some_and(|o| sequence > o.sequence) {
-            self.out = None;
+        self.needs_report = false;
+        if self
+            .outstanding
+            .as_ref()
+            .is_some_and(|o| sequence > o.sequence)
+        {
+            self.outstanding = None;
         }
         self.sequence = sequence;
-        self.strays
+        self.late_loads
             .retain(|(named, until)| *named >= sequence && now < *until);
-        let used = |name: &str| self.held.get(name).map_or(now, |h| h.used);
-        let held = held.iter().map(|(name, version)| {
-            let slot = Held {
+        let last_used = |name: &str| self.loaded.get(name).map_or(now, |h| h.last_used);
+        let loaded = loaded.iter().map(|(name, version)| {
+            let slot = Loaded {
                 version: *version,
-                used: used(name),
+                last_used: last_used(name),
             };
             (name.clone(), slot)
         });
-        let held: BTreeMap<String, Held> = held.collect();
-        let dropped: Vec<String> = self.held.keys().cloned().collect();
-        self.held = held;
-        for name in dropped {
-            self.give_up(name);
+        let loaded: BTreeMap<String, Loaded> = loaded.collect();
+        let previous: Vec<String> = self.loaded.keys().cloned().collect();
+        self.loaded = loaded;
+        for name in previous {
+            self.remember_unloaded(name);
         }
-        self.take_loads(loading, now);
-        self.given_up.retain(|name| !self.held.contains_key(name));
-        self.leaving.retain(|name| self.held.contains_key(name));
+        self.apply_loading(loading, now);
+        self.unloaded.retain(|name| !self.loaded.contains_key(name));
+        self.unloading.retain(|name| self.loaded.contains_key(name));
     }
 
-    /// Takes in what is still on its way, and how long that took which is held now.
-    fn take_loads(&mut self, loading: &[(String, u64)], now: Millis) {
-        let before = std::mem::take(&mut self.loading);
-        for (name, coming) in &before {
-            let since = coming.since.filter(|_| self.held.contains_key(name));
+    /// Updates the loads in progress, and records the durations of those that are complete.
+    fn apply_loading(&mut self, loading: &[(String, u64)], now: Millis) {
+        let previous = std::mem::take(&mut self.loading);
+        for (name, load) in &previous {
+            let since = load.since.filter(|_| self.loaded.contains_key(name));
             if let Some(since) = since {
-                self.times.took(coming.depth, now.since(since));
+                self.load_times.record(load.depth, now.since(since));
             }
         }
         let rows = loading.iter().map(|(name, _)| {
-            let coming = before.get(name).copied().unwrap_or_default();
-            (name.clone(), coming)
+            let load = previous.get(name).copied().unwrap_or_default();
+            (name.clone(), load)
         });
         self.loading = rows.collect();
     }
 
-    /// Notes that the engine holds `name` no more, if so.
-    fn give_up(&mut self, name: String) {
-        if self.held.contains_key(&name) {
+    /// Adds `name` to the unloaded adapters unless it is still loaded.
+    fn remember_unloaded(&mut self, name: String) {
+        if self.loaded.contains_key(&name) {
             return;
         }
-        self.given_up.retain(|n| *n != name);
-        self.given_up.push_front(name);
-        self.given_up.truncate(REMEMBERED);
+        self.unloaded.retain(|n| *n != name);
+        self.unloaded.push_front(name);
+        self.unloaded.truncate(MAX_UNLOADED);
     }
 
-    /// Adapters that the host's memory keeps beside those held, as far as is known: before any was
-    /// loaded again, as many as there are places.
-    pub(super) fn kept(&self) -> impl Iterator<Item = &String> {
-        let keeps = self.times.keeps().unwrap_or(self.most);
-        self.given_up.iter().take(keeps)
+    /// Adapters that the host probably caches in memory in addition to the loaded ones. The cache size counts
+    /// as the number of slots until an adapter has been loaded a second time.
+    pub(super) fn cached(&self) -> impl Iterator<Item = &String> {
+        let cache_size = self.load_times.cache_size().unwrap_or(self.capacity);
+        self.unloaded.iter().take(cache_size)
     }
 
     /// Sequence that the next order must name.
@@ -228,87 +232,87 @@
 
     /// Version of an adapter that requests may use now.
     pub(super) fn usable(&self, adapter: &str) -> Option<u64> {
-        let leaving = self.out.as_ref().is_some_and(|o| match &o.order {
+        let unloading = self.outstanding.as_ref().is_some_and(|o| match &o.order {
             EngineOrder::Unload { adapter: a } | EngineOrder::Load { adapter: a, .. } => {
                 a == adapter
             }
             EngineOrder::LoadBase => true,
         });
-        let leaving = leaving || self.leaving.contains(adapter);
-        if leaving || self.loading.contains_key(adapter) {
+        let unloading = unloading || self.unloading.contains(adapter);
+        if unloading || self.loading.contains_key(adapter) {
             return None;
         }
-        self.held.get(adapter).map(|h| h.version)
+        self.loaded.get(adapter).map(|h| h.version)
     }
 
-    pub(super) fn is_held(&self, adapter: &str) -> bool {
-        self.held.contains_key(adapter)
+    pub(super) fn is_loaded(&self, adapter: &str) -> bool {
+        self.loaded.contains_key(adapter)
     }
 
-    pub(super) fn is_coming(&self, adapter: &str) -> bool {
+    pub(super) fn is_loading(&self, adapter: &str) -> bool {
         self.loading.contains_key(adapter)
-            || self.out.as_ref().is_some_and(
+            || self.outstanding.as_ref().is_some_and(
                 |o| matches!(&o.order, EngineOrder::Load { adapter: a, .. } if a == adapter),
             )
     }
 
-    pub(super) fn held(&self) -> impl Iterator<Item = (&String, u64)> {
-        self.held.iter().map(|(name, h)| (name, h.version))
+    pub(super) fn loaded(&self) -> impl Iterator<Item = (&String, u64)> {
+        self.loaded.iter().map(|(name, h)| (name, h.version))
     }
 
-    pub(super) fn coming(&self) -> impl Iterator<Item = &String> {
+    pub(super) fn loading(&self) -> impl Iterator<Item = &String> {
         self.loading.keys()
     }
 
-    pub(super) fn hit(&mut self, adapter: &str, now: Millis) {
-        if let Some(held) = self.held.get_mut(adapter) {
-            held.used = now;
+    pub(super) fn record_request(&mut self, adapter: &str, now: Millis) {
+        if let Some(loaded) = self.loaded.get_mut(adapter) {
+            loaded.last_used = now;
         }
-        self.demand.hit(adapter, now);
+        self.demand.record(adapter, now);
     }
 
-    /// Places that a further adapter could take, now or after an eviction.
-    pub(super) fn spare(&self, in_use: &BTreeSet<&str>) -> u32 {
-        let idle = |name: &&String| {
-            !in_use.contains(name.as_str()) && !self.leaving.contains(name.as_str())
+    /// Number of slots that another adapter could take, now or after an eviction.
+    pub(super) fn available(&self, in_use: &BTreeSet<&str>) -> u32 {
+        let is_idle = |name: &&String| {
+            !in_use.contains(name.as_str()) && !self.unloading.contains(name.as_str())
         };
-        let idle = self.held.keys().filter(idle).count();
-        let free = self.most.saturating_sub(self.taken());
+        let idle = self.loaded.keys().filter(is_idle).count();
+        let free = self.capacity.saturating_sub(self.occupied());
         u32::try_from(free + idle).unwrap_or(u32::MAX)
     }
 
-    /// Places taken, every order without an answer counted as carried out.
-    fn taken(&self) -> usize {
-        let mut names: BTreeSet<&str> = self.held.keys().map(String::as_str).collect();
-        // A replacement may need a place beside the old version's.
-        let beside = self.loading.keys().filter(|n| names.contains(n.as_str()));
-        let beside = beside.count();
+    /// Number of occupied slots, where each order without an answer counts as carried out.
+    fn occupied(&self) -> usize {
+        let mut names: BTreeSet<&str> = self.loaded.keys().map(String::as_str).collect();
+        // A replacement may need a slot in addition to that of the old version.
+        let replacing = self.loading.keys().filter(|n| names.contains(n.as_str()));
+        let replacing = replacing.count();
         names.extend(self.loading.keys().map(String::as_str));
-        let lost = match self.out.as_ref().map(|o| &o.order) {
+        let outstanding_loads = match self.outstanding.as_ref().map(|o| &o.order) {
             Some(EngineOrder::Load { .. }) => 1,
             _ => 0,
         };
-        names.len() + beside + lost + self.strays.len()
+        names.len() + replacing + outstanding_loads + self.late_loads.len()
     }
 
-    /// Next order towards holding `adapter` at `version`, if one may be given now.
+    /// Next order on the way to loading `adapter` at `version`, if an order may be sent now.
     pub(super) fn order_for(
         &self,
         adapter: &str,
         version: u64,
         in_use: &BTreeSet<&str>,
-        wanted: &BTreeSet<&str>,
+        requested: &BTreeSet<&str>,
         now: Millis,
     ) -> Option<EngineOrder> {
-        if !self.may_order() || self.is_coming(adapter) || self.leaving.contains(adapter) {
+        if !self.may_order() || self.is_loading(adapter) || self.unloading.contains(adapter) {
             return None;
         }
-        let held = self.held.contains_key(adapter);
-        if held && in_use.contains(adapter) {
-            // Its runs end on the version that they began on.
+        let loaded = self.loaded.contains_key(adapter);
+        if loaded && in_use.contains(adapter) {
+            // Running requests finish with the version that they started with.
             return None;
         }
-        if self.taken() < self.most {
+        if self.occupied() < self.capacity {
             if !self.may_load(adapter) {
                 return None;
             }
@@ -317,117 +321,119 @@
                 version: (version > 0).then_some(version),
             });
         }
-        if !self.leaving.is_empty() && now.since(self.counted) < LEAVE_SPAN {
+        if !self.unloading.is_empty() && now.since(self.last_counted) < UNLOAD_WAIT_TIME {
             return None;
         }
-        let victim = if held {
+        let victim = if loaded {
             Some(adapter.to_owned())
         } else {
-            self.victim(in_use, wanted, now)
+            self.eviction_victim(in_use, requested, now)
         };
         victim.map(|adapter| EngineOrder::Unload { adapter })
     }
 
-    /// Whether one more load may be under way.
+    /// Whether one more load may be started.
     fn may_load(&self, adapter: &str) -> bool {
-        let kept = self.kept().any(|name| name == adapter);
-        let fetched = self.loading.values().filter(|c| c.fetched).count();
-        self.loading.len() < LOADS && (kept || fetched < self.times.window())
+        let cached = self.cached().any(|name| name == adapter);
+        let from_store = self.loading.values().filter(|c| c.from_store).count();
+        self.loading.len() < MAX_LOADS && (cached || from_store < self.load_times.window())
     }
 
     pub(super) fn may_order(&self) -> bool {
-        self.out.as_ref().is_none_or(|o| o.unknown) && !self.doubt
+        self.outstanding.as_ref().is_none_or(|o| o.unknown) && !self.needs_report
     }
 
-    /// Adapter that is in no use and is asked for least.
-    fn victim(
+    /// Unused adapter with the lowest demand; of equal ones the least recently used.
+    fn eviction_victim(
         &self,
         in_use: &BTreeSet<&str>,
-        wanted: &BTreeSet<&str>,
+        requested: &BTreeSet<&str>,
         now: Millis,
     ) -> Option<String> {
-        let free = |name: &str| {
-            !in_use.contains(name) && !wanted.contains(name) && !self.leaving.contains(name)
+        let is_unused = |name: &str| {
+            !in_use.contains(name) && !requested.contains(name) && !self.unloading.contains(name)
         };
-        let idle = self.held.iter().filter(|(name, _)| free(name));
-        let asked = |name: &str| self.demand.of(name, now);
-        let least = idle.min_by(|a, b| {
-            let counts = asked(a.0).total_cmp(&asked(b.0));
-            counts.then(a.1.used.cmp(&b.1.used))
+        let unused = self.loaded.iter().filter(|(name, _)| is_unused(name));
+        let demand = |name: &str| self.demand.recent_count(name, now);
+        let victim = unused.min_by(|a, b| {
+            let by_demand = demand(a.0).total_cmp(&demand(b.0));
+            by_demand.then(a.1.last_used.cmp(&b.1.last_used))
         });
-        least.map(|(name, _)| name.clone())
+        victim.map(|(name, _)| name.clone())
     }
 
-    /// An order goes out.
-    pub(super) fn ordered(&mut self, order: EngineOrder) {
-        self.out = Some(Out {
+    /// Records that an order is sent.
+    pub(super) fn order_sent(&mut self, order: EngineOrder) {
+        self.outstanding = Some(OutstandingOrder {
             order,
             sequence: self.sequence,
             unknown: false,
         });
     }
 
-    /// The exchange of the order that is out has ended.
-    pub(super) fn ended(&mut self, end: OrderOutcome, now: Millis) {
-        let Some(mut out) = self.out.take() else {
+    /// Records the outcome of the outstanding order.
+    pub(super) fn order_ended(&mut self, outcome: OrderOutcome, now: Millis) {
+        let Some(mut outstanding) = self.outstanding.take() else {
             return;
         };
-        match end {
-            OrderOutcome::Accepted | OrderOutcome::Done => self.carry_out(out.order, end, now),
+        match outcome {
+            OrderOutcome::Accepted | OrderOutcome::Done => {
+                self.apply_order(outstanding.order, outcome, now)
+            }
             OrderOutcome::Conflict | OrderOutcome::Refused | OrderOutcome::Misdirected => {
-                self.doubt = true
+                self.needs_report = true
             }
             OrderOutcome::Unknown => {
-                out.unknown = true;
-                self.out = Some(out);
-                self.doubt = true;
+                outstanding.unknown = true;
+                self.outstanding = Some(outstanding);
+                self.needs_report = true;
             }
         }
     }
 
-    fn carry_out(&mut self, order: EngineOrder, end: OrderOutcome, now: Millis) {
-        match (order, end) {
+    fn apply_order(&mut self, order: EngineOrder, outcome: OrderOutcome, now: Millis) {
+        match (order, outcome) {
             (EngineOrder::Load { adapter, .. }, OrderOutcome::Accepted) => {
-                let coming = Coming {
+                let load = PendingLoad {
                     since: Some(now),
-                    depth: self.given_up.iter().position(|n| *n == adapter),
-                    fetched: !self.kept().any(|n| *n == adapter),
+                    depth: self.unloaded.iter().position(|n| *n == adapter),
+                    from_store: !self.cached().any(|n| *n == adapter),
                 };
-                self.loading.insert(adapter, coming);
+                self.loading.insert(adapter, load);
             }
             (EngineOrder::Unload { adapter }, OrderOutcome::Accepted) => {
-                self.leaving.insert(adapter);
+                self.unloading.insert(adapter);
             }
             (EngineOrder::Unload { adapter }, _) => {
-                self.held.remove(&adapter);
-                self.give_up(adapter);
+                self.loaded.remove(&adapter);
+                self.remember_unloaded(adapter);
             }
-            // It held already, and whether that counts as an order only the next report tells.
+            // The adapter was already loaded; only the next report shows whether the sequence advanced.
             (EngineOrder::Load { .. }, _) => {
-                self.doubt = true;
+                self.needs_report = true;
                 return;
             }
-            (EngineOrder::LoadBase, _) => self.doubt = true,
+            (EngineOrder::LoadBase, _) => self.needs_report = true,
         }
         self.sequence += 1;
-        self.counted = now;
+        self.last_counted = now;
     }
 
-    /// Another instance stands in the engine's place, or the engine started again. A load that was out
-    /// may still arrive, and is carried out if the sequence comes to what it names.
+    /// Resets the state after a restart or replacement of the engine. An outstanding load may still arrive,
+    /// and is carried out once the engine reaches the sequence that the load names.
     pub(super) fn reset(&mut self, now: Millis) {
-        let out = self.out.take();
-        let load = out.filter(|o| matches!(o.order, EngineOrder::Load { .. }));
-        let mut strays = std::mem::take(&mut self.strays);
-        strays.extend(load.map(|o| (o.sequence, now + STRAY_SPAN)));
+        let outstanding = self.outstanding.take();
+        let load = outstanding.filter(|o| matches!(o.order, EngineOrder::Load { .. }));
+        let mut late_loads = std::mem::take(&mut self.late_loads);
+        late_loads.extend(load.map(|o| (o.sequence, now + LATE_ORDER_TIME)));
         let demand = std::mem::take(&mut self.demand);
-        let mut times = std::mem::take(&mut self.times);
-        times.restarted();
+        let mut load_times = std::mem::take(&mut self.load_times);
+        load_times.engine_restarted();
         *self = Self {
-            most: self.most,
+            capacity: self.capacity,
             demand,
-            times,
-            strays,
+            load_times,
+            late_loads,
             ..Self::default()
         };
     }
--- a/crates/policy/src/prompt/repeat.rs
+++ b/crates/policy/src/prompt/repeat.rs
@@ -1,25 +1,25 @@
-//! Bound on what is sent more than once, over a sliding window.
+//! Limit on repeated sends of requests, over a sliding window.
 //!
-//! Several entries share one bound without a word between them: each keeps to the ratio over its own
-//! requests, and to its part of the slack. The sum over all then keeps the bound, however the
-//! requests are spread.
+//! Several gateways share one limit without communication: each keeps to the ratio over its own requests and
+//! to its share of the slack. The sum over all gateways then keeps to the limit, whatever the distribution of
+//! the requests.
 
 use std::collections::VecDeque;
 
 use pumicecleat_types::Millis;
 
-/// Bound of a [`RepeatWindow`].
+/// Limit of a [`RepeatWindow`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatOptions {
     /// Length of the window.
     pub window: Millis,
-    /// Repeats allowed for each request of the window.
+    /// Allowed repeats per request in the window.
     pub ratio: f64,
-    /// Repeats allowed beside, of this process alone.
+    /// Allowed repeats of this process in addition to the ratio.
     pub slack: f64,
 }
 
-/// Requests and repeats of the last window.
+/// Requests and repeats in the current window.
 #[derive(Clone, Debug)]
 pub struct RepeatWindow {
     options: RepeatOptions,
@@ -28,7 +28,7 @@
 }
 
 impl RepeatWindow {
-    /// Window in which nothing was sent.
+    /// Creates an empty window.
     #[must_use]
     pub fn new_ext(options: RepeatOptions) -> Self {
         Self {
@@ -38,21 +38,21 @@
         }
     }
 
-    /// Takes a new bound; what is counted stays.
+    /// Replaces the options; counted requests and repeats are kept.
     pub fn set_options(&mut self, options: RepeatOptions) {
         self.options = options;
     }
 
     /// Counts a request.
     pub fn record_request(&mut self, now: Millis) {
-        self.settle(now);
+        self.drop_expired(now);
         self.requests.push_back(now);
     }
 
-    /// Counts one more send of a request, if the bound allows it.
+    /// Counts a repeated send if the limit allows it, and returns whether it does.
     #[must_use]
     pub fn try_repeat(&mut self, now: Millis) -> bool {
-        self.settle(now);
+        self.drop_expired(now);
         let allowed = self.allowed();
         if approximate(self.repeats.len()) + 1.0 > allowed {
             return false;
@@ -61,10 +61,10 @@
         true
     }
 
-    /// Repeats that are left now.
+    /// Number of repeats that are still allowed now.
     #[must_use]
     pub fn remaining(&mut self, now: Millis) -> f64 {
-        self.settle(now);
+        self.drop_expired(now);
         self.allowed() - approximate(self.repeats.len())
     }
 
@@ -72,7 +72,7 @@
         self.options.ratio * approximate(self.requests.len()) + self.options.slack
     }
 
-    fn settle(&mut self, now: Millis) {
+    fn drop_expired(&mut self, now: Millis) {
         let window = self.options.window;
         for list in [&mut self.requests, &mut self.repeats] {
             while list.front().is_some_and(|at| now.since(*at) > window) {
--- a/crates/policy/src/prompt/search.rs
+++ b/crates/policy/src/prompt/search.rs
@@ -1,74 +1,76 @@
-//! The entry's search for a turn: engines that must answer at once, then one that is waited at.
+//! Order in which a gateway asks engines for a turn: first several that have to answer at once, then one at
+//! which the request waits.
 //!
-//! Places for adapters are the scarce good where streams last for seconds, and what an entry knows of
-//! them is a fifth of a second old. An engine that has none refuses at once, in the time of one exchange;
-//! only when some have, the request waits, at the best of all and for as long as its caller does. Its
-//! place in one line is kept: it does not begin anew at the end of another.
+//! Where streams last for seconds, adapter slots are scarce, and what a gateway knows about them is a fifth
+//! of a second old. An engine without an available slot refuses immediately, within one exchange. Only when
+//! several engines have refused, the request waits at the best engine for as long as its caller does. It
+//! keeps its position in that engine's queue and doesn't start again at the end of another.
 
 use std::collections::BTreeSet;
 
-/// Engines that are asked to answer at once. Of requests for rare adapters 0.949 had their first event in
-/// time, and 0.926 where each waited at the first engine (`prompt_load`); with ten asked, 4 in 100 more
-/// adapters came from the weight store over 16 played days.
-const ASKS: u32 = 6;
+/// Number of engines that have to answer at once. Of requests for rarely used adapters, 0.949 got their first
+/// event in time, and 0.926 if each waited at the first engine (`prompt_load`). With ten engines, 4 in 100
+/// more adapters were loaded from the weight store over 16 simulated days.
+const IMMEDIATE_ASKS: u32 = 6;
 
-/// Search of one request.
+/// Search for an engine on behalf of one request.
 #[derive(Clone, Debug, Default)]
 pub struct TurnSearch {
     asks: u32,
-    /// Had no turn to give at once.
+    /// Engines that had no turn available at once.
     refused: BTreeSet<String>,
-    /// Can't serve the request, whatever they have to give.
-    failed: BTreeSet<String>,
+    /// Engines that can't serve the request, even if a turn becomes available.
+    excluded: BTreeSet<String>,
 }
 
 impl TurnSearch {
     /// Whether `instance` may be asked next.
     #[must_use]
     pub fn is_candidate(&self, instance: &str) -> bool {
-        !self.failed.contains(instance) && (self.will_wait() || !self.refused.contains(instance))
+        !self.excluded.contains(instance) && (self.will_wait() || !self.refused.contains(instance))
     }
 
-    /// Whether the next engine asked is the one where the request waits.
+    /// Whether the request waits at the next engine that is asked.
     #[must_use]
     pub fn will_wait(&self) -> bool {
-        self.asks >= ASKS
+        self.asks >= IMMEDIATE_ASKS
     }
 
-    /// Counts an ask; gives whether the request waits there, or `None` if it has waited already.
+    /// Counts an ask. Returns whether the request waits at that engine, or `None` if it has already waited.
     pub fn count_ask(&mut self) -> Option<bool> {
-        if self.asks > ASKS {
+        if self.asks > IMMEDIATE_ASKS {
             return None;
         }
-        let stays = self.will_wait();
+        let waits = self.will_wait();
         self.asks += 1;
-        Some(stays)
+        Some(waits)
     }
 
-    /// No engine is left that could answer at once; gives whether one may still be waited at.
+    /// Ends the immediate asks because no candidate is left. Returns whether the request may still wait at an
+    /// engine that refused.
     pub fn switch_to_waiting(&mut self) -> bool {
-        let left = !self.will_wait() && !self.refused.is_empty();
-        self.asks = self.asks.max(ASKS);
-        left
+        let may_wait = !self.will_wait() && !self.refused.is_empty();
+        self.asks = self.asks.max(IMMEDIATE_ASKS);
+        may_wait
     }
 
-    /// `instance` had no turn to give.
+    /// Records that `instance` had no turn available.
     pub fn record_refusal(&mut self, instance: &str) {
         self.refused.insert(instance.to_owned());
     }
 
-    /// `instance` can't serve the request, or has had it.
+    /// Excludes `instance`, which can't serve the request or has already received it.
     pub fn exclude(&mut self, instance: &str) {
-        self.failed.insert(instance.to_owned());
+        self.excluded.insert(instance.to_owned());
     }
 
-    /// Whether `instance` can't serve the request, or has had it.
+    /// Whether `instance` was excluded.
     #[must_use]
     pub fn is_excluded(&self, instance: &str) -> bool {
-        self.failed.contains(instance)
+        self.excluded.contains(instance)
     }
 
-    /// Begins anew, without those that failed.
+    /// Restarts the search; excluded engines stay excluded.
     pub fn restart(&mut self) {
         self.asks = 0;
         self.refused.clear();
--- a/crates/policy/src/prompt/slots.rs
+++ b/crates/policy/src/prompt/slots.rs
@@ -1,107 +1,107 @@
-//! Choice among the upstreams of a plain service, which have a few slots each.
+//! Choice among the upstreams of a service without adapters, each of which has a few request slots.
 
 use pumicecleat_types::Millis;
 
-/// Time that a recent failure puts an upstream behind its peers. Longer than an answer, shorter
-/// than a caller's patience; a failure after it doubles it.
-const FAILURE_SPAN: Millis = Millis(1_000);
+/// Time for which an upstream is avoided after a failure. Longer than a response, shorter than a caller
+/// waits; each further failure doubles it.
+const FAILURE_BACKOFF: Millis = Millis(1_000);
 
-/// Longest such time: an upstream that fails each time is still tried every few seconds.
-const FAILURE_MOST: Millis = Millis(8_000);
+/// Upper bound of that time: an upstream that always fails is still tried every few seconds.
+const MAX_FAILURE_BACKOFF: Millis = Millis(8_000);
 
-/// Weight of the newest answer in the mean time of answers.
-const NEW: f64 = 0.2;
+/// Weight of the newest response in the mean response time.
+const NEWEST_WEIGHT: f64 = 0.2;
 
-/// What is known of one upstream.
+/// Load of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UpstreamLoad {
-    /// Own requests under way there.
+    /// Requests of this gateway in progress there.
     pub own_requests: u32,
-    /// Requests there by its own word, of all callers, and how old that is.
+    /// Requests of all callers there as the upstream reported them, and the age of that report.
     pub reported: Option<(u32, Millis)>,
-    /// Slots.
+    /// Number of request slots.
     pub slots: u32,
-    /// In another data centre.
+    /// The upstream is in another data centre.
     pub remote: bool,
 }
 
-/// Memory of one upstream's answers.
+/// Response times and recent failures of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UpstreamStats {
-    /// Mean time of an answer, ms; 0 before the first.
-    mean: f64,
+    /// Mean response time, ms; 0 before the first response.
+    mean_response_ms: f64,
     failures: u32,
-    behind: Millis,
+    avoided_until: Millis,
 }
 
 impl UpstreamStats {
-    /// An answer came after `took`.
-    pub fn record_response(&mut self, took: Millis) {
-        let sample = took.as_secs() * 1_000.0;
-        if self.mean == 0.0 {
-            self.mean = sample;
+    /// Records a response that took `duration`.
+    pub fn record_response(&mut self, duration: Millis) {
+        let sample = duration.as_secs() * 1_000.0;
+        if self.mean_response_ms == 0.0 {
+            self.mean_response_ms = sample;
         }
-        self.mean += NEW * (sample - self.mean);
+        self.mean_response_ms += NEWEST_WEIGHT * (sample - self.mean_response_ms);
         self.failures = 0;
-        self.behind = Millis(0);
+        self.avoided_until = Millis(0);
     }
 
-    /// No usable answer came.
+    /// Records that no usable response was received.
     pub fn record_failure(&mut self, now: Millis) {
-        let span = FAILURE_SPAN.0 << self.failures.min(3);
+        let backoff = FAILURE_BACKOFF.0 << self.failures.min(3);
         self.failures += 1;
-        self.behind = now + Millis(span.min(FAILURE_MOST.0));
+        self.avoided_until = now + Millis(backoff.min(MAX_FAILURE_BACKOFF.0));
     }
 
-    /// Whether a recent failure puts it behind its peers.
+    /// Whether the upstream is avoided because of a recent failure.
     #[must_use]
     pub fn has_recent_failure(&self, now: Millis) -> bool {
-        self.behind > now
+        self.avoided_until > now
     }
 
-    /// Mean time of an answer, ms.
+    /// Mean response time, ms.
     #[must_use]
     pub fn mean_response_ms(&self) -> f64 {
-        self.mean
+        self.mean_response_ms
     }
 
-    /// Expected time of an answer, ms, with what a failure adds: lower is better.
+    /// Expected response time, ms, including the cost of a recent failure; lower is better.
     #[must_use]
-    pub fn cost(&self, view: &UpstreamLoad, now: Millis) -> f64 {
-        let told = match view.reported {
-            // Own requests since then are not in it.
-            Some((busy, age)) if age.0 < TOLD_SPAN => busy.max(view.own_requests),
-            _ => view.own_requests,
+    pub fn cost(&self, load: &UpstreamLoad, now: Millis) -> f64 {
+        let requests = match load.reported {
+            // The report does not include requests that this gateway has sent since.
+            Some((busy, age)) if age.0 < MAX_REPORT_AGE_MS => busy.max(load.own_requests),
+            _ => load.own_requests,
         };
-        let slots = f64::from(view.slots.max(1));
-        let mean = if self.mean > 0.0 {
-            self.mean
+        let slots = f64::from(load.slots.max(1));
+        let mean = if self.mean_response_ms > 0.0 {
+            self.mean_response_ms
         } else {
-            FIRST_MEAN
+            DEFAULT_RESPONSE_MS
         };
-        let over = (f64::from(told) + 1.0 - slots).max(0.0);
-        let mut cost = mean * (1.0 + over / slots) + f64::from(told) * CROWD;
-        if view.remote {
-            cost += REMOTE;
+        let excess = (f64::from(requests) + 1.0 - slots).max(0.0);
+        let mut cost = mean * (1.0 + excess / slots) + f64::from(requests) * REQUEST_COST_MS;
+        if load.remote {
+            cost += REMOTE_COST_MS;
         }
         if self.has_recent_failure(now) {
-            cost += BEHIND;
+            cost += FAILURE_COST_MS;
         }
         cost
     }
 }
 
-/// Age up to which an upstream's own figures are believed, ms: a few answers' time.
-const TOLD_SPAN: u64 = 300;
+/// Age up to which the load reported by an upstream is used, ms: the time of a few responses.
+const MAX_REPORT_AGE_MS: u64 = 300;
 
-/// Mean time of an answer before the first one, ms.
-const FIRST_MEAN: f64 = 50.0;
+/// Mean response time before the first response, ms.
+const DEFAULT_RESPONSE_MS: f64 = 50.0;
 
-/// Cost of each request under way, ms: spreads requests over free slots.
-const CROWD: f64 = 4.0;
+/// Cost of each request in progress, ms: spreads requests over free slots.
+const REQUEST_COST_MS: f64 = 4.0;
 
-/// Cost of another data centre, ms: two ways of 1.4 ms.
-const REMOTE: f64 = 3.0;
+/// Cost of an upstream in another data centre, ms: a round trip of two times 1.4 ms.
+const REMOTE_COST_MS: f64 = 3.0;
 
-/// Cost of a recent failure, ms: behind all that work.
-const BEHIND: f64 = 10_000.0;
+/// Cost of a recent failure, ms: ranks the upstream after all that work.
+const FAILURE_COST_MS: f64 = 10_000.0;
--- a/crates/policy/src/prompt/turns/admit.rs
+++ b/crates/policy/src/prompt/turns/admit.rs
@@ -1,118 +1,128 @@
-//! Refusals: at once where a first event can't be promised, with a time to come back.
+//! Refusal of requests whose first event can't be expected in time, with a time after which to retry.
 
 use std::collections::BTreeSet;
 
 use pumicecleat_types::{Millis, TurnRefusal};
 
-use super::{BaseLocation, Condition, TurnAction, TurnScheduler, Waiting};
+use super::{BaseLocation, EngineState, TurnAction, TurnScheduler, WaitingRequest};
 
-/// Share of a caller's patience up to which a first event is still promised.
-const PROMISE: f64 = 0.75;
+/// Fraction of the caller's patience within which the first event has to be expected.
+const MAX_PATIENCE_RATIO: f64 = 0.75;
 
-/// Objectives up to which a first event is promised. A request that would be later is better asked
-/// at another engine, or refused while its caller can still come back: a longer queue makes all
-/// behind it late as well.
-const OBJECTIVES: f64 = 3.0;
+/// Number of objectives within which the first event has to be expected. A request that would take longer
+/// should ask another engine, or be refused while its caller can still retry: a longer queue makes all
+/// requests behind it late as well.
+const MAX_OBJECTIVES: f64 = 3.0;
 
-/// Shortest and longest time after which a refused caller is told to come back.
-const RETRY_LEAST: Millis = Millis(200);
-const RETRY_MOST: Millis = Millis(3_000);
+/// Shortest and longest time after which a refused caller is told to retry.
+const MIN_RETRY_AFTER: Millis = Millis(200);
+const MAX_RETRY_AFTER: Millis = Millis(3_000);
 
-/// Expected rest of a load of the base model that takes longer than expected.
-const BASE_LEAST: Millis = Millis(200);
+/// Expected remaining time of a load of the base model that takes longer than expected.
+const MIN_BASE_LOAD_LEFT: Millis = Millis(200);
 
 impl TurnScheduler {
-    /// Refuses what would come too late, or can't come at all.
+    /// Refuses requests that would be too late or can't be served.
     pub(super) fn refuse(&mut self, now: Millis, actions: &mut Vec<TurnAction>) {
-        let mut ahead = self.unread();
+        let mut tokens_ahead = self.outstanding_tokens();
         for turn in self.in_order(now) {
             let waiting = &self.waiting[&turn];
-            let after = ahead + u64::from(waiting.request.prompt_tokens);
-            match self.verdict(waiting, after, now) {
-                None => ahead = after,
-                Some((reason, retry)) => {
+            let tokens_through = tokens_ahead + u64::from(waiting.request.prompt_tokens);
+            match self.refusal(waiting, tokens_through, now) {
+                None => tokens_ahead = tokens_through,
+                Some((reason, retry_after)) => {
                     self.waiting.remove(&turn);
-                    let retry = retry.clamp(RETRY_LEAST, RETRY_MOST);
+                    let retry_after = retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
                     actions.push(TurnAction::Refuse {
                         turn,
                         reason,
-                        retry_after: retry,
+                        retry_after,
                     });
                 }
             }
         }
     }
 
-    /// Whether the request has to be refused, `ahead` tokens being read up to its last.
-    fn verdict(&self, waiting: &Waiting, ahead: u64, now: Millis) -> Option<(TurnRefusal, Millis)> {
+    /// Reason and retry time if the request has to be refused. `tokens` are the prompt tokens up to and
+    /// including those of the request.
+    fn refusal(
+        &self,
+        waiting: &WaitingRequest,
+        tokens: u64,
+        now: Millis,
+    ) -> Option<(TurnRefusal, Millis)> {
         if self.leaving {
-            return Some((TurnRefusal::Leaving, RETRY_LEAST));
+            return Some((TurnRefusal::Leaving, MIN_RETRY_AFTER));
         }
         let Some(ready) = self.ready_in(now) else {
-            return Some((TurnRefusal::NoEngine, RETRY_LEAST));
+            return Some((TurnRefusal::NoEngine, MIN_RETRY_AFTER));
         };
         let waited = now.since(waiting.since);
-        let promise = scaled(waiting.request.patience, PROMISE)
-            .min(scaled(waiting.request.objective, OBJECTIVES));
-        let read = ready + self.read_time(ahead);
-        if waited + read > promise {
-            return Some((TurnRefusal::Late, waited + read - promise));
+        let limit = scale(waiting.request.patience, MAX_PATIENCE_RATIO)
+            .min(scale(waiting.request.objective, MAX_OBJECTIVES));
+        let first_event = ready + self.prefill_time(tokens);
+        if waited + first_event > limit {
+            return Some((TurnRefusal::Late, waited + first_event - limit));
         }
         let load = match &waiting.request.adapter {
             Some(a) if self.usable(a, waiting.request.min_version).is_none() => {
-                let load = self.places.load_time(a);
-                let coming = self.places.is_coming(a);
-                if !coming && !waiting.request.waits_for_slot && !self.has_place(a) {
+                let load = self.slots.load_time(a);
+                let loading = self.slots.is_loading(a);
+                if !loading && !waiting.request.waits_for_slot && !self.has_slot(a) {
                     return Some((TurnRefusal::NoPlace, load));
                 }
                 load
             }
             _ => Millis(0),
         };
-        let own = self.read_time(u64::from(waiting.request.prompt_tokens));
-        (waited + ready + load + own > promise).then_some((TurnRefusal::NoPlace, load))
+        let prefill = self.prefill_time(u64::from(waiting.request.prompt_tokens));
+        (waited + ready + load + prefill > limit).then_some((TurnRefusal::NoPlace, load))
     }
 
-    /// Whether a place can be had for `adapter` now, beside those that others wait for.
-    fn has_place(&self, adapter: &str) -> bool {
-        self.spare_places(Some(adapter)) > 0
+    /// Whether a slot is available for `adapter`, in addition to those that other requests wait for.
+    fn has_slot(&self, adapter: &str) -> bool {
+        self.available_slots(Some(adapter)) > 0
     }
 
-    /// Places that a further adapter could take now, without those that are waited for; `but` is not
-    /// counted among them.
-    pub(super) fn spare_places(&self, but: Option<&str>) -> u32 {
-        let staying = self.waiting.values().filter(|w| w.request.waits_for_slot);
-        let wanted: BTreeSet<&str> = staying
+    /// Slots that another adapter could take now, without those that requests wait for. Requests for `except`
+    /// are ignored.
+    pub(super) fn available_slots(&self, except: Option<&str>) -> u32 {
+        let waiting_for_slot = self.waiting.values().filter(|w| w.request.waits_for_slot);
+        let awaited: BTreeSet<&str> = waiting_for_slot
             .filter_map(|w| w.request.adapter.as_deref())
-            .filter(|a| Some(*a) != but)
-            .filter(|a| !self.places.is_held(a) && !self.places.is_coming(a))
+            .filter(|a| Some(*a) != except)
+            .filter(|a| !self.slots.is_loaded(a) && !self.slots.is_loading(a))
             .collect();
-        let wanted = u32::try_from(wanted.len()).unwrap_or(u32::MAX);
-        self.places.spare(&self.in_use()).saturating_sub(wanted)
+        let awaited = u32::try_from(awaited.len()).unwrap_or(u32::MAX);
+        self.slots
+            .available(&self.adapters_in_use())
+            .saturating_sub(awaited)
     }
 
-    /// Time of a load of the base model.
-    fn base_load(&self) -> Millis {
-        let loads = self.options.base_load_times;
-        match self.copy {
-            BaseLocation::Memory => loads.memory,
-            BaseLocation::Disk => loads.disk,
-            BaseLocation::Store => loads.store,
+    /// Expected load time of the base model.
+    fn base_load_time(&self) -> Millis {
+        let times = self.options.base_load_times;
+        match self.base_location {
+            BaseLocation::Memory => times.memory,
+            BaseLocation::Disk => times.disk,
+            BaseLocation::Store => times.store,
         }
     }
 
-    /// Time until the engine takes requests, if it will.
+    /// Time until the engine accepts requests, or `None` if it is leaving or unknown.
     pub(super) fn ready_in(&self, now: Millis) -> Option<Millis> {
         if self.leaving {
             return None;
         }
         match self.engine {
-            Condition::Unknown => None,
-            Condition::Empty => Some(self.base_load()),
-            Condition::Loading { since } => {
-                Some((since + self.base_load()).since(now).max(BASE_LEAST))
-            }
-            Condition::Ready => Some(Millis(0)),
+            EngineState::Unknown => None,
+            EngineState::NoBase => Some(self.base_load_time()),
+            EngineState::LoadingBase { since } => Some(
+                (since + self.base_load_time())
+                    .since(now)
+                    .max(MIN_BASE_LOAD_LEFT),
+            ),
+            EngineState::Ready => Some(Millis(0)),
         }
     }
 }
@@ -123,6 +133,6 @@
     clippy::cast_sign_loss,
     reason = "a part of a span far below 2^52 ms"
 )]
-fn scaled(span: Millis, part: f64) -> Millis {
-    Millis((span.0 as f64 * part) as u64)
+fn scale(span: Millis, factor: f64) -> Millis {
+    Millis((span.0 as f64 * factor) as u64)
 }
--- a/crates/policy/src/prompt/turns/figures.rs
+++ b/crates/policy/src/prompt/turns/figures.rs
@@ -1,69 +1,69 @@
-//! What is told of an engine.
+//! Figures that describe an engine to the gateways.
 
 use pumicecleat_types::{EngineFigures, EngineTraits, Millis};
 
-use super::{TurnScheduler, Waiting, whole};
+use super::{TurnScheduler, WaitingRequest, to_integer};
 use crate::prompt::engine::AdapterState;
 
 impl TurnScheduler {
-    /// The engine as the entries are told of it.
+    /// Current figures of the engine, as sent to gateways.
     #[must_use]
     pub fn figures(&self, instance: &str, now: Millis) -> EngineFigures {
         let waiting = self.waiting.values();
-        let waiting: u64 = waiting.map(|w| u64::from(w.request.prompt_tokens)).sum();
-        let running = self.runs.len() + self.waiting.len();
+        let waiting_tokens: u64 = waiting.map(|w| u64::from(w.request.prompt_tokens)).sum();
+        let running = self.running.len() + self.waiting.len();
         EngineFigures {
             instance: instance.to_owned(),
             born: 0,
             ready_ms: self.ready_in(now).map(|t| t.0),
-            held: self.places.held().map(|(n, v)| (n.clone(), v)).collect(),
-            loading: self.places.coming().cloned().collect(),
-            spare: self.spare_places(None),
-            unread: self.unread() + waiting,
+            held: self.slots.loaded().map(|(n, v)| (n.clone(), v)).collect(),
+            loading: self.slots.loading().cloned().collect(),
+            spare: self.available_slots(None),
+            unread: self.outstanding_tokens() + waiting_tokens,
             running: u32::try_from(running).unwrap_or(u32::MAX),
             traits: self.traits(),
         }
     }
 
-    /// How fast the engine works, as far as it was learned.
+    /// Learned speed of the engine.
     fn traits(&self) -> EngineTraits {
-        let times = self.places.times();
-        let keeps = times.keeps().unwrap_or_default();
+        let load_times = self.slots.load_times();
+        let cache_size = load_times.cache_size().unwrap_or_default();
         EngineTraits {
-            rate: whole(self.pace.rate().unwrap_or_default()),
-            load_ms: times.store().0,
-            kept_ms: times.host().0,
-            keeps: u32::try_from(keeps).unwrap_or(u32::MAX),
+            rate: to_integer(self.prefill_rate.tokens_per_second().unwrap_or_default()),
+            load_ms: load_times.from_store().0,
+            kept_ms: load_times.from_cache().0,
+            keeps: u32::try_from(cache_size).unwrap_or(u32::MAX),
         }
     }
 
-    /// Adapters that the host's memory keeps beside those that the engine holds.
+    /// Adapters that the host caches in memory in addition to those loaded in the engine.
     #[must_use]
     pub fn cached_adapters(&self) -> Vec<String> {
-        self.places.kept().cloned().collect()
+        self.slots.cached().cloned().collect()
     }
 
-    /// How the engine stands to an adapter.
+    /// State of an adapter at the engine.
     #[must_use]
-    pub fn adapter_state(&self, adapter: &str, version: u64) -> AdapterState {
-        if self.usable(adapter, version).is_some() {
+    pub fn adapter_state(&self, adapter: &str, min_version: u64) -> AdapterState {
+        if self.usable(adapter, min_version).is_some() {
             AdapterState::Loaded
-        } else if self.places.is_coming(adapter) {
+        } else if self.slots.is_loading(adapter) {
             AdapterState::Loading
-        } else if self.places.kept().any(|name| name == adapter) {
+        } else if self.slots.cached().any(|name| name == adapter) {
             AdapterState::Cached
         } else {
             AdapterState::Absent
         }
     }
 
-    /// Whether a request waits for its adapter, so that each report may let it go.
+    /// Whether a request waits for its adapter, so that the next report may allow it to be sent.
     #[must_use]
     pub fn is_waiting_for_adapter(&self) -> bool {
-        let absent = |w: &Waiting| {
+        let is_unusable = |w: &WaitingRequest| {
             let adapter = w.request.adapter.as_deref();
             adapter.is_some_and(|a| self.usable(a, w.request.min_version).is_none())
         };
-        self.waiting.values().any(absent)
+        self.waiting.values().any(is_unusable)
     }
 }
--- a/crates/policy/src/prompt/turns/mod.rs
+++ b/crates/policy/src/prompt/turns/mod.rs
@@ -1,4 +1,6 @@
-//! Turns at one engine: who goes, who waits, who is refused.
+//! Scheduling of the requests for one engine: which request is sent next, which ones wait, which are refused.
+//!
+//! A turn is the permission to send one request to the engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,190 +11,192 @@
 
 use pumicecleat_types::{EngineTraits, Millis};
 
-use super::pace::{Pace, Unread};
-use super::places::{EngineOrder, OrderOutcome, Places};
-use run::Run;
+use super::pace::{Outstanding, PrefillRate};
+use super::places::{AdapterSlots, EngineOrder, OrderOutcome};
+use run::RunningRequest;
 pub use types::{
     BaseLoadTimes, BaseLocation, EngineReport, ReportedRun, TurnAction, TurnId, TurnOptions,
     TurnRequest,
 };
 
-/// Time for which prompts are handed to the engine ahead of their reading: a usual prompt's, and what
-/// the way of a turn takes. More takes the order out of our hands: a request that has little time left
-/// waits behind all that was handed over. Less leaves the engine idle for the way of a turn, some 40 ms.
-const AHEAD: Millis = Millis(150);
+/// Prefill time for which prompts are sent to the engine in advance: that of a usual prompt plus the overhead
+/// of a turn. With more, the scheduler loses control of the order: a request with little time left waits
+/// behind everything already sent. With less, the engine is idle for the overhead of a turn, some 40 ms.
+const PREFILL_AHEAD: Millis = Millis(150);
 
-/// Part of an engine's time that prompts may take. Each step of an engine that reads takes a piece
-/// of a prompt as well: a stream gets a token in 117 ms, and in 11 ms where none is read. Without a
-/// rest streams run into their callers' deadlines, and hold their adapters' places all the while.
-const READING: f64 = 0.85;
+/// Largest fraction of the engine's time that prefill may take. Each step of an engine that prefills also
+/// processes a chunk of a prompt: a stream gets a token every 117 ms, compared with 11 ms without prefill.
+/// Without the remaining time, streams exceed their callers' deadlines and occupy their adapters' slots
+/// meanwhile.
+const MAX_PREFILL_RATIO: f64 = 0.85;
 
-/// Prompts that are out at once before it is known how fast the engine reads: one that is read, and
-/// one behind it.
-const BLIND: usize = 2;
+/// Maximum number of prompts without a first event while the prefill rate is unknown: one in prefill and one
+/// queued behind it.
+const MAX_OUTSTANDING_UNMEASURED: usize = 2;
 
-/// Time after which a request that nobody speaks of any more counts as ended: longer than any
-/// stream of the deployments lasts.
-const FORGET: Millis = Millis(20_000);
+/// Time after which a running request without any news counts as ended: longer than any stream in the
+/// deployments.
+const RUNNING_TIMEOUT: Millis = Millis(20_000);
 
-/// Time that a request may take to show up in the engine's report.
-const SHOWN: Millis = Millis(1_500);
+/// Time that a request may take to appear in the engine's report.
+const REPORT_DELAY: Millis = Millis(1_500);
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingRequest {
     request: TurnRequest,
     since: Millis,
 }
 
-/// How far an engine is.
+/// State of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Condition {
+enum EngineState {
     /// Does not answer.
     Unknown,
-    /// Holds no base model.
-    Empty,
-    /// Loads its base model.
-    Loading {
-        /// Since then.
+    /// Has no base model loaded.
+    NoBase,
+    /// Is loading its base model.
+    LoadingBase {
+        /// When the load was first reported.
         since: Millis,
     },
-    /// Holds its base model.
+    /// Has its base model loaded.
     Ready,
 }
 
-/// Turns at one engine; see the module.
+/// Schedules the requests for one engine.
 #[derive(Clone, Debug)]
 pub struct TurnScheduler {
     options: TurnOptions,
-    places: Places,
-    waiting: BTreeMap<TurnId, Waiting>,
-    runs: BTreeMap<String, Run>,
-    next: u64,
-    engine: Condition,
-    /// Where the weights of its base model were when it had to load it.
-    copy: BaseLocation,
+    slots: AdapterSlots,
+    waiting: BTreeMap<TurnId, WaitingRequest>,
+    running: BTreeMap<String, RunningRequest>,
+    next_id: u64,
+    engine: EngineState,
+    /// Location of the base model's weights when the engine last had no base model.
+    base_location: BaseLocation,
     leaving: bool,
-    newest: BTreeMap<String, u64>,
-    /// When the engine will have read what was handed over, with the rest that is due after it.
-    read: Millis,
-    pace: Pace,
-    /// First events met, in parts of the time expected, that nobody has taken yet.
-    misses: Vec<f64>,
+    newest_versions: BTreeMap<String, u64>,
+    /// When the prefill of all prompts sent so far should be complete, including the time reserved for decoding.
+    prefill_end: Millis,
+    prefill_rate: PrefillRate,
+    /// Measured times to first events as fractions of the expected times, not yet taken.
+    first_event_ratios: Vec<f64>,
 }
 
 impl TurnScheduler {
-    /// Turns at an engine of which nothing is known.
+    /// Creates a scheduler for an engine in an unknown state.
     #[must_use]
     pub fn new_ext(options: TurnOptions) -> Self {
         Self {
             options,
-            places: Places::new(options.adapter_slots),
+            slots: AdapterSlots::new(options.adapter_slots),
             waiting: BTreeMap::new(),
-            runs: BTreeMap::new(),
-            next: 0,
-            engine: Condition::Unknown,
-            copy: BaseLocation::default(),
+            running: BTreeMap::new(),
+            next_id: 0,
+            engine: EngineState::Unknown,
+            base_location: BaseLocation::default(),
             leaving: false,
-            newest: BTreeMap::new(),
-            read: Millis(0),
-            pace: Pace::default(),
-            misses: Vec::new(),
+            newest_versions: BTreeMap::new(),
+            prefill_end: Millis(0),
+            prefill_rate: PrefillRate::default(),
+            first_event_ratios: Vec::new(),
         }
     }
 
-    /// Takes new options; what is held stays.
+    /// Replaces the options; all other state is kept.
     pub fn set_options(&mut self, options: TurnOptions) {
         self.options = options;
-        self.places.resize(options.adapter_slots);
+        self.slots.set_capacity(options.adapter_slots);
     }
 
-    /// Takes in how fast the engine's peers work.
+    /// Sets the speed of the engine's peers, which is used for what has not been learned here.
     pub fn set_peer_traits(&mut self, peers: &EngineTraits) {
-        self.pace.hint(peers.rate);
-        self.places.hint(peers);
+        self.prefill_rate.set_peer_rate(peers.rate);
+        self.slots.set_peer_traits(peers);
     }
 
-    /// Another instance stands in the engine's place: all that was known of it is void.
+    /// Resets the state of the engine after its restart or its replacement by another instance.
     pub fn reset(&mut self, now: Millis) {
-        self.places.reset(now);
-        self.runs.clear();
-        self.engine = Condition::Unknown;
+        self.slots.reset(now);
+        self.running.clear();
+        self.engine = EngineState::Unknown;
         self.leaving = false;
-        self.pace.reset();
-        self.read = Millis(0);
+        self.prefill_rate.reset();
+        self.prefill_end = Millis(0);
     }
 
-    /// The engine does not answer.
+    /// Records that the engine does not answer.
     pub fn mark_unreachable(&mut self) {
-        self.engine = Condition::Unknown;
+        self.engine = EngineState::Unknown;
     }
 
-    /// The engine must get no more requests, by another sign than its report.
+    /// Records that the engine must receive no more requests, known from another source than its report.
     pub fn mark_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// Newest version of an adapter.
+    /// Records a declared version of an adapter; older versions are not used any more.
     pub fn declare_version(&mut self, adapter: &str, version: u64) {
-        let known = self.newest.entry(adapter.to_owned()).or_default();
-        *known = (*known).max(version);
+        let newest = self.newest_versions.entry(adapter.to_owned()).or_default();
+        *newest = (*newest).max(version);
     }
 
-    /// Takes in what the engine reports.
-    pub fn apply_report(&mut self, state: &EngineReport, now: Millis) {
-        self.engine = match (state.base_loaded, state.busy, self.engine) {
-            (true, _, _) => Condition::Ready,
-            (false, true, Condition::Loading { since }) => Condition::Loading { since },
-            (false, true, _) => Condition::Loading { since: now },
-            (false, false, _) => Condition::Empty,
+    /// Applies a report of the engine.
+    pub fn apply_report(&mut self, report: &EngineReport, now: Millis) {
+        self.engine = match (report.base_loaded, report.busy, self.engine) {
+            (true, _, _) => EngineState::Ready,
+            (false, true, EngineState::LoadingBase { since }) => EngineState::LoadingBase { since },
+            (false, true, _) => EngineState::LoadingBase { since: now },
+            (false, false, _) => EngineState::NoBase,
         };
-        if self.engine == Condition::Empty {
-            self.copy = state.base_location;
+        if self.engine == EngineState::NoBase {
+            self.base_location = report.base_location;
         }
-        self.leaving |= state.leaving;
-        self.places.observe(
-            state.sequence,
-            &state.adapters,
-            &state.loading_adapters,
+        self.leaving |= report.leaving;
+        self.slots.apply_report(
+            report.sequence,
+            &report.adapters,
+            &report.loading_adapters,
             now,
         );
-        self.match_runs(state, now);
+        self.match_running(report, now);
     }
 
-    fn match_runs(&mut self, state: &EngineReport, now: Millis) {
-        let seen: BTreeMap<&str, u64> = state
+    /// Updates the running requests by the report, and drops those that have ended.
+    fn match_running(&mut self, report: &EngineReport, now: Millis) {
+        let reported_events: BTreeMap<&str, u64> = report
             .runs
             .iter()
             .map(|r| (r.request_id.as_str(), r.events))
             .collect();
-        let idle = state.active == 0 && state.queued == 0;
-        let (pace, misses) = (&mut self.pace, &mut self.misses);
-        self.runs.retain(|id, run| {
-            let age = now.since(run.at);
-            match seen.get(id.as_str()) {
+        let idle = report.active == 0 && report.queued == 0;
+        let (prefill_rate, ratios) = (&mut self.prefill_rate, &mut self.first_event_ratios);
+        self.running.retain(|id, run| {
+            let age = now.since(run.granted);
+            match reported_events.get(id.as_str()) {
                 Some(events) => {
-                    run.shown = true;
+                    run.reported = true;
                     if *events > 0 && !run.started {
                         run.started = true;
-                        pace.read(run.tokens, run.at, now);
-                        misses.extend(run.miss(now));
+                        prefill_rate.record_first_event(run.prompt_tokens, run.granted, now);
+                        ratios.extend(run.first_event_ratio(now));
                     }
                     true
                 }
-                None if run.shown => false,
-                None => !(idle && age > SHOWN) && age < FORGET,
+                None if run.reported => false,
+                None => !(idle && age > REPORT_DELAY) && age < RUNNING_TIMEOUT,
             }
         });
     }
 
-    /// Takes a request in, to be answered by a later [`poll`](Self::poll).
+    /// Enqueues a request. A later [`poll`](Self::poll) returns its outcome.
     pub fn enqueue(&mut self, request: TurnRequest, now: Millis) -> TurnId {
-        let turn = TurnId(self.next);
-        self.next += 1;
+        let turn = TurnId(self.next_id);
+        self.next_id += 1;
         if let Some(adapter) = &request.adapter {
-            self.places.hit(adapter, now);
+            self.slots.record_request(adapter, now);
         }
-        let waiting = Waiting {
+        let waiting = WaitingRequest {
             request,
             since: now,
         };
@@ -200,48 +204,52 @@
         turn
     }
 
-    /// The request does not wait any more; `false` if its turn was given or refused.
+    /// Removes a waiting request; returns `false` if its turn was already granted or refused.
     pub fn cancel(&mut self, turn: TurnId) -> bool {
         self.waiting.remove(&turn).is_some()
     }
 
-    /// Its answer has begun.
-    pub fn request_started(&mut self, request: &str, now: Millis) {
-        if let Some(run) = self.runs.get_mut(request)
+    /// Records that the answer of a running request has begun.
+    pub fn request_started(&mut self, request_id: &str, now: Millis) {
+        if let Some(run) = self.running.get_mut(request_id)
             && !run.started
         {
             run.started = true;
-            self.pace.read(run.tokens, run.at, now);
-            self.misses.extend(run.miss(now));
+            self.prefill_rate
+                .record_first_event(run.prompt_tokens, run.granted, now);
+            self.first_event_ratios.extend(run.first_event_ratio(now));
         }
     }
 
-    /// It has ended at the engine, or never reached it.
-    pub fn request_ended(&mut self, request: &str) {
-        self.runs.remove(request);
+    /// Records that a request has ended at the engine, or never reached it.
+    pub fn request_ended(&mut self, request_id: &str) {
+        self.running.remove(request_id);
     }
 
-    /// The exchange of the order that is out has ended.
-    pub fn order_ended(&mut self, end: OrderOutcome, now: Millis) {
-        self.places.ended(end, now);
+    /// Records the outcome of the outstanding order.
+    pub fn order_ended(&mut self, outcome: OrderOutcome, now: Millis) {
+        self.slots.order_ended(outcome, now);
     }
 
-    /// What is to be done now.
+    /// Returns the actions that are due.
     pub fn poll(&mut self, now: Millis) -> Vec<TurnAction> {
-        self.pace.look(self.out(), now);
+        self.prefill_rate.update(self.outstanding(), now);
         let mut actions = Vec::new();
         self.refuse(now, &mut actions);
-        self.go(now, &mut actions);
+        self.grant(now, &mut actions);
         actions.extend(self.order(now));
         actions
     }
 
-    /// Requests that wait, in the order of their turns: those that can still be in time before those
-    /// that are late in any case, which lose nothing more by a longer wait. Of the first, the one whose
-    /// time is over first, then by rank; of the others by rank and age. Answers the backlog after a crash
-    /// or a loss of power: 0.852 of what was owed was earned over 60 played days of load and trouble, and
-    /// 0.842 without it. That rank decides only where somebody must be late keeps the last one from
-    /// waiting behind all others all the time.
+    /// Waiting requests in the order of their turns.
+    ///
+    /// Requests that can still meet their objective come before those that are late in any case, which lose
+    /// nothing by a longer wait. The former are ordered by the end of their objective, then by priority; the
+    /// latter by priority, then by age.
+    ///
+    /// This order works off the backlog after a crash or a power failure: 0.852 of the value due was earned over
+    /// 60 simulated days of load and failures, and 0.842 without it. As priority decides only among late
+    /// requests and equal deadlines, the lowest priority doesn't always wait behind all others.
     fn in_order(&self, now: Millis) -> Vec<TurnId> {
         let mut order: Vec<(bool, Millis, u8, TurnId)> = self
             .waiting
@@ -260,14 +268,14 @@
         order.into_iter().map(|(_, _, _, turn)| turn).collect()
     }
 
-    /// Whether the first event would be late even if the request had its turn now.
-    fn is_late(&self, waiting: &Waiting, now: Millis) -> bool {
-        let read = self.read_time(u64::from(waiting.request.prompt_tokens));
-        now.since(waiting.since) + read > waiting.request.objective_left
+    /// Whether the first event would be late even if the turn were granted now.
+    fn is_late(&self, waiting: &WaitingRequest, now: Millis) -> bool {
+        let prefill = self.prefill_time(u64::from(waiting.request.prompt_tokens));
+        now.since(waiting.since) + prefill > waiting.request.objective_left
     }
 
-    fn go(&mut self, now: Millis, actions: &mut Vec<TurnAction>) {
-        if self.leaving || self.engine != Condition::Ready {
+    fn grant(&mut self, now: Millis, actions: &mut Vec<TurnAction>) {
+        if self.leaving || self.engine != EngineState::Ready {
             return;
         }
         for turn in self.in_order(now) {
@@ -282,48 +290,50 @@
                     version => version,
                 },
             };
-            self.hand(request.prompt_tokens, now);
+            self.extend_prefill(request.prompt_tokens, now);
             if let Some(waiting) = self.waiting.remove(&turn) {
                 let request = waiting.request;
-                let run = Run {
+                let run = RunningRequest {
                     adapter: request.adapter,
-                    tokens: request.prompt_tokens,
-                    at: now,
-                    due: self.read,
+                    prompt_tokens: request.prompt_tokens,
+                    granted: now,
+                    expected_prefill_end: self.prefill_end,
                     started: false,
-                    shown: false,
+                    reported: false,
                 };
-                self.runs.insert(request.request_id, run);
+                self.running.insert(request.request_id, run);
             }
             actions.push(TurnAction::Grant { turn, version });
         }
     }
 
-    /// Whether the engine has as much to do as it should be given.
+    /// Whether the engine has as much work as it should be given.
     fn is_full(&self, now: Millis) -> bool {
-        let blind = self.pace.rate().is_none();
-        self.read > now + AHEAD
-            || self.runs.len() >= self.options.max_batch as usize
-            || (blind && self.runs.values().filter(|r| !r.started).count() >= BLIND)
+        let unmeasured = self.prefill_rate.tokens_per_second().is_none();
+        self.prefill_end > now + PREFILL_AHEAD
+            || self.running.len() >= self.options.max_batch as usize
+            || (unmeasured
+                && self.running.values().filter(|r| !r.started).count()
+                    >= MAX_OUTSTANDING_UNMEASURED)
     }
 
     fn order(&mut self, now: Millis) -> Option<TurnAction> {
-        if self.leaving || !self.places.may_order() {
+        if self.leaving || !self.slots.may_order() {
             return None;
         }
         let order = match self.engine {
-            Condition::Unknown | Condition::Loading { .. } => return None,
-            Condition::Empty => EngineOrder::LoadBase,
-            Condition::Ready => self.adapter_order(now)?,
+            EngineState::Unknown | EngineState::LoadingBase { .. } => return None,
+            EngineState::NoBase => EngineOrder::LoadBase,
+            EngineState::Ready => self.adapter_order(now)?,
         };
-        let sequence = self.places.sequence();
-        self.places.ordered(order.clone());
+        let sequence = self.slots.sequence();
+        self.slots.order_sent(order.clone());
         Some(TurnAction::Order { order, sequence })
     }
 
     fn adapter_order(&self, now: Millis) -> Option<EngineOrder> {
-        let in_use: BTreeSet<&str> = self.in_use();
-        let wanted: BTreeSet<&str> = self
+        let in_use: BTreeSet<&str> = self.adapters_in_use();
+        let requested: BTreeSet<&str> = self
             .waiting
             .values()
             .filter_map(|w| w.request.adapter.as_deref())
@@ -334,75 +344,79 @@
             if self.usable(adapter, request.min_version).is_some() {
                 return None;
             }
-            let version = self.oldest(adapter, request.min_version);
-            self.places
-                .order_for(adapter, version, &in_use, &wanted, now)
+            let version = self.oldest_sufficient(adapter, request.min_version);
+            self.slots
+                .order_for(adapter, version, &in_use, &requested, now)
         })
     }
 
-    /// Version held that will do, if requests may use it now.
-    fn usable(&self, adapter: &str, version: u64) -> Option<u64> {
-        let held = self.places.usable(adapter)?;
-        (held >= self.oldest(adapter, version)).then_some(held)
+    /// Loaded version of an adapter, if it is sufficient and may be used now.
+    fn usable(&self, adapter: &str, min_version: u64) -> Option<u64> {
+        let loaded = self.slots.usable(adapter)?;
+        (loaded >= self.oldest_sufficient(adapter, min_version)).then_some(loaded)
     }
 
-    /// Oldest version of an adapter that will do.
-    fn oldest(&self, adapter: &str, version: u64) -> u64 {
-        let known = self.newest.get(adapter).copied().unwrap_or_default();
-        known.max(version)
+    /// Oldest version of an adapter that may be used: the requested or the newest declared one.
+    fn oldest_sufficient(&self, adapter: &str, min_version: u64) -> u64 {
+        let newest = self
+            .newest_versions
+            .get(adapter)
+            .copied()
+            .unwrap_or_default();
+        newest.max(min_version)
     }
 
-    fn in_use(&self) -> BTreeSet<&str> {
-        self.runs
+    fn adapters_in_use(&self) -> BTreeSet<&str> {
+        self.running
             .values()
             .filter_map(|r| r.adapter.as_deref())
             .collect()
     }
 
-    /// Prompt tokens handed to the engine and not read yet.
-    fn unread(&self) -> u64 {
-        self.out().map_or(0, |out| out.tokens)
+    /// Prompt tokens of running requests without a first event.
+    fn outstanding_tokens(&self) -> u64 {
+        self.outstanding().map_or(0, |o| o.tokens)
     }
 
-    /// Prompts handed to the engine and not read yet.
-    fn out(&self) -> Option<Unread> {
-        let unread = self.runs.values().filter(|r| !r.started);
-        unread.fold(None, |sum: Option<Unread>, run| {
-            let since = sum.map_or(run.at, |s| s.since.min(run.at));
-            let tokens = sum.map_or(0, |s| s.tokens) + u64::from(run.tokens);
-            Some(Unread { tokens, since })
+    /// Running requests without a first event.
+    fn outstanding(&self) -> Option<Outstanding> {
+        let unstarted = self.running.values().filter(|r| !r.started);
+        unstarted.fold(None, |sum: Option<Outstanding>, run| {
+            let since = sum.map_or(run.granted, |s| s.since.min(run.granted));
+            let tokens = sum.map_or(0, |s| s.tokens) + u64::from(run.prompt_tokens);
+            Some(Outstanding { tokens, since })
         })
     }
 
-    /// Time in which the engine will have read `tokens`; 0 before it is known how fast it reads, so
-    /// that nothing is refused for a guess.
-    fn read_time(&self, tokens: u64) -> Millis {
-        let rate = self.rate();
+    /// Expected time of the prefill of `tokens`. It is 0 while the prefill rate is unknown, so that no request
+    /// is refused because of a guess.
+    fn prefill_time(&self, tokens: u64) -> Millis {
+        let rate = self.max_rate();
         if rate == 0 {
             return Millis(0);
         }
         Millis(tokens * 1_000 / rate)
     }
 
-    /// Prompt tokens that the engine is given in a second at most; 0 while that is not known.
-    fn rate(&self) -> u64 {
-        whole(self.pace.rate().unwrap_or_default() * READING)
+    /// Prompt tokens per second that the engine is given at most; 0 while the prefill rate is unknown.
+    fn max_rate(&self) -> u64 {
+        to_integer(self.prefill_rate.tokens_per_second().unwrap_or_default() * MAX_PREFILL_RATIO)
     }
 
-    fn hand(&mut self, tokens: u32, now: Millis) {
-        self.read = self.read.max(now) + self.read_time(u64::from(tokens));
+    fn extend_prefill(&mut self, tokens: u32, now: Millis) {
+        self.prefill_end = self.prefill_end.max(now) + self.prefill_time(u64::from(tokens));
     }
 
-    /// Times to first events since the last call, in parts of what was expected when the prompts were
-    /// handed over.
+    /// Takes the ratios of measured to expected time to the first event, as expected when the turn was granted,
+    /// for all first events since the last call.
     pub fn take_first_event_ratios(&mut self) -> Vec<f64> {
-        std::mem::take(&mut self.misses)
+        std::mem::take(&mut self.first_event_ratios)
     }
 
-    /// Requests that have had their turn and have not ended.
+    /// Number of requests that were granted a turn and have not ended.
     #[must_use]
     pub fn running_requests(&self) -> usize {
-        self.runs.len()
+        self.running.len()
     }
 }
 
@@ -411,6 +425,6 @@
     clippy::cast_sign_loss,
     reason = "a rate far below 2^52"
 )]
-fn whole(rate: f64) -> u64 {
+fn to_integer(rate: f64) -> u64 {
     rate as u64
 }
--- a/crates/policy/src/prompt/turns/run.rs
+++ b/crates/policy/src/prompt/turns/run.rs
@@ -1,26 +1,26 @@
-//! A request that had its turn.
+//! State of a request that was granted a turn.
 
 use pumicecleat_types::Millis;
 
-/// A request that had its turn and has not ended.
+/// A request that was granted a turn and has not ended.
 #[derive(Clone, Debug)]
-pub(super) struct Run {
+pub(super) struct RunningRequest {
     pub(super) adapter: Option<String>,
-    pub(super) tokens: u32,
-    /// When it had its turn.
-    pub(super) at: Millis,
-    /// When it was expected to be read.
-    pub(super) due: Millis,
-    /// Its first event was seen.
+    pub(super) prompt_tokens: u32,
+    /// When the turn was granted.
+    pub(super) granted: Millis,
+    /// When its prefill was expected to be complete.
+    pub(super) expected_prefill_end: Millis,
+    /// Its first event was observed.
     pub(super) started: bool,
-    /// The engine's report has shown it.
-    pub(super) shown: bool,
+    /// It has appeared in a report of the engine.
+    pub(super) reported: bool,
 }
 
-impl Run {
-    /// Time to its first event in parts of what was expected, if anything was.
-    pub(super) fn miss(&self, now: Millis) -> Option<f64> {
-        let expected = self.due.since(self.at).as_secs();
-        (expected > 0.0).then(|| now.since(self.at).as_secs() / expected)
+impl RunningRequest {
+    /// Time to the first event at `now` as a fraction of the expected time, or `None` if that was zero.
+    pub(super) fn first_event_ratio(&self, now: Millis) -> Option<f64> {
+        let expected = self.expected_prefill_end.since(self.granted).as_secs();
+        (expected > 0.0).then(|| now.since(self.granted).as_secs() / expected)
     }
 }
--- a/crates/policy/src/prompt/turns/types.rs
+++ b/crates/policy/src/prompt/turns/types.rs
@@ -1,126 +1,126 @@
-//! What the decisions are told, and what they say.
+//! Inputs and outputs of turn scheduling.
 
 use pumicecleat_types::{Millis, TurnRefusal};
 
 use crate::prompt::places::EngineOrder;
 
-/// Number of a request that waits for its turn.
+/// Id of a request that waits for its turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TurnId(pub u64);
 
-/// A request that wants its turn.
+/// A request for a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TurnRequest {
-    /// Request's id.
+    /// Id of the request.
     pub request_id: String,
-    /// Adapter, if it wants one.
+    /// Adapter, if the request uses one.
     pub adapter: Option<String>,
-    /// Oldest version that will do.
+    /// Oldest sufficient version of the adapter.
     pub min_version: u64,
-    /// Prompt tokens that are likely to be read.
+    /// Prompt tokens that will probably need prefill.
     pub prompt_tokens: u32,
-    /// Rank, 0 before all others.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Time within which its first event is wanted, from its arrival at the entry.
+    /// Target time to the first event, counted from the arrival at the gateway.
     pub objective: Millis,
-    /// What is left of that.
+    /// Remaining part of the objective.
     pub objective_left: Millis,
-    /// Time after which its caller is gone.
+    /// Time after which the caller gives up.
     pub patience: Millis,
-    /// Waits for a place for its adapter; otherwise it is refused at once where none is free.
+    /// Whether the request waits for an adapter slot. Otherwise it is refused immediately if none is available.
     pub waits_for_slot: bool,
 }
 
 /// Options of [`TurnScheduler`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnOptions {
-    /// Places for adapters.
+    /// Number of adapter slots.
     pub adapter_slots: u32,
-    /// Requests in one batch.
+    /// Maximum number of requests in a batch.
     pub max_batch: u32,
-    /// Times of a load of the base model, by where its weights are.
+    /// Load times of the base model.
     pub base_load_times: BaseLoadTimes,
 }
 
-/// Times of a load of the base model.
+/// Load times of the base model, by the location of its weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BaseLoadTimes {
-    /// From the host's memory.
+    /// From host memory.
     pub memory: Millis,
-    /// From the host's disk.
+    /// From the disk of the host.
     pub disk: Millis,
     /// From the weight store.
     pub store: Millis,
 }
 
-/// Where an engine finds the weights of its base model nearest.
+/// Nearest location of the weights of a base model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BaseLocation {
-    /// In its host's memory.
+    /// Host memory.
     Memory,
-    /// On its host's disk.
+    /// Disk of the host.
     Disk,
-    /// In the weight store alone.
+    /// Only the weight store.
     #[default]
     Store,
 }
 
-/// What the engine reports.
+/// Report of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Orders accepted since its start.
+    /// Number of orders accepted since the engine started.
     pub sequence: u64,
-    /// Unix time of its start, ms, if it tells.
+    /// Unix time of the engine's start, ms, if reported.
     pub start_time_ms: Option<u64>,
-    /// Base model is loaded.
+    /// The base model is loaded.
     pub base_loaded: bool,
-    /// Where its weights are.
+    /// Location of the base model's weights.
     pub base_location: BaseLocation,
-    /// Takes no requests any more.
+    /// The engine accepts no more requests.
     pub leaving: bool,
-    /// An order is being carried out that allows no other.
+    /// An order that allows no other is being carried out.
     pub busy: bool,
-    /// Adapters held, with versions.
+    /// Loaded adapters with their versions.
     pub adapters: Vec<(String, u64)>,
-    /// Adapters on their way, with versions.
+    /// Adapters being loaded, with their versions.
     pub loading_adapters: Vec<(String, u64)>,
-    /// Requests under way.
+    /// Requests that the engine is processing.
     pub runs: Vec<ReportedRun>,
-    /// Requests that wait in the engine.
+    /// Number of requests queued in the engine.
     pub queued: u32,
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub active: u32,
 }
 
-/// A request that the engine reports.
+/// A request in the report of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedRun {
-    /// Request's id.
+    /// Id of the request.
     pub request_id: String,
-    /// Events made.
+    /// Number of events produced so far.
     pub events: u64,
 }
 
-/// What is to be done.
+/// An action for the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TurnAction {
-    /// The request may be sent.
+    /// Allow a request to be sent.
     Grant {
-        /// Whose turn it is.
+        /// Request.
         turn: TurnId,
-        /// Version of the adapter that is held.
+        /// Loaded version of the adapter.
         version: Option<u64>,
     },
-    /// The request gets no turn here.
+    /// Refuse a request.
     Refuse {
-        /// Whose.
+        /// Request.
         turn: TurnId,
-        /// Why.
+        /// Reason.
         reason: TurnRefusal,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Millis,
     },
-    /// The engine is to be given an order, at this sequence.
+    /// Send an order to the engine.
     Order {
         /// Order.
         order: EngineOrder,
