--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -154,9 +154,9 @@
                 TurnAction::Refuse {
                     turn,
                     reason,
-                    retry_after: retry,
+                    retry_after,
                 } => {
-                    let retry_ms = retry.0;
+                    let retry_ms = retry_after.0;
                     self.tell(turn, Turn::No { reason, retry_ms });
                 }
                 TurnAction::Order { order, sequence } => self.order(base, order, sequence),
