--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -136,7 +136,7 @@
             let fields = [
                 field("instance", instance.as_str()),
                 field("sequence", state.sequence),
-                field("held", state.adapters.len()),
+                field("held", state.loaded_adapters.len()),
             ];
             self.shared.log.emit(&events::OWN_ENGINE_SEEN, &fields);
         }
--- a/crates/policy/src/prompt/turns/mod.rs
+++ b/crates/policy/src/prompt/turns/mod.rs
@@ -155,7 +155,7 @@
         self.leaving |= report.leaving;
         self.slots.apply_report(
             report.sequence,
-            &report.adapters,
+            &report.loaded_adapters,
             &report.loading_adapters,
             now,
         );
--- a/crates/policy/src/prompt/turns/types.rs
+++ b/crates/policy/src/prompt/turns/types.rs
@@ -81,7 +81,7 @@
     /// An order that allows no other is being carried out.
     pub busy: bool,
     /// Loaded adapters with their versions.
-    pub adapters: Vec<(String, u64)>,
+    pub loaded_adapters: Vec<(String, u64)>,
     /// Adapters being loaded, with their versions.
     pub loading_adapters: Vec<(String, u64)>,
     /// Requests that the engine is processing.
--- a/crates/policy/tests/fleet/engine.rs
+++ b/crates/policy/tests/fleet/engine.rs
@@ -188,7 +188,7 @@
         EngineReport {
             sequence: self.sequence,
             base_loaded: true,
-            adapters: self.loaded.iter().map(named).collect(),
+            loaded_adapters: self.loaded.iter().map(named).collect(),
             loading_adapters: self.loading.iter().map(|l| named(&l.0)).collect(),
             runs: reported.collect(),
             active: self.runs.len() as u32,
--- a/crates/policy/tests/prompt_turns.rs
+++ b/crates/policy/tests/prompt_turns.rs
@@ -46,7 +46,7 @@
     EngineReport {
         sequence,
         base_loaded: true,
-        adapters: versioned(loaded),
+        loaded_adapters: versioned(loaded),
         loading_adapters: versioned(loading),
         ..EngineReport::default()
     }
