--- a/crates/policy/src/prompt/loads.rs
+++ b/crates/policy/src/prompt/loads.rs
@@ -108,12 +108,12 @@
     }
 
     /// Expected load time from the weight store; 0 before the first load.
-    pub(super) fn from_store(&self) -> Millis {
+    pub(super) fn store_load_time(&self) -> Millis {
         to_millis(self.store_ms)
     }
 
     /// Expected load time from host memory; 0 before the first load.
-    pub(super) fn from_cache(&self) -> Millis {
+    pub(super) fn cached_load_time(&self) -> Millis {
         to_millis(self.cached_ms)
     }
 
--- a/crates/policy/src/prompt/places.rs
+++ b/crates/policy/src/prompt/places.rs
@@ -142,9 +142,9 @@
     /// Expected load time of `adapter`; 0 while nothing is known.
     pub(super) fn load_time(&self, adapter: &str) -> Millis {
         if self.cached().any(|name| name == adapter) {
-            return self.load_times.from_cache();
+            return self.load_times.cached_load_time();
         }
-        self.load_times.from_store()
+        self.load_times.store_load_time()
     }
 
     /// Applies the adapters and the sequence of an engine's report.
@@ -378,10 +378,10 @@
         };
         match outcome {
             OrderOutcome::Accepted | OrderOutcome::Done => {
-                self.apply_order(outstanding.order, outcome, now)
+                self.apply_order(outstanding.order, outcome, now);
             }
             OrderOutcome::Conflict | OrderOutcome::Refused | OrderOutcome::Misdirected => {
-                self.needs_report = true
+                self.needs_report = true;
             }
             OrderOutcome::Unknown => {
                 outstanding.unknown = true;
--- a/crates/policy/src/prompt/turns/figures.rs
+++ b/crates/policy/src/prompt/turns/figures.rs
@@ -31,8 +31,8 @@
         let cache_size = load_times.cache_size().unwrap_or_default();
         EngineTraits {
             rate: to_integer(self.prefill_rate.tokens_per_second().unwrap_or_default()),
-            load_ms: load_times.from_store().0,
-            kept_ms: load_times.from_cache().0,
+            load_ms: load_times.store_load_time().0,
+            kept_ms: load_times.cached_load_time().0,
             keeps: u32::try_from(cache_size).unwrap_or(u32::MAX),
         }
     }
