--- a/crates/policy/src/prompt/loads.rs
+++ b/crates/policy/src/prompt/loads.rs
@@ -15,9 +15,9 @@
 /// to 100 ms and add up to that to both times.
 const CACHED_LOAD_RATIO: f64 = 0.4;
 
-/// Initial and maximum number of concurrent loads from the store; the platform allows four. When eight engines
-/// start at once and the store serves two loads at full speed, 0.98 of all requests are served with the
-/// window, and 0.82 with four concurrent loads each (`prompt_load`).
+/// Initial and maximum number of concurrent loads from the store; the platform allows four. When eight
+/// engines start at once and the store serves two loads at full speed, 0.98 of all requests are served with
+/// the window, and 0.82 with four concurrent loads each (`prompt_load`).
 const INITIAL_WINDOW: f64 = 2.0;
 const MAX_WINDOW: f64 = 4.0;
 
--- a/crates/policy/src/prompt/mod.rs
+++ b/crates/policy/src/prompt/mod.rs
@@ -9,7 +9,8 @@
 //! many engines.
 //!
 //! The gateway uses [`EngineChoice`] and [`TurnSearch`] to decide which engine to ask and where to wait,
-//! [`UpstreamStats`] to choose among upstreams without adapters, and [`RepeatWindow`] to limit repeated sends.
+//! [`UpstreamStats`] to choose among upstreams without adapters, and [`RepeatWindow`] to limit repeated
+//! sends.
 
 mod demand;
 mod engine;
--- a/crates/policy/src/prompt/turns/mod.rs
+++ b/crates/policy/src/prompt/turns/mod.rs
@@ -76,7 +76,8 @@
     base_location: BaseLocation,
     leaving: bool,
     newest_versions: BTreeMap<String, u64>,
-    /// When the prefill of all prompts sent so far should be complete, including the time reserved for decoding.
+    /// When the prefill of all prompts sent so far should be complete, including the time reserved for
+    /// decoding.
     prefill_end: Millis,
     prefill_rate: PrefillRate,
     /// Measured times to first events as fractions of the expected times, not yet taken.
@@ -247,8 +248,8 @@
     /// nothing by a longer wait. The former are ordered by the end of their objective, then by priority; the
     /// latter by priority, then by age.
     ///
-    /// This order works off the backlog after a crash or a power failure: 0.852 of the value due was earned over
-    /// 60 simulated days of load and failures, and 0.842 without it. As priority decides only among late
+    /// This order works off the backlog after a crash or a power failure: 0.852 of the value due was earned
+    /// over 60 simulated days of load and failures, and 0.842 without it. As priority decides only among late
     /// requests and equal deadlines, the lowest priority doesn't always wait behind all others.
     fn in_order(&self, now: Millis) -> Vec<TurnId> {
         let mut order: Vec<(bool, Millis, u8, TurnId)> = self
@@ -388,8 +389,8 @@
         })
     }
 
-    /// Expected time of the prefill of `tokens`. It is 0 while the prefill rate is unknown, so that no request
-    /// is refused because of a guess.
+    /// Expected time of the prefill of `tokens`. It is 0 while the prefill rate is unknown, so that no
+    /// request is refused because of a guess.
     fn prefill_time(&self, tokens: u64) -> Millis {
         let rate = self.max_rate();
         if rate == 0 {
@@ -407,8 +408,8 @@
         self.prefill_end = self.prefill_end.max(now) + self.prefill_time(u64::from(tokens));
     }
 
-    /// Takes the ratios of measured to expected time to the first event, as expected when the turn was granted,
-    /// for all first events since the last call.
+    /// Takes the ratios of measured to expected time to the first event, as expected when the turn was
+    /// granted, for all first events since the last call.
     pub fn take_first_event_ratios(&mut self) -> Vec<f64> {
         std::mem::take(&mut self.first_event_ratios)
     }
--- a/crates/policy/src/prompt/turns/types.rs
+++ b/crates/policy/src/prompt/turns/types.rs
@@ -27,11 +27,12 @@
     pub objective_left: Millis,
     /// Time after which the caller gives up.
     pub patience: Millis,
-    /// Whether the request waits for an adapter slot. Otherwise it is refused immediately if none is available.
+    /// Whether the request waits for an adapter slot. Otherwise it is refused immediately if none is
+    /// available.
     pub waits_for_slot: bool,
 }
 
-/// Options of [`TurnScheduler`].
+/// Options of [`TurnScheduler`](super::TurnScheduler).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnOptions {
     /// Number of adapter slots.
--- a/crates/policy/tests/prompt_choice.rs
+++ b/crates/policy/tests/prompt_choice.rs
@@ -207,8 +207,8 @@
         if window.try_repeat(now) {
             repeats.push(now);
         }
-        // The limit is checked against the requests of the current window, of the previous one, and of the one
-        // half a window earlier.
+        // The limit is checked against the requests of the current window, of the previous one, and of the
+        // one half a window earlier.
         let count_in_window = |list: &[Millis], back: u64| {
             let until = now - Millis(back);
             let since = until - options.window;
--- a/crates/policy/tests/prompt_load.rs
+++ b/crates/policy/tests/prompt_load.rs
@@ -71,8 +71,8 @@
     assert!(results.large > 0.98, "{results:?}");
 }
 
-/// Long prompts and long answers at the same engines: 0.908 of requests were in time when the choice of engine
-/// ignored the streams that a prefill stalls, and 0.921 when it counts them.
+/// Long prompts and long answers at the same engines: 0.908 of requests were in time when the choice of
+/// engine ignored the streams that a prefill stalls, and 0.921 when it counts them.
 #[test]
 fn prompts_are_sent_to_engines_with_few_streams() {
     let workload = Workload {
--- a/crates/policy/tests/prompt_turns.rs
+++ b/crates/policy/tests/prompt_turns.rs
@@ -127,8 +127,8 @@
     assert_eq!(scheduler.poll(Millis(3)), [unload("a1", 0)]);
 }
 
-/// Regression test: the engine still ran requests that had not been granted a turn by the agent, and a load was
-/// ordered into a slot that was not free yet.
+/// Regression test: the engine still ran requests that had not been granted a turn by the agent, and a load
+/// was ordered into a slot that was not free yet.
 #[test]
 fn an_unload_that_waits_for_runs_keeps_its_place() {
     let mut scheduler = scheduler_with(&["a1", "a2"]);
@@ -150,8 +150,8 @@
     scheduler.order_ended(OrderOutcome::Unknown, Millis(300));
     assert_eq!(scheduler.poll(Millis(301)), [], "no order before a report");
     scheduler.apply_report(&report(0, &["a1"], &[]), Millis(400));
-    // The load without an answer may still occupy the second slot, so a slot has to be freed, by an order that
-    // is rejected if the load was carried out.
+    // The load without an answer may still occupy the second slot, so a slot has to be freed, by an order
+    // that is rejected if the load was carried out.
     scheduler.enqueue(request("r2", "a3"), Millis(401));
     assert_eq!(scheduler.poll(Millis(401)), [unload("a1", 0)]);
     scheduler.order_ended(OrderOutcome::Conflict, Millis(402));
@@ -309,8 +309,8 @@
     assert_eq!(scheduler.running_requests(), 0);
 }
 
-/// Regression test: requests waited for 2.5 s at an engine whose slots were occupied by streams, while another
-/// engine had one available. The engine has to refuse immediately unless the request asks to wait.
+/// Regression test: requests waited for 2.5 s at an engine whose slots were occupied by streams, while
+/// another engine had one available. The engine has to refuse immediately unless the request asks to wait.
 #[test]
 fn requests_are_refused_at_once_without_a_slot_unless_they_wait() {
     let mut scheduler = scheduler_with(&["a1", "a2"]);
@@ -410,8 +410,8 @@
     assert!(!scheduler.is_waiting_for_adapter(), "its turn was granted");
 }
 
-/// Regression test: after a power failure, a backlog of two seconds was served in the order of arrival, so that
-/// all of it and each later request were late. A late answer loses nothing by another second.
+/// Regression test: after a power failure, a backlog of two seconds was served in the order of arrival, so
+/// that all of it and each later request were late. A late answer loses nothing by another second.
 #[test]
 fn requests_that_can_be_in_time_go_before_late_ones() {
     struct Case {
@@ -477,8 +477,8 @@
     }
 }
 
-/// A load that was outstanding when the engine restarted as the same instance may still arrive, and is carried
-/// out once the restarted engine has reached the sequence that it names.
+/// A load that was outstanding when the engine restarted as the same instance may still arrive, and is
+/// carried out once the restarted engine has reached the sequence that it names.
 #[test]
 fn a_load_from_before_a_start_keeps_a_place_free_while_it_may_arrive() {
     let mut scheduler = scheduler_with(&["a1"]);
