--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -6,7 +6,9 @@
 use futures_util::future::select;
 use pumicecleat_catalog::{BaseModel, Engine};
 use pumicecleat_ops::{events, field};
-use pumicecleat_policy::{BaseLoads, EngineOrder, EngineState, OrderEnd, TurnAction, TurnOptions};
+use pumicecleat_policy::{
+    BaseLoadTimes, EngineOrder, EngineReport, OrderOutcome, TurnAction, TurnOptions,
+};
 use pumicecleat_types::{BaseId, Millis, Turn};
 
 use crate::ReportError;
@@ -61,7 +63,7 @@
 impl Driver {
     /// Time at which the next report is requested.
     fn next_report_at(&self) -> Millis {
-        let waits_for_adapter = self.shared.scheduler.borrow().wants_adapter();
+        let waits_for_adapter = self.shared.scheduler.borrow().is_waiting_for_adapter();
         let interval = if waits_for_adapter {
             FAST_REPORT_INTERVAL.min(self.report_interval)
         } else {
@@ -80,10 +82,10 @@
             return;
         };
         if due {
-            self.shared.scheduler.borrow_mut().retune(TurnOptions {
-                places: adapter_slots(&engine, &base),
-                batch: engine.max_batch_size,
-                base: base_load_times(&base),
+            self.shared.scheduler.borrow_mut().set_options(TurnOptions {
+                adapter_slots: adapter_slots(&engine, &base),
+                max_batch: engine.max_batch_size,
+                base_load_times: base_load_times(&base),
             });
             let report = self
                 .shared
@@ -102,14 +104,14 @@
         Some((engine.base_models.first()?.clone(), engine.clone()))
     }
 
-    fn handle_report(&mut self, report: Result<EngineState, ReportError>) {
+    fn handle_report(&mut self, report: Result<EngineReport, ReportError>) {
         let now = self.shared.timer.now();
         match report {
             Ok(report) => {
                 self.detect_restart(&report);
                 let mut scheduler = self.shared.scheduler.borrow_mut();
-                scheduler.observe(&report, now);
-                if report.loaded {
+                scheduler.apply_report(&report, now);
+                if report.base_loaded {
                     self.shared.readiness.hold(ENGINE_CONDITION);
                 }
             }
@@ -122,14 +124,17 @@
                         .readiness
                         .fail(ENGINE_CONDITION, "engine does not answer");
                 }
-                self.shared.scheduler.borrow_mut().lost();
+                self.shared.scheduler.borrow_mut().mark_unreachable();
             }
         }
     }
 
     /// Handles a restart of the engine if the report shows one. Logs this, or that the engine is reachable again.
-    fn detect_restart(&mut self, report: &EngineState) {
-        let previous_start = self.shared.engine_start_time_ms.replace(report.born);
+    fn detect_restart(&mut self, report: &EngineReport) {
+        let previous_start = self
+            .shared
+            .engine_start_time_ms
+            .replace(report.start_time_ms);
         let restarted = has_restarted(report, previous_start, self.last_sequence);
         self.last_sequence = report.sequence;
         if restarted {
@@ -140,7 +145,7 @@
             let fields = [
                 field("instance", instance.as_str()),
                 field("sequence", report.sequence),
-                field("held", report.held.len()),
+                field("held", report.loaded_adapters.len()),
             ];
             self.shared.log.emit(&events::OWN_ENGINE_SEEN, &fields);
         }
@@ -149,18 +154,20 @@
     fn run_actions(&self, base: &BaseId) {
         let now = self.shared.timer.now();
         let actions = self.shared.scheduler.borrow_mut().poll(now);
-        for ratio in self.shared.scheduler.borrow_mut().take_misses() {
+        for ratio in self.shared.scheduler.borrow_mut().take_first_event_ratios() {
             self.shared.meters.first_event_ratios.observe(ratio);
         }
         for action in actions {
             match action {
-                TurnAction::Go { turn, version } => self.deliver_turn(turn, Turn::Go { version }),
+                TurnAction::Grant { turn, version } => {
+                    self.deliver_turn(turn, Turn::Go { version });
+                }
                 TurnAction::Refuse {
                     turn,
                     reason,
-                    retry,
+                    retry_after,
                 } => {
-                    let retry_ms = retry.0;
+                    let retry_ms = retry_after.0;
                     self.deliver_turn(turn, Turn::No { reason, retry_ms });
                 }
                 TurnAction::Order { order, sequence } => self.spawn_order(base, order, sequence),
@@ -222,7 +229,7 @@
             .scheduler
             .borrow_mut()
             .order_ended(response.outcome, now);
-        if response.outcome == OrderEnd::Misdirected {
+        if response.outcome == OrderOutcome::Misdirected {
             shared.handle_denied_instance(&instance);
         }
     }
@@ -232,11 +239,11 @@
 /// Whether the engine has restarted since the previous report. Detected by the start time if the engine
 /// reports one, otherwise by a decrease of the sequence number.
 fn has_restarted(
-    report: &EngineState,
+    report: &EngineReport,
     previous_start: Option<u64>,
     previous_sequence: u64,
 ) -> bool {
-    match (report.born, previous_start) {
+    match (report.start_time_ms, previous_start) {
         (Some(current), Some(previous)) => current != previous,
         _ => report.sequence < previous_sequence,
     }
@@ -250,14 +257,14 @@
     }
 }
 
-fn outcome_name(outcome: OrderEnd) -> &'static str {
+fn outcome_name(outcome: OrderOutcome) -> &'static str {
     match outcome {
-        OrderEnd::Accepted => "accepted",
-        OrderEnd::Done => "done",
-        OrderEnd::Conflict => "conflict",
-        OrderEnd::Refused => "refused",
-        OrderEnd::Misdirected => "misdirected",
-        OrderEnd::Unknown => "unknown",
+        OrderOutcome::Accepted => "accepted",
+        OrderOutcome::Done => "done",
+        OrderOutcome::Conflict => "conflict",
+        OrderOutcome::Refused => "refused",
+        OrderOutcome::Misdirected => "misdirected",
+        OrderOutcome::Unknown => "unknown",
     }
 }
 
@@ -277,12 +284,12 @@
 }
 
 /// Load times of the base model. A time that is not configured is taken from the next slower source.
-fn base_load_times(base: &BaseModel) -> BaseLoads {
+fn base_load_times(base: &BaseModel) -> BaseLoadTimes {
     let or_slower = |own: f64, slower: f64| if own > 0.0 { own } else { slower };
     let disk = or_slower(base.disk_load_s, base.store_load_s);
     // The configured time may be any number; one that is not a valid duration counts as 0.
     let to_millis = |s: f64| millis(Duration::try_from_secs_f64(s).unwrap_or_default());
-    BaseLoads {
+    BaseLoadTimes {
         memory: to_millis(or_slower(base.memory_load_s, disk)),
         disk: to_millis(disk),
         store: to_millis(base.store_load_s),
--- a/crates/agent/src/engine_client.rs
+++ b/crates/agent/src/engine_client.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_infra::Local;
 use pumicecleat_net::NetError;
-use pumicecleat_policy::{EngineOrder, EngineState, OrderEnd};
+use pumicecleat_policy::{EngineOrder, EngineReport, OrderOutcome};
 use pumicecleat_types::BaseId;
 use snafu::Snafu;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderResponse {
     /// Outcome of the order.
-    pub outcome: OrderEnd,
+    pub outcome: OrderOutcome,
     /// Human-readable description of the failure, if there was one.
     pub detail: Option<String>,
 }
@@ -47,7 +47,7 @@
         &'a self,
         base: &'a BaseId,
         timeout: Duration,
-    ) -> Local<'a, Result<EngineState, ReportError>>;
+    ) -> Local<'a, Result<EngineReport, ReportError>>;
 
     /// Sends an order, which the engine must refuse unless it is at `sequence` and, if `instance` is given,
     /// is that instance.
--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -86,7 +86,10 @@
             .recent_gateways
             .borrow_mut()
             .record_contact(&call.entry, now);
-        self.shared.scheduler.borrow_mut().hint(&call.peers);
+        self.shared
+            .scheduler
+            .borrow_mut()
+            .set_peer_traits(&call.peers);
         let news = call.suspects.as_ref();
         let suspects = news.map(|news| self.shared.suspects.exchange_news(news, now));
         self.apply_run_news(&call, now);
@@ -125,9 +128,9 @@
         for news in &call.news {
             if news.ended {
                 self.shared.suspects.end_trial(&news.request);
-                scheduler.ended(&news.request);
+                scheduler.request_ended(&news.request);
             } else {
-                scheduler.started(&news.request, now);
+                scheduler.request_started(&news.request, now);
             }
         }
         drop(scheduler);
@@ -192,17 +195,17 @@
         let (sender, receiver) = async_channel::bounded(1);
         let request_id = ask.request.clone();
         let asked = LoggedAsk::new(&ask, self.adapter_state(&ask));
-        let turn_id = self.shared.scheduler.borrow_mut().ask(
+        let turn_id = self.shared.scheduler.borrow_mut().enqueue(
             TurnRequest {
-                request: ask.request,
+                request_id: ask.request,
                 adapter: ask.adapter.clone(),
-                version: ask.version,
-                tokens: ask.tokens,
+                min_version: ask.version,
+                prompt_tokens: ask.tokens,
                 priority: ask.priority,
                 objective: Millis(ask.objective_ms),
-                due: Millis(ask.due_ms),
+                objective_left: Millis(ask.due_ms),
                 patience: Millis(ask.patience_ms),
-                stays: ask.stays,
+                waits_for_slot: ask.stays,
             },
             asked_at,
         );
@@ -253,7 +256,7 @@
     fn adapter_state(&self, ask: &TurnAsk) -> &'static str {
         let scheduler = self.shared.scheduler.borrow();
         let adapter = ask.adapter.as_deref();
-        adapter.map_or("", |a| scheduler.hold(a, ask.version).as_str())
+        adapter.map_or("", |a| scheduler.adapter_state(a, ask.version).as_str())
     }
 
     fn log_turn(&self, asked: &LoggedAsk, turn: Turn, asked_at: Millis) {
@@ -340,8 +343,8 @@
         self.shared.waiters.borrow_mut().remove(&self.turn_id);
         self.shared.suspects.end_trial(&self.request_id);
         let mut scheduler = self.shared.scheduler.borrow_mut();
-        if !scheduler.withdraw(self.turn_id) {
-            scheduler.ended(&self.request_id);
+        if !scheduler.cancel(self.turn_id) {
+            scheduler.request_ended(&self.request_id);
         }
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,7 +4,7 @@
 //! the engine once the turn is granted. If an agent fails, responses in progress are not interrupted, and
 //! the engine still serves the models and adapters that it has loaded.
 //!
-//! [`Agent`] runs the scheduler, [`pumicecleat_policy::Turns`]: it fetches the engine's report, which is
+//! [`Agent`] runs the scheduler, [`pumicecleat_policy::TurnScheduler`]: it fetches the engine's report, which is
 //! current and cheap to get on the same VM, passes events to the scheduler and carries out its actions.
 //!
 //! ```
--- a/crates/agent/src/relay/mod.rs
+++ b/crates/agent/src/relay/mod.rs
@@ -25,7 +25,7 @@
     shared.marks.merge(&call.marks, now);
     let suspects = shared.suspects.exchange_news(&call.suspects, now);
     let figures = shared.figures();
-    let cached_adapters = shared.scheduler.borrow().kept();
+    let cached_adapters = shared.scheduler.borrow().cached_adapters();
     let mut state = shared.relay.borrow_mut();
     state.update_own(&figures, cached_adapters, now);
     let was_idle = state.is_idle(now);
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -10,7 +10,7 @@
 use pumicecleat_catalog::{Applied, CatalogListener, Marks, SharedCatalog, Upstream};
 use pumicecleat_net::{Client, Timer};
 use pumicecleat_ops::{Log, Readiness, events, field};
-use pumicecleat_policy::{RateLimits, TurnId, Turns};
+use pumicecleat_policy::{RateLimits, TurnId, TurnScheduler};
 use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, ServiceId, Turn, VmId};
 
 use crate::EngineClient;
@@ -36,7 +36,7 @@
     pub(crate) engine_client: Rc<dyn EngineClient>,
     pub(crate) catalog: SharedCatalog,
     pub(crate) marks: Rc<Marks>,
-    pub(crate) scheduler: RefCell<Turns>,
+    pub(crate) scheduler: RefCell<TurnScheduler>,
     /// Rate limit of the engine.
     pub(crate) rate_limits: RefCell<RateLimits>,
     /// Senders to the tasks that wait for a turn.
@@ -110,7 +110,7 @@
 
     /// Adapters cached by the engine's host, or `None` if the caller knows them by their digest.
     pub(crate) fn cached_adapters(&self, known_digest: u64) -> Option<KeptAdapters> {
-        let names = self.scheduler.borrow().kept();
+        let names = self.scheduler.borrow().cached_adapters();
         let digest = pumicecleat_policy::name_key(&names.join("/"));
         (digest != known_digest).then_some(KeptAdapters { digest, names })
     }
@@ -207,7 +207,7 @@
         if let Applied::Version { adapter, version } = applied {
             // The catalog names adapters as `base-model/adapter`.
             let name = adapter.split_once('/').map_or(adapter.as_str(), |p| p.1);
-            self.scheduler.borrow_mut().newest(name, *version);
+            self.scheduler.borrow_mut().declare_version(name, *version);
         }
         self.wake.notify();
     }
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -11,7 +11,7 @@
 use pumicecleat_infra::KeyedLog;
 use pumicecleat_net::{Client, ClientOptions, Server, ServerOptions, Timer};
 use pumicecleat_ops::{Admin, Dump, ListenError, Log, Metrics, Readiness, Stop, events, listen};
-use pumicecleat_policy::{BaseLoads, RateLimits, TurnOptions, Turns};
+use pumicecleat_policy::{BaseLoadTimes, RateLimits, TurnOptions, TurnScheduler};
 
 use crate::drive::drive;
 use crate::handler::PeerHandler;
@@ -76,9 +76,9 @@
     fn dump(&self) -> serde_json::Value {
         let catalog = self.shared.catalog.borrow();
         serde_json::json!({
-            "layout": catalog.layout().map(|l| l.number),
-            "engine": self.shared.figures(),
-            "runs": self.shared.scheduler.borrow().running(),
+        "layout": catalog.layout().map(|l| l.number),
+        "engine": self.shared.figures(),
+        "runs": self.shared.scheduler.borrow().running_requests(),
         })
     }
 }
@@ -141,9 +141,9 @@
     metrics: &Metrics,
 ) -> Rc<Shared> {
     let initial_options = TurnOptions {
-        places: 0,
-        batch: 0,
-        base: BaseLoads::default(),
+        adapter_slots: 0,
+        max_batch: 0,
+        base_load_times: BaseLoadTimes::default(),
     };
     let client_options = ClientOptions {
         connect_span: CONNECT_TIMEOUT,
@@ -163,7 +163,7 @@
         engine_client: Rc::clone(&context.engine_client),
         catalog: SharedCatalog::default(),
         marks: Rc::default(),
-        scheduler: RefCell::new(Turns::new_ext(initial_options)),
+        scheduler: RefCell::new(TurnScheduler::new_ext(initial_options)),
         rate_limits: RefCell::new(RateLimits::new_ext(FIRST_SLOT_PHASE)),
         waiters: RefCell::new(BTreeMap::new()),
         instance: RefCell::default(),
