--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -22,7 +22,7 @@
     }
 
     fn reply(&self, request: &Incoming) -> Reply {
-        if request.uri().path() != self.shared.wire.ready_path() {
+        if request.uri().path() != self.shared.header_codec.ready_path() {
             return plain_reply(404, "no such page\n");
         }
         if self.shared.readiness.is_ready() {
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/headers.rs
@@ -4,19 +4,19 @@
 
 /// What the head of a caller's request tells beside method, host and path.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Attributes {
+pub struct RequestAttributes {
     /// Request's id, new for each attempt of its caller.
-    pub request: Option<String>,
+    pub request_id: Option<String>,
     /// Time that the caller will wait, ms.
     pub deadline_ms: Option<u64>,
     /// Model wanted.
     pub model: Option<ModelName>,
     /// Prompt tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens of the answer.
-    pub output: u32,
+    pub max_output_tokens: u32,
     /// Parts of the prompt, in order.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
     /// What was there and could not be read: it counts as not given.
     pub unreadable: Vec<&'static str>,
 }
@@ -41,24 +41,24 @@
 
 /// What one attempt tells its upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Outgoing<'a> {
+pub struct AttemptAttributes<'a> {
     /// Instance that it is meant for.
     pub instance: &'a str,
     /// Time that is left, ms.
     pub deadline_ms: u64,
     /// Version of the adapter that must run.
-    pub version: Option<u64>,
+    pub adapter_version: Option<u64>,
     /// Rank at the engine, 0 before all others.
     pub priority: Option<u8>,
     /// Event after which the answer is to go on.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// When to come back, by an upstream's word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryTime {
+pub enum RetryAfter {
     /// After this time, ms.
-    After(u64),
+    DelayMs(u64),
     /// It told something that is no time.
     Unreadable,
 }
@@ -74,26 +74,26 @@
 
 /// What the head of an upstream's answer tells.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct ResponseAttributes {
     /// Request that it answers.
-    pub request: Option<String>,
+    pub request_id: Option<String>,
     /// The request did not run there, by the upstream's own word.
     pub not_run: bool,
     /// It was another instance than the one named.
-    pub other_instance: bool,
+    pub is_other_instance: bool,
     /// The upstream leaves.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Its load.
-    pub load: Option<Load>,
+    pub load: Option<ReportedLoad>,
     /// When to come back.
-    pub retry: Option<RetryTime>,
+    pub retry_after: Option<RetryAfter>,
     /// Rate limit, if the answer carries one.
-    pub limit: Option<RateLimit>,
+    pub rate_limit: Option<RateLimit>,
 }
 
 /// Load of an upstream, by its own word.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct ReportedLoad {
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
@@ -103,15 +103,15 @@
 }
 
 /// Names and forms of heads.
-pub trait Wire {
+pub trait HeaderCodec {
     /// What the head of a caller's request tells.
-    fn attributes(&self, headers: &HeaderMap) -> Attributes;
+    fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes;
 
     /// Turns a caller's head into that of an attempt: what only the gateway may set is replaced.
-    fn outgoing(&self, headers: &mut HeaderMap, outgoing: &Outgoing<'_>);
+    fn encode_attempt(&self, headers: &mut HeaderMap, attempt: &AttemptAttributes<'_>);
 
     /// What the head of an answer tells.
-    fn heard(&self, status: u16, headers: &HeaderMap) -> Heard;
+    fn decode_response(&self, status: u16, headers: &HeaderMap) -> ResponseAttributes;
 
     /// Path at which readiness is asked for.
     fn ready_path(&self) -> &'static str;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The process that meets callers of a deployment.
 //!
 //! A request is opaque: method, path, body and headers go to an upstream unchanged, and so does its
-//! answer. What the gateway needs to know of it stands in its head, and is read by a [`Wire`].
+//! answer. What the gateway needs to know of it stands in its head, and is read by a [`HeaderCodec`].
 //!
 //! - `request` takes one request from its route to its answer: `plain` for services with slots,
 //!   `model` for engines, `send` for one attempt, `relay` for an answer on its way back.
@@ -26,6 +26,7 @@
 
 mod gate;
 mod gateways;
+mod headers;
 mod leave;
 mod meters;
 mod own_word;
@@ -38,11 +39,11 @@
 mod suspects;
 mod table;
 mod view;
-mod wire;
 
+pub use headers::{
+    AttemptAttributes, HeaderCodec, ModelName, PromptPart, RateLimit, ReportedLoad,
+    RequestAttributes, ResponseAttributes, RetryAfter,
+};
 pub use leave::LeaveBudget;
 pub use settings::GatewaySettings;
 pub use start::{Gateway, GatewayParts};
-pub use wire::{
-    Attributes, Heard, Load, ModelName, Outgoing, PromptPart, RateLimit, RetryTime, Wire,
-};
--- a/crates/gateway/src/request/job.rs
+++ b/crates/gateway/src/request/job.rs
@@ -13,14 +13,14 @@
 use super::permit::Permit;
 use super::trail::Trail;
 use crate::shared::Shared;
-use crate::{Attributes, Outgoing};
+use crate::{AttemptAttributes, RequestAttributes};
 
 /// A request that has its route and its service.
 pub(super) struct Job {
     pub(super) shared: Rc<Shared>,
     head: Parts,
     body: Bytes,
-    pub(super) attributes: Attributes,
+    pub(super) attributes: RequestAttributes,
     pub(super) route: Route,
     pub(super) service: ServiceId,
     pub(super) trail: Trail,
@@ -39,7 +39,7 @@
         shared: &Rc<Shared>,
         mut head: Parts,
         body: Vec<u8>,
-        attributes: Attributes,
+        attributes: RequestAttributes,
         route: Route,
         service: ServiceId,
         trail: Trail,
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn id(&self) -> &str {
-        self.attributes.request.as_deref().unwrap_or_default()
+        self.attributes.request_id.as_deref().unwrap_or_default()
     }
 
     /// Upstreams that take requests and were not tried.
@@ -112,7 +112,7 @@
     }
 
     /// Head and body for one attempt.
-    pub(super) fn request(&self, outgoing: &Outgoing<'_>) -> http::Request<Bytes> {
+    pub(super) fn request(&self, outgoing: &AttemptAttributes<'_>) -> http::Request<Bytes> {
         let mut request = http::Request::new(self.body.clone());
         *request.method_mut() = self.head.method.clone();
         // Upstreams get the path and the query as the caller sent them.
@@ -120,7 +120,9 @@
         let uri = path.map(|p| http::Uri::from(p.clone()));
         *request.uri_mut() = uri.unwrap_or_default();
         let mut headers = self.head.headers.clone();
-        self.shared.wire.outgoing(&mut headers, outgoing);
+        self.shared
+            .header_codec
+            .encode_attempt(&mut headers, outgoing);
         *request.headers_mut() = headers;
         request
     }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -66,11 +66,14 @@
 async fn answer(shared: &Rc<Shared>, request: Incoming) -> Reply {
     let arrived = shared.timer.now();
     let (head, mut body) = request.into_parts();
-    let attributes = shared.wire.attributes(&head.headers);
+    let attributes = shared.header_codec.decode_request(&head.headers);
     if !attributes.unreadable.is_empty() {
         let parts = attributes.unreadable.join(", ");
         let fields = [
-            field("request", attributes.request.as_deref().unwrap_or_default()),
+            field(
+                "request",
+                attributes.request_id.as_deref().unwrap_or_default(),
+            ),
             field("parts", parts.as_str()),
         ];
         shared.log.emit(&events::HEAD_UNREADABLE, &fields);
--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -12,7 +12,7 @@
 use super::relay::pass;
 use super::resume;
 use super::send::{Attempt, LEAST_LEFT};
-use crate::RetryTime;
+use crate::RetryAfter;
 use crate::side::{self, AgentLost};
 use crate::table::UnderWay;
 
@@ -195,7 +195,7 @@
             base: model.map(|m| m.base).unwrap_or_default(),
             version: version(job).unwrap_or_default(),
             adapter,
-            tokens: job.attributes.prompt,
+            tokens: job.attributes.prompt_tokens,
             priority: job.route.priority,
             objective_ms: job.route.objective_ms,
             due_ms: Millis(job.route.objective_ms).since(job.trail.age()).0,
@@ -297,7 +297,7 @@
             },
             available_slots: figures.map_or(0, |f| f.spare.saturating_sub(taken)),
             unread_tokens: figures.map_or(0, |f| f.unread) + asked,
-            prompt_tokens: job.attributes.prompt,
+            prompt_tokens: job.attributes.prompt_tokens,
             traits: figures.map(|f| f.traits).unwrap_or_default(),
             running: figures.map_or(0, |f| f.running),
             ready_in_ms: figures.and_then(|f| f.ready_ms).unwrap_or_default(),
@@ -358,8 +358,8 @@
         }
         Attempt::NotRun(heard) => {
             job.trail.lost("refused by engine", false, true, "");
-            let retry = match heard.retry {
-                Some(RetryTime::After(ms)) => Millis(ms),
+            let retry = match heard.retry_after {
+                Some(RetryAfter::DelayMs(ms)) => Millis(ms),
                 _ => RETRY,
             };
             progress.refused("engine_refused", retry);
--- a/crates/gateway/src/request/send.rs
+++ b/crates/gateway/src/request/send.rs
@@ -8,7 +8,7 @@
 use pumicecleat_types::Millis;
 
 use super::job::Job;
-use crate::{Heard, Outgoing, RetryTime};
+use crate::{AttemptAttributes, ResponseAttributes, RetryAfter};
 
 /// Least time that is worth a send.
 pub(super) const LEAST_LEFT: u64 = 20;
@@ -21,7 +21,7 @@
     /// An answer to pass on, its body still to come.
     Answer(Response),
     /// Did not run there, by the upstream's own word.
-    NotRun(Heard),
+    NotRun(ResponseAttributes),
     /// Not a byte left.
     NotSent(String),
     /// No answer; it may have run.
@@ -35,18 +35,18 @@
     pub(super) async fn send(
         &self,
         upstream: &Upstream,
-        version: Option<u64>,
+        adapter_version: Option<u64>,
         span: Duration,
     ) -> Attempt {
         self.trail.attempt(upstream);
         self.use_permit();
-        let priority = version.map(|_| self.route.priority);
-        let outgoing = Outgoing {
+        let priority = adapter_version.map(|_| self.route.priority);
+        let outgoing = AttemptAttributes {
             instance: &upstream.instance,
             deadline_ms: self.left().0,
-            version,
+            adapter_version,
             priority: priority.or(Some(self.route.priority)),
-            after: self.after,
+            last_event_id: self.after,
         };
         let request = self.request(&outgoing);
         let peer = upstream.address.to_string();
@@ -64,10 +64,10 @@
     }
 
     /// An upstream that turns a request away may tell when it wants requests again.
-    fn note_rest(&self, upstream: &Upstream, heard: &Heard) {
-        match heard.retry {
-            Some(RetryTime::After(told)) => self.shared.said_rests(upstream, Millis(told)),
-            Some(RetryTime::Unreadable) => {
+    fn note_rest(&self, upstream: &Upstream, heard: &ResponseAttributes) {
+        match heard.retry_after {
+            Some(RetryAfter::DelayMs(told)) => self.shared.said_rests(upstream, Millis(told)),
+            Some(RetryAfter::Unreadable) => {
                 let fields = [field("instance", upstream.instance.as_str())];
                 self.shared.log.emit(&events::RETRY_UNREADABLE, &fields);
             }
@@ -78,23 +78,23 @@
     fn judge(&self, upstream: &Upstream, response: Response, sent_at: Millis) -> Attempt {
         let heard = self
             .shared
-            .wire
-            .heard(response.status(), response.headers());
-        if heard.leaving {
+            .header_codec
+            .decode_response(response.status(), response.headers());
+        if heard.is_leaving {
             self.shared.said_leaving(upstream);
         }
         if response.status() == OVERLOADED {
             self.note_rest(upstream, &heard);
         }
-        if heard.request.is_some() && heard.request.as_deref() != Some(self.id()) {
+        if heard.request_id.is_some() && heard.request_id.as_deref() != Some(self.id()) {
             // A connection that carries another request's answer is dropped with it.
             return Attempt::Lost("answer to another request".to_owned());
         }
-        if heard.other_instance {
+        if heard.is_other_instance {
             self.shared.seen_replaced(&upstream.instance);
             return Attempt::NotRun(heard);
         }
-        self.shared.note_limit(upstream, heard.limit, sent_at);
+        self.shared.note_limit(upstream, heard.rate_limit, sent_at);
         if let Some(load) = heard.load {
             let now = self.shared.timer.now();
             self.shared.table.told(&upstream.instance, load, now);
--- a/crates/gateway/src/request/trail.rs
+++ b/crates/gateway/src/request/trail.rs
@@ -7,7 +7,7 @@
 use pumicecleat_ops::{DrainGuard, events, field};
 use pumicecleat_types::{Fingerprint, Millis, RequestId, ServiceId};
 
-use crate::Attributes;
+use crate::RequestAttributes;
 use crate::meters::{OutcomeLabels, ServiceLabels};
 use crate::shared::Shared;
 use crate::suspects;
@@ -41,12 +41,12 @@
 impl Trail {
     pub(super) fn new(
         shared: &Rc<Shared>,
-        attributes: &Attributes,
+        attributes: &RequestAttributes,
         route: &str,
         layout: u64,
         arrived: Millis,
     ) -> Self {
-        let request = attributes.request.clone().unwrap_or_default();
+        let request = attributes.request_id.clone().unwrap_or_default();
         let id = RequestId::from(request.as_str());
         Self {
             shared: Rc::clone(shared),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -21,7 +21,7 @@
 use crate::peers::Peers;
 use crate::suspects::Guard;
 use crate::table::Table;
-use crate::{RateLimit, Wire};
+use crate::{HeaderCodec, RateLimit};
 
 /// Readiness condition of the configuration.
 pub(crate) const LAYOUT: &str = "layout";
@@ -48,7 +48,7 @@
     pub(crate) vm: VmId,
     pub(crate) centre: DataCentre,
     pub(crate) agent_port: u16,
-    pub(crate) wire: Rc<dyn Wire>,
+    pub(crate) header_codec: Rc<dyn HeaderCodec>,
     pub(crate) catalog: SharedCatalog,
     pub(crate) marks: Rc<Marks>,
     pub(crate) table: Rc<Table>,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -27,7 +27,7 @@
 use crate::shared::{LAYOUT, RUNNING, Shared, Stopping, TOPICS};
 use crate::suspects::Guard;
 use crate::table::Table;
-use crate::{GatewaySettings, Wire, side, suspects, view};
+use crate::{GatewaySettings, HeaderCodec, side, suspects, view};
 
 /// Time for which an upstream or an agent may leave bytes without acknowledgement: many ways there
 /// and back, with a loss or two, and well below the time that callers wait.
@@ -67,7 +67,7 @@
     /// Form of its records.
     pub decoder: Rc<dyn RecordDecoder>,
     /// Form of heads.
-    pub wire: Rc<dyn Wire>,
+    pub header_codec: Rc<dyn HeaderCodec>,
 }
 
 /// A running gateway.
@@ -196,7 +196,7 @@
         vm: settings.common.vm.clone(),
         centre: settings.common.centre.clone(),
         agent_port: settings.agent_port,
-        wire: Rc::clone(&parts.wire),
+        header_codec: Rc::clone(&parts.header_codec),
         catalog: Rc::default(),
         marks: Rc::new(Marks::new_ext(LeaveBudget::new(settings.leave_span.0).rest)),
         table: Rc::new(Table::default()),
--- a/crates/gateway/src/table/mod.rs
+++ b/crates/gateway/src/table/mod.rs
@@ -11,7 +11,7 @@
 
 use pumicecleat_types::{Millis, RunNews};
 
-use crate::Load;
+use crate::ReportedLoad;
 pub(crate) use record::{Asking, Record};
 
 /// Upstreams by instance.
@@ -54,7 +54,7 @@
     }
 
     /// Notes an upstream's own word on its load.
-    pub(crate) fn told(&self, instance: &str, load: Load, now: Millis) {
+    pub(crate) fn told(&self, instance: &str, load: ReportedLoad, now: Millis) {
         self.with(instance, |r| r.load = Some((load, now)));
     }
 }
--- a/crates/gateway/src/table/record.rs
+++ b/crates/gateway/src/table/record.rs
@@ -3,7 +3,7 @@
 use pumicecleat_policy::{UpstreamLoad, UpstreamStats};
 use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, Reach, RunNews, ViewRow};
 
-use crate::Load;
+use crate::ReportedLoad;
 
 /// News kept for an agent that does not answer; it learns the rest from the engine's report.
 const NEWS: usize = 512;
@@ -26,7 +26,7 @@
     /// Times and failures of its answers.
     pub(crate) slots: UpstreamStats,
     /// Load by its own word, and when that came.
-    pub(crate) load: Option<(Load, Millis)>,
+    pub(crate) load: Option<(ReportedLoad, Millis)>,
     /// Engine's figures by its agent, and when they came.
     pub(crate) figures: Option<(EngineFigures, Millis)>,
     /// Adapters that its host keeps, by its agent, and their digest.
