--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -30,13 +30,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LeaveBudget {
     /// Age up to which the list is believed.
-    pub fresh: Duration,
+    pub max_list_age: Duration,
     /// Time that a read of the list may wait for a record.
     pub wait: Duration,
     /// Time beyond the wait after which an unanswered read is retried.
     pub answer_timeout: Duration,
     /// Longest time between two reads of a list that answers, as known to all gateways.
-    pub rest: Duration,
+    pub max_read_interval: Duration,
 }
 
 impl LeaveBudget {
@@ -44,10 +44,10 @@
     #[must_use]
     pub fn new(span: Duration) -> Self {
         Self {
-            fresh: span.mul_f64(FRESH_PART),
+            max_list_age: span.mul_f64(FRESH_PART),
             wait: span.mul_f64(WAIT_PART),
             answer_timeout: span.mul_f64(ANSWER_TIMEOUT_PART),
-            rest: span.mul_f64(REST_PART),
+            max_read_interval: span.mul_f64(REST_PART),
         }
     }
 
@@ -56,7 +56,7 @@
     /// and is followed by a read of the newest records.
     #[must_use]
     pub fn worst_case(&self) -> Duration {
-        let first_read = self.fresh.max(self.wait) + self.answer_timeout;
+        let first_read = self.max_list_age.max(self.wait) + self.answer_timeout;
         first_read + 2 * STORE_ANSWER_SPAN + CONNECT_SPAN
     }
 }
