--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -1,4 +1,4 @@
-//! The listener at which a balancer asks for readiness.
+//! Listener for the readiness checks of a load balancer.
 
 use std::future::{Future, ready};
 use std::net::SocketAddr;
--- a/crates/gateway/src/gateways.rs
+++ b/crates/gateway/src/gateways.rs
@@ -1,24 +1,26 @@
-//! How many gateways share a bound, as agents tell it.
+//! Number of gateways among which a limit is divided, as reported by agents.
 
 use pumicecleat_types::Millis;
 
-/// Parts for each gateway: one that starts anew begins with an empty window, beside the repeats of its
-/// last life, and all may do so within a window.
+/// Shares of the slack reserved for each gateway. A gateway that restarts begins with an empty window while
+/// the repeats of its previous process still count, and all gateways may restart within one window.
 const LIVES: u32 = 2;
 
 /// Number of gateways.
 #[derive(Debug)]
 pub(crate) struct Gateways {
     least: u32,
-    /// Time for which the highest number told holds though lower ones are told: the window of what
-    /// they share, as a gateway that has just ended has its part in it.
+    /// Time for which the highest reported number is kept although lower ones are reported. It is the window
+    /// of the limit that is divided, because a gateway that has just stopped has used its share in that
+    /// window.
     window: Millis,
     told: u32,
     at: Millis,
 }
 
 impl Gateways {
-    /// None was told of; `least` parts in any case, of what is bounded over `window`.
+    /// Creates the count before the first report. The slack is divided into at least `min_shares`; `window`
+    /// is the window of the limit.
     pub(crate) fn new(least: u32, window: Millis) -> Self {
         Self {
             least,
@@ -28,7 +30,7 @@
         }
     }
 
-    /// An agent has heard of `count` lately.
+    /// Records that an agent has recently been called by `count` gateways.
     pub(crate) fn told(&mut self, count: u32, now: Millis) {
         if count >= self.told || now.since(self.at) > self.window {
             self.told = count;
@@ -36,12 +38,13 @@
         }
     }
 
-    /// Gateways that were told of; this one at least.
+    /// Number of gateways reported by agents, at least 1.
     pub(crate) fn count(&self) -> u32 {
         self.told.max(1)
     }
 
-    /// Number of gateways that share a rate limit: the number told by agents, or `least` until one is told.
+    /// Number of gateways that share a rate limit: the number reported by agents, or `min_shares` before the
+    /// first report.
     pub(crate) fn sharers(&self) -> u32 {
         if self.told == 0 {
             self.least.max(1)
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Parts into which what they share is cut.
+    /// Number of shares into which the slack of repeats is divided.
     pub(crate) fn parts(&self) -> u32 {
         self.least.max(LIVES.saturating_mul(self.told)).max(1)
     }
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,65 +1,65 @@
-//! Names and forms of heads, which differ by deployment.
+//! Headers of requests and responses, whose names and formats differ by deployment.
 
 use http::HeaderMap;
 
-/// What the head of a caller's request tells beside method, host and path.
+/// Decoded headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestAttributes {
-    /// Request's id, new for each attempt of its caller.
+    /// Request ID, different for each attempt of the caller.
     pub request_id: Option<String>,
-    /// Time that the caller will wait, ms.
+    /// Time for which the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Model wanted.
+    /// Requested model.
     pub model: Option<ModelName>,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
     /// Parts of the prompt, in order.
     pub prompt_parts: Vec<PromptPart>,
-    /// What was there and could not be read: it counts as not given.
+    /// Names of the values that were present but could not be decoded, and are treated as absent.
     pub unreadable: Vec<&'static str>,
 }
 
-/// Model that a request wants.
+/// Requested model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelName {
     /// Base model.
     pub base: String,
-    /// Adapter of it.
+    /// Adapter for the base model, if any.
     pub adapter: Option<String>,
 }
 
-/// Part of a prompt, which other requests may share.
+/// Part of a prompt that other requests may share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id.
+    /// ID of the part.
     pub id: String,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// What one attempt tells its upstream.
+/// Attributes that are set on one attempt to send a request upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptAttributes<'a> {
-    /// Instance that it is meant for.
+    /// Instance that the attempt is addressed to.
     pub instance: &'a str,
-    /// Time that is left, ms.
+    /// Time left, in milliseconds.
     pub deadline_ms: u64,
-    /// Version of the adapter that must run.
+    /// Required version of the adapter.
     pub adapter_version: Option<u64>,
-    /// Rank at the engine, 0 before all others.
+    /// Priority at the engine; 0 is the highest.
     pub priority: Option<u8>,
-    /// Event after which the answer is to go on.
+    /// Event of the response stream after which to resume.
     pub last_event_id: Option<u64>,
 }
 
-/// When to come back, by an upstream's word.
+/// Time after which an upstream asks for requests again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// After this time, ms.
+    /// Delay in milliseconds.
     DelayMs(u64),
-    /// It told something that is no time.
+    /// The value could not be decoded.
     Unreadable,
 }
 
@@ -72,47 +72,48 @@
     Unreadable,
 }
 
-/// What the head of an upstream's answer tells.
+/// Decoded headers of an upstream's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseAttributes {
-    /// Request that it answers.
+    /// ID of the request that this responds to.
     pub request_id: Option<String>,
-    /// The request did not run there, by the upstream's own word.
+    /// The upstream states that it did not execute the request.
     pub not_run: bool,
-    /// It was another instance than the one named.
+    /// Another instance than the addressed one responded.
     pub is_other_instance: bool,
-    /// The upstream leaves.
+    /// The upstream is leaving.
     pub is_leaving: bool,
-    /// Its load.
+    /// Load of the upstream.
     pub load: Option<ReportedLoad>,
-    /// When to come back.
+    /// Time after which the upstream asks for requests again.
     pub retry_after: Option<RetryAfter>,
-    /// Rate limit, if the answer carries one.
+    /// Rate limit, if the response carries one.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// Load of an upstream, by its own word.
+/// Load of an upstream, as reported by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Queued requests.
     pub waiting: u32,
     /// Slots.
     pub slots: u32,
 }
 
-/// Names and forms of heads.
+/// Decodes and encodes the headers of a deployment.
 pub trait HeaderCodec {
-    /// What the head of a caller's request tells.
+    /// Decodes the headers of a caller's request.
     fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes;
 
-    /// Turns a caller's head into that of an attempt: what only the gateway may set is replaced.
+    /// Rewrites the headers of a caller's request for an attempt; replaces those that only the gateway may
+    /// set.
     fn encode_attempt(&self, headers: &mut HeaderMap, attempt: &AttemptAttributes<'_>);
 
-    /// What the head of an answer tells.
+    /// Decodes the headers of a response.
     fn decode_response(&self, status: u16, headers: &HeaderMap) -> ResponseAttributes;
 
-    /// Path at which readiness is asked for.
+    /// Path of the readiness check.
     fn ready_path(&self) -> &'static str;
 }
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-/// Part of the leave span for which the list is believed, counted from the start of the read.
+/// Part of the leave span for which the list is considered current, counted from the start of the read.
 const FRESH_PART: f64 = 0.6;
 
 /// Part of the leave span for which a read of the list may wait for a record.
@@ -15,11 +15,11 @@
 /// Part of the leave span after which an unanswered read is retried on another connection.
 const ANSWER_TIMEOUT_PART: f64 = 0.125;
 
-/// Part of the leave span within which some gateway reads a new record and all gateways have heard of it,
+/// Part of the leave span within which some gateway reads a new record and all gateways have received it,
 /// while the list answers. Covers two reads and the interval between two entries of an upstream.
 const REST_PART: f64 = 2.0;
 
-/// Time budgeted for an answer from a store that works.
+/// Time budgeted for a response of a healthy store.
 const STORE_ANSWER_SPAN: Duration = Duration::from_millis(100);
 
 /// Connect timeout for upstreams and agents. A request that is already assigned to a leaving upstream may
@@ -29,13 +29,13 @@
 /// Bounds of the waits between an entry in the list and the last request to its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaveBudget {
-    /// Age up to which the list is believed.
+    /// Age up to which the list is considered current.
     pub max_list_age: Duration,
     /// Time that a read of the list may wait for a record.
     pub wait: Duration,
     /// Time beyond the wait after which an unanswered read is retried.
     pub answer_timeout: Duration,
-    /// Longest time between two reads of a list that answers, as known to all gateways.
+    /// Longest time between two reads of a list that answers, across all gateways.
     pub max_read_interval: Duration,
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,17 @@
-//! The process that meets callers of a deployment.
+//! Gateway process: receives requests of callers and forwards them to the upstreams of a deployment.
 //!
-//! A request is opaque: method, path, body and headers go to an upstream unchanged, and so does its
-//! answer. What the gateway needs to know of it stands in its head, and is read by a [`HeaderCodec`].
+//! The gateway treats a request as opaque: it forwards method, path, body and headers unchanged, and the
+//! response likewise. What it needs to know of a request is in the headers, and is decoded by a
+//! [`HeaderCodec`].
 //!
-//! - `request` takes one request from its route to its answer: `plain` for services with slots,
-//!   `model` for engines, `send` for one attempt, `relay` for an answer on its way back.
-//! - `table` keeps what is believed of each upstream, and how old that is; `side` asks the agents
-//!   beside engines for turns.
-//! - `suspects` keeps requests under which upstreams end from ending more of them.
+//! - `request` handles one request from routing to response: `plain` for services with slots, `model` for
+//!   model engines, `send` for one attempt, `forward` for the response.
+//! - `table` holds the state of each upstream and its age; `agents` requests turns from the agents beside
+//!   engines.
+//! - `suspects` limits how many upstreams a request can crash.
 //!
-//! A refusal tells that the request has not run and won't: it is given only before the first send,
-//! or after the upstream itself said that it did not run.
+//! A refusal states that the request was not executed and will not be. It is therefore sent only before the
+//! first attempt, or after the upstream reported that it did not execute the request.
 //!
 //! ```
 //! use pumicecleat_gateway::GatewaySettings;
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -4,19 +4,19 @@
 use pumicecleat_ops::{Counter, Family, Gauge, Histogram, Histograms, Metrics};
 use pumicecleat_types::ServiceId;
 
-/// Upper bounds of the times to the first and to the last byte of answers, s.
+/// Upper bounds of the histogram buckets, in seconds.
 const TIME_BUCKETS: &[f64] = &[
     0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.8, 1.0, 1.5, 2.5, 5.0, 15.0,
 ];
 
-/// Service and outcome of requests.
+/// Labels of metrics by service and outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct OutcomeLabels {
     pub(crate) service: String,
     pub(crate) outcome: &'static str,
 }
 
-/// Service of requests.
+/// Labels of metrics by service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ServiceLabels {
     pub(crate) service: String,
@@ -28,13 +28,12 @@
     pub(crate) instance: String,
 }
 
-/// What became known of a request under which upstreams ended.
+/// Label of the metric of suspects: what happened.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct SuspectLabels {
     pub(crate) what: &'static str,
 }
 
-/// Metrics of the gateway.
 pub(crate) struct Meters {
     suspects: Family<SuspectLabels, Counter>,
     pub(crate) requests: Family<OutcomeLabels, Counter>,
--- a/crates/gateway/src/own_word.rs
+++ b/crates/gateway/src/own_word.rs
@@ -1,39 +1,41 @@
-//! What upstreams said of themselves in their answers: that they leave, or want nothing for a time.
+//! What upstreams report of themselves in their responses: that they are leaving, or that they want no
+//! requests for a time.
 //!
-//! It holds whatever the list, agents or other gateways say, and whichever answers come later: a list may be
-//! out or old, and an answer may have been on its way. Only another start of the upstream ends it.
+//! A report overrides the list, agents and other gateways, and also later responses: the list may be
+//! unavailable or outdated, and a response may have been delayed. Only a restart of the upstream ends it.
 
 use std::collections::BTreeMap;
 
 use pumicecleat_catalog::Upstream;
 use pumicecleat_types::Millis;
 
-/// Time for which leaving is remembered: far longer than an upstream goes on after it, or an old entry of it
-/// may come back.
+/// Time for which a leaving upstream is remembered. Much longer than it continues to run, and than an
+/// outdated entry of it may return to the list.
 const MEMORY: Millis = Millis(600_000);
 
-/// Longest time for which an upstream is left alone: a longer one is a mistake, and would keep it idle.
+/// Maximum backoff. A longer one is taken for a mistake that would leave the upstream idle.
 const REST_MOST: Millis = Millis(600_000);
 
-/// Most upstreams remembered; the one that spoke first goes first.
+/// Maximum number of upstreams in each collection. The leaving upstream that reported first is evicted first;
+/// backoffs beyond the maximum are not stored.
 const KEPT: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
 struct Leaver {
     at: Millis,
-    /// Start of the upstream that said it, if it tells its starts.
+    /// Start of the upstream that sent the report, if known.
     born: Option<u64>,
 }
 
-/// A time for which an upstream wants nothing.
+/// Time during which an upstream wants no requests.
 #[derive(Clone, Copy, Debug)]
 struct Rest {
     until: Millis,
-    /// Start of the upstream that said it, if it tells its starts.
+    /// Start of the upstream that sent the report, if known.
     born: Option<u64>,
 }
 
-/// What upstreams said of themselves, by instance.
+/// Reports of upstreams, by instance.
 #[derive(Debug, Default)]
 pub(crate) struct OwnWords {
     leavers: BTreeMap<String, Leaver>,
@@ -41,7 +43,7 @@
 }
 
 impl OwnWords {
-    /// `upstream` said that it leaves; gives whether that is new.
+    /// Records that `upstream` is leaving; returns whether this is new.
     pub(crate) fn leaves(&mut self, upstream: &Upstream, now: Millis) -> bool {
         let new = !self.is_leaving(upstream);
         self.leavers.retain(|_, l| now.since(l.at) < MEMORY);
@@ -54,13 +56,13 @@
         new
     }
 
-    /// Whether this start of `upstream` said that it leaves.
+    /// Whether this start of `upstream` has reported that it is leaving.
     pub(crate) fn is_leaving(&self, upstream: &Upstream) -> bool {
         let said = self.leavers.get(&upstream.instance);
         said.is_some_and(|l| is_same_start(l.born, upstream))
     }
 
-    /// `upstream` wants nothing for `span`; gives the time for which it is left alone.
+    /// Records that `upstream` wants no requests for `span`; returns the time for which it gets none.
     pub(crate) fn rests(&mut self, upstream: &Upstream, span: Millis, now: Millis) -> Millis {
         self.rests.retain(|_, r| r.until > now);
         let span = span.min(REST_MOST);
@@ -78,7 +80,7 @@
         span
     }
 
-    /// Time for which this start of `upstream` still wants nothing.
+    /// Time for which this start of `upstream` still wants no requests.
     pub(crate) fn rest_left(&self, upstream: &Upstream, now: Millis) -> Option<Millis> {
         let rest = self.rests.get(&upstream.instance)?;
         let open = rest.until > now && is_same_start(rest.born, upstream);
@@ -96,7 +98,7 @@
     }
 }
 
-/// Whether `upstream` is, as far as can be told, the start that spoke.
+/// Whether `upstream` is, as far as is known, the start that sent the report.
 fn is_same_start(born: Option<u64>, upstream: &Upstream) -> bool {
     born.is_none() || upstream.born <= born
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,7 +1,7 @@
-//! How fast the engines of a service work, for agents that have just started.
+//! Typical speed of a service's engines, for agents that have just started.
 //!
-//! Every agent learns from its own engine. What the middle engine of the service was found to do goes
-//! to all of them with each exchange, so that one which starts again does not begin from nothing.
+//! Each agent measures its own engine. Every exchange also gives it the median engine of the service, so that
+//! an agent that restarts does not begin without an estimate.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 
 use crate::shared::Shared;
 
-/// Time after which the middle is looked for again: long against an exchange with each agent, short
-/// against the start of an engine.
+/// Time after which the median is computed again. Long compared to the interval between exchanges with an
+/// agent, short compared to the start of an engine.
 const SPAN: Millis = Millis(1_000);
 
-/// Middle figures by service, and when they were looked for.
+/// Median traits by service, and when they were computed.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     services: BTreeMap<ServiceId, (EngineTraits, Millis)>,
 }
 
-/// What the middle engine of `service` was found to do.
+/// Traits of the median engine of `service`.
 pub(crate) fn peers(shared: &Shared, service: &ServiceId) -> EngineTraits {
     let now = shared.timer.now();
     let known = shared.peers.borrow().services.get(service).copied();
--- a/crates/gateway/src/request/head.rs
+++ b/crates/gateway/src/request/head.rs
@@ -1,15 +1,15 @@
-//! Heads on their way: what concerns one connection only is taken out.
+//! Removal of the headers that apply to a single connection only.
 
 use http::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderName, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use http::{HeaderMap, request};
 
-/// Headers of one connection that have no constant.
+/// Hop-by-hop headers that `http` has no constant for.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Host that a request names, without a port.
+/// Host that a request names, without the port.
 pub(super) fn host(head: &request::Parts) -> &str {
     let named = head.headers.get(http::header::HOST);
     let named = named.and_then(|v| v.to_str().ok());
@@ -17,7 +17,7 @@
     host.split_once(':').map_or(host, |(host, _)| host)
 }
 
-/// Takes out what concerns one connection only.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub(super) fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/gateway/src/request/identity.rs
+++ b/crates/gateway/src/request/identity.rs
@@ -1,8 +1,9 @@
-//! What makes two tries the same request.
+//! Fingerprint that identifies repeated attempts of the same request.
 //!
-//! Host, path with its query, caller and body do; ids, deadlines and all else that changes with a try
-//! don't. The digest is a cryptographic one, so that nobody can make a request that is taken for
-//! another caller's: half of SHA-256 leaves a chance of 2^-128 for a pair, and a forger's work of 2^128.
+//! It covers host, path with query, caller and body; request IDs, deadlines and everything else that changes
+//! between attempts is excluded. The digest is cryptographic, so that nobody can forge a request with another
+//! caller's fingerprint: half of SHA-256 leaves a collision chance of 2^-128 for a pair, and a forger needs
+//! 2^128 attempts.
 
 use http::header::AUTHORIZATION;
 use http::request::Parts;
@@ -11,8 +12,8 @@
 
 use super::head::host;
 
-/// Fingerprint of a request. The caller is known by its credentials only: one and the same has many
-/// addresses.
+/// Fingerprint of a request. The caller is identified by its credentials only, because one caller may use
+/// many addresses.
 pub(super) fn fingerprint(head: &Parts, body: &[u8]) -> Fingerprint {
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
     let credentials = head.headers.get(AUTHORIZATION);
--- a/crates/gateway/src/request/job.rs
+++ b/crates/gateway/src/request/job.rs
@@ -1,4 +1,4 @@
-//! A request that has its route and its service.
+//! A request with its route and service.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use crate::shared::Shared;
 use crate::{AttemptAttributes, RequestAttributes};
 
-/// A request that has its route and its service.
+/// A request with its route and service.
 pub(super) struct Job {
     pub(super) shared: Rc<Shared>,
     head: Parts,
@@ -24,13 +24,13 @@
     pub(super) route: Route,
     pub(super) service: ServiceId,
     pub(super) trail: Trail,
-    /// Instances that are not to be tried again.
+    /// Instances that must not be tried again.
     pub(super) tried: Vec<String>,
-    /// Last event that was passed on, after which another upstream goes on.
+    /// Last event that was forwarded, after which another upstream resumes the stream.
     pub(super) after: Option<u64>,
-    /// Permission to send it, where upstreams ended under it.
+    /// Permission to send the request, if upstreams ended while it was in progress.
     pub(super) permit: Cell<Permit>,
-    /// Time by which there has to be a final answer.
+    /// Time by which the request needs a final response.
     pub(super) end: Millis,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Time left until there has to be a final answer.
+    /// Time left until the request needs a final response.
     pub(super) fn left(&self) -> Millis {
         self.end.since(self.shared.timer.now())
     }
@@ -76,13 +76,13 @@
         self.attributes.request_id.as_deref().unwrap_or_default()
     }
 
-    /// Upstreams that take requests and were not tried.
+    /// Upstreams that accept requests and were not tried yet.
     pub(super) fn candidates(&self) -> Vec<Upstream> {
         let catalog = self.shared.catalog.borrow();
         self.candidates_in(&catalog).cloned().collect()
     }
 
-    /// The same, as they stand in the catalog.
+    /// Same, borrowed from the catalog.
     pub(super) fn candidates_in<'a>(
         &'a self,
         catalog: &'a Catalog,
@@ -92,15 +92,15 @@
         fresh.filter(|u| self.shared.takes(u))
     }
 
-    /// Whether `instance` still takes requests.
+    /// Whether `instance` still accepts requests.
     pub(super) fn is_ready(&self, instance: &str) -> bool {
         let catalog = self.shared.catalog.borrow();
         let listed = catalog.upstream(instance);
         listed.is_some_and(|u| u.standing == Standing::Ready && self.shared.takes(u))
     }
 
-    /// Time until the first upstream wants requests again, if all that are there want none by their own
-    /// word.
+    /// Time until the first upstream accepts requests again, if all available upstreams have asked for no
+    /// requests.
     pub(super) fn resting(&self) -> Option<Millis> {
         let catalog = self.shared.catalog.borrow();
         let ready = catalog.ready_upstreams(&self.service);
@@ -111,11 +111,11 @@
         rests?.into_iter().min()
     }
 
-    /// Head and body for one attempt.
+    /// Builds the request for one attempt.
     pub(super) fn request(&self, outgoing: &AttemptAttributes<'_>) -> http::Request<Bytes> {
         let mut request = http::Request::new(self.body.clone());
         *request.method_mut() = self.head.method.clone();
-        // Upstreams get the path and the query as the caller sent them.
+        // Upstreams get path and query as the caller sent them.
         let path = self.head.uri.path_and_query();
         let uri = path.map(|p| http::Uri::from(p.clone()));
         *request.uri_mut() = uri.unwrap_or_default();
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! One request, from its route to its answer.
+//! Handling of one request, from routing to response.
 
 mod head;
 mod identity;
@@ -30,7 +30,7 @@
 use refuse::{Refusal, own_failure};
 use trail::Trail;
 
-/// Time for a caller's body to arrive. Callers press on a link for some seconds at most.
+/// Timeout for reading a request body. Callers upload over a link for a few seconds at most.
 const BODY_SPAN: Duration = Duration::from_secs(10);
 
 /// Handler of the callers' listener.
--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -1,4 +1,4 @@
-//! Requests for model engines: a turn first, then straight to the engine.
+//! Requests to model engines: obtains a turn from the agent, then sends the request directly to the engine.
 
 use std::time::Duration;
 
@@ -16,24 +16,24 @@
 use crate::side::{self, AgentLost};
 use crate::table::UnderWay;
 
-/// Wait for a first event after which callers leave, in objectives; they leave no sooner than
-/// [`LEAST_PATIENCE`].
+/// Wait for the first event after which callers disconnect, in objectives. They wait at least
+/// [`MIN_PATIENCE`].
 const PATIENCE: u64 = 4;
 
-/// Least such wait.
+/// Minimum of this wait.
 const LEAST_PATIENCE: Millis = Millis(2_000);
 
-/// Time for which a request waits for an engine to come, in objectives: later it would hardly be served
-/// before its caller leaves.
+/// Time for which a request waits for an engine to become available, in objectives. After a longer wait it
+/// would hardly be served before its caller disconnects.
 const AWAIT: u64 = 2;
 
-/// Pause between two looks for one.
+/// Interval between checks for an available engine.
 const ENGINE_LOOK: Duration = Duration::from_millis(25);
 
-/// When to come back if no engine told it.
+/// Retry time returned if no engine gave one.
 const RETRY: Millis = Millis(500);
 
-/// Serves a request for a model engine.
+/// Handles a request to a model engine.
 pub(super) async fn serve(mut job: Job) -> Reply {
     job.shared.count_request(&job.service);
     let mut progress = Progress::default();
@@ -63,7 +63,7 @@
     }
 }
 
-/// Goes on with a stream that broke off, at another engine; `None` if there is none.
+/// Resumes a stream at another engine after its engine failed; returns `None` if there is none.
 pub(super) async fn go_on(job: &mut Job, progress: &mut Progress) -> Option<Box<Answered>> {
     progress.search.restart();
     while progress.sent < job.route.max_attempts {
@@ -78,14 +78,14 @@
     None
 }
 
-/// A turn at an engine.
+/// A turn granted at an engine.
 struct HadTurn {
     upstream: Upstream,
-    /// Version of the adapter held there, if it is known.
+    /// Version of the adapter loaded there, if known.
     version: Option<u64>,
 }
 
-/// Asks engines for a turn, the best first; gives why there is none.
+/// Asks engines for a turn, in order of preference; returns the reason if none grants one.
 async fn find_turn(job: &mut Job, progress: &mut Progress) -> Result<HadTurn, &'static str> {
     loop {
         if job.left().0 < LEAST_LEFT {
@@ -135,16 +135,16 @@
     }
 }
 
-/// Whether an engine may come that could still serve the request: one is listed and has not failed it,
-/// though none takes requests now. After a loss of all power engines are back within two seconds, and
-/// are known a little later; a caller that was refused meanwhile came back to the same.
+/// Whether an engine may become available that could still serve the request: one is listed and has not
+/// failed it, although none accepts requests now. After a complete power loss, engines are back within two
+/// seconds and known shortly after; without this wait, refused callers retried and were refused again.
 fn may_await_engine(job: &Job, search: &TurnSearch) -> bool {
     let most = Millis(job.route.objective_ms * AWAIT);
     let listed = job.candidates();
     job.trail.age() < most && listed.iter().any(|u| !search.is_excluded(&u.instance))
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Default)]
 pub(super) struct Progress {
     search: TurnSearch,
@@ -155,7 +155,7 @@
 }
 
 impl Progress {
-    /// All engines want nothing for `left`.
+    /// Records that all engines have asked for no requests during `left`.
     fn rests(&mut self, left: Millis) {
         self.reason = Some(RESTING);
         self.retry = Some(left);
@@ -167,19 +167,19 @@
     }
 }
 
-/// An answer, and the request that is under way for it.
+/// A response, and the guard that counts its request as in progress.
 pub(super) struct Answered {
     pub(super) response: Response,
     pub(super) under_way: UnderWay,
 }
 
-/// What followed a turn.
+/// Result of an attempt at an engine.
 enum Ran {
-    /// An answer to pass on.
+    /// Response to forward.
     Answer(Box<Answered>),
-    /// Nothing that ends the request: another engine may be asked.
+    /// The request is not finished: another engine may be asked.
     Again,
-    /// No further attempt may follow.
+    /// No further attempt may follow, for this reason.
     Over(&'static str),
 }
 
@@ -212,7 +212,7 @@
     turn
 }
 
-/// Newest version of the adapter wanted, if one was declared.
+/// Latest declared version of the requested adapter, if any.
 fn version(job: &Job) -> Option<u64> {
     version_in(job, &job.shared.catalog.borrow())
 }
@@ -251,9 +251,9 @@
     Some((candidates[at].clone(), views[at].adapter_state))
 }
 
-/// Excludes candidates whose agent is known to have no free slot under the rate limit, unless that excludes all
-/// of them. A rate-limited engine receives few requests and therefore looks idle, so it would be preferred to a
-/// busier engine that can serve the request after a wait.
+/// Excludes candidates whose agent is known to have no free slot under the rate limit, unless that excludes
+/// all of them. A rate-limited engine receives few requests and therefore looks idle, so it would be
+/// preferred to a busier engine that can serve the request after a wait.
 fn without_exhausted<'a>(
     job: &Job,
     candidates: Vec<&'a Upstream>,
@@ -267,7 +267,7 @@
     candidates.into_iter().filter(has_slot).collect()
 }
 
-/// What is known of an engine for a request that wants its adapter at version `oldest` or newer.
+/// State of an engine for a request that needs its adapter at `min_version` or newer.
 fn view(
     job: &Job,
     upstream: &Upstream,
@@ -332,7 +332,7 @@
     follow(job, turn, attempt, under_way, progress)
 }
 
-/// What follows an attempt.
+/// Determines how to continue after an attempt.
 fn follow(
     job: &Job,
     turn: &HadTurn,
@@ -398,7 +398,7 @@
         .with(&upstream.instance, |r| r.slots.record_failure(now));
 }
 
-/// Final answer without an engine's.
+/// Final response if no engine provided one.
 fn give_up(job: &Job, progress: &Progress, reason: &'static str) -> Reply {
     job.give_permit_back();
     if progress.ran {
--- a/crates/gateway/src/request/permit.rs
+++ b/crates/gateway/src/request/permit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent, as upstreams may have ended under it.
+//! Permission to send a request, which is needed if upstreams ended while it was in progress.
 
 use pumicecleat_net::Reply;
 use pumicecleat_policy::TRIAL_MIN_ENDS;
@@ -8,23 +8,23 @@
 use super::refuse::{Refusal, unsettled};
 use crate::suspects::{ask_trial, give_back};
 
-/// Permission that a request has.
+/// Permission of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Permit {
-    /// Needs none, or has none.
+    /// No permission is needed, or none was granted.
     #[default]
     None,
-    /// May be sent once, while no more upstreams end under it than these.
+    /// One send is permitted, as long as the request may not have ended more upstreams than this number.
     Trial(Trial, usize),
-    /// Was sent with permission.
+    /// The permitted send was performed.
     Used,
 }
 
-/// When to come back while the one send that was permitted has no outcome.
+/// Retry time returned while the permitted send has no outcome.
 const OUTCOME_RETRY: Millis = Millis(2_000);
 
 impl Job {
-    /// Whether the request may be sent without asking anybody.
+    /// Whether the request may be sent without asking for permission.
     pub(super) fn is_clear(&self) -> bool {
         let ends = self.ends();
         match self.permit.get() {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Asks for permission to send the request, if it needs any.
+    /// Asks for permission to send the request, if it needs one.
     pub(super) async fn clear(&self) -> Result<(), Refusal> {
         if self.is_clear() {
             return Ok(());
@@ -53,7 +53,7 @@
         self.shared.guard.ends(&self.trail.fingerprint(), now)
     }
 
-    /// How the request may be sent, if it has permission for one send.
+    /// Kind of the permitted send, if there is one that was not performed yet.
     pub(super) fn trial(&self) -> Option<Trial> {
         match self.permit.get() {
             Permit::Trial(trial, _) => Some(trial),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Gives permission back that was not used.
+    /// Gives back a permission that was not used.
     pub(super) fn give_permit_back(&self) {
         if self.trial().is_some() {
             self.permit.set(Permit::Used);
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Final answer to the request, which may not be sent; `ran` if an attempt before may have run.
+    /// Final response to a request that may not be sent; `may_have_run` if an earlier attempt may have been
+    /// executed.
     pub(super) fn refuse(&self, ran: bool, refusal: Refusal) -> Reply {
         self.give_permit_back();
         if ran {
@@ -78,7 +79,7 @@
         refusal.reply(&self.trail)
     }
 
-    /// The request is sent.
+    /// Records that the request is sent.
     pub(super) fn use_permit(&self) {
         let Some(trial) = self.trial() else {
             return;
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -1,4 +1,4 @@
-//! Requests for plain services, which have a few slots each and short objectives.
+//! Requests to plain services, which have a few slots per upstream and short objectives.
 
 use std::time::Duration;
 
@@ -12,35 +12,35 @@
 use super::relay::{Held, hold, pass};
 use super::send::{Attempt, LEAST_LEFT};
 
-/// Part of the objective after which a request that may be repeated is sent elsewhere, while that
-/// can still be in time. At half of it, one answer in thirty is slower.
+/// Part of the objective after which a retryable request is sent to another upstream, so that the retry can
+/// still meet the objective. With one half, one response in thirty is slower than this.
 const PATIENCE: f64 = 0.5;
 
-/// Least such time: two ways between data centres and an answer's mean.
+/// Minimum timeout of such an attempt: two round trips between data centres and the mean response time.
 const LEAST_PATIENCE: Millis = Millis(60);
 
-/// When to come back to a service whose upstreams are all full: an answer's time.
+/// Retry time returned if all upstreams of a service are full: one response time.
 const FULL_RETRY: Millis = Millis(150);
 
-/// Sends of one request at most, counting those that reached nobody: a service whose upstreams all
-/// refuse connections is given up.
+/// Maximum number of sends of one request, including those that reached no upstream. Bounds the attempts if
+/// all upstreams of a service refuse connections.
 const SENDS: u32 = 8;
 
-/// What follows an attempt.
+/// Next step after an attempt.
 enum Next {
     Reply(Reply),
     Again,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Default)]
 struct Progress {
     sent: u32,
-    /// Some attempt may have run.
+    /// Whether an attempt may have been executed.
     ran: bool,
 }
 
-/// Serves a request for a plain service.
+/// Handles a request to a plain service.
 pub(super) async fn serve(mut job: Job) -> Reply {
     job.shared.count_request(&job.service);
     let mut progress = Progress::default();
@@ -125,7 +125,7 @@
     }
 }
 
-/// Time for one attempt: what is left, unless another attempt may follow.
+/// Timeout of one attempt: all of the time left, unless another attempt may follow.
 fn patience(job: &Job, sent: u32) -> Duration {
     let left = job.left();
     let another = job.route.retry == RetryMode::Whole && sent < job.route.max_attempts;
@@ -138,8 +138,8 @@
     part.max(least).min(Duration::from_millis(left.0))
 }
 
-/// Chooses an upstream, waits for a slot under its rate limit if necessary, and returns it. Fails with the time
-/// until its next slot if that exceeds the rest of the objective.
+/// Selects an upstream, waits for a slot under its rate limit if necessary, and returns the upstream. Fails
+/// with the time until its next slot if that exceeds the rest of the objective.
 async fn admit(job: &Job) -> Result<Option<Upstream>, Millis> {
     let Some((upstream, wait)) = choose(job) else {
         return Ok(None);
@@ -159,7 +159,8 @@
     }
 }
 
-/// Upstream with the shortest wait under its rate limit, and that wait. Ties go to the least expected time.
+/// Upstream with the shortest wait under its rate limit, and that wait. Among equal waits, the upstream with
+/// the lowest expected response time is chosen.
 fn choose(job: &Job) -> Option<(Upstream, Millis)> {
     let now = job.shared.timer.now();
     let cost = |u: &Upstream| {
@@ -174,8 +175,8 @@
     least.map(|(wait, _, upstream)| (upstream, wait))
 }
 
-/// Whether another attempt may follow one that may have run, or did not. Takes it from the bound on
-/// repeats if so.
+/// Whether another attempt may follow; `may_have_run` if the last one may have been executed. If so, counts
+/// it against the limit of repeats.
 fn may_go_on(job: &Job, progress: &Progress, ran: bool) -> bool {
     let repeatable = job.route.retry == RetryMode::Whole && progress.sent < job.route.max_attempts;
     let open = (!ran || repeatable) && progress.sent < SENDS;
@@ -183,7 +184,7 @@
     open && left && job.shared.may_repeat(&job.service)
 }
 
-/// Passes a whole answer on, unless it tells of a failure and another attempt may do better.
+/// Returns a complete response, unless it reports a failure and another attempt may follow.
 fn settle(
     job: &Job,
     upstream: &Upstream,
@@ -221,8 +222,8 @@
     Next::Reply(give_up(job, progress, reason))
 }
 
-/// Final answer if the rate limits of all upstreams delay the request too long; `wait` is the time until the
-/// next slot.
+/// Final response if the rate limits of all upstreams delay the request too long; `wait` is the time until
+/// the next slot.
 fn refuse_limited(job: &Job, progress: &Progress, wait: Millis) -> Reply {
     if progress.ran {
         return give_up(job, progress, LIMITED);
@@ -231,7 +232,7 @@
     Refusal::new(LIMITED, wait).reply(&job.trail)
 }
 
-/// Final answer without an upstream's.
+/// Final response if no upstream provided one.
 fn give_up(job: &Job, progress: &Progress, reason: &'static str) -> Reply {
     job.give_permit_back();
     if progress.ran {
--- a/crates/gateway/src/request/refuse.rs
+++ b/crates/gateway/src/request/refuse.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Responses that the gateway generates itself.
 
 use http::HeaderValue;
 use http::header::RETRY_AFTER;
@@ -7,19 +7,19 @@
 
 use super::trail::Trail;
 
-/// When to come back if no upstream or no configuration is known: lists are read within a second.
+/// Retry time returned if no upstream or no configuration is known: lists are read within a second.
 const UNKNOWN_RETRY: Millis = Millis(500);
 
-/// When to come back to another gateway: at once.
+/// Retry time returned if another gateway can handle the request at once.
 const ELSEWHERE_RETRY: Millis = Millis(20);
 
-/// Reason of a refusal while all upstreams want nothing by their own word.
+/// Reason of a refusal while all upstreams have asked for no requests.
 pub(super) const RESTING: &str = "resting";
 
 /// Reason of a refusal while the rate limits of all upstreams have no free slot in time.
 pub(super) const LIMITED: &str = "limited";
 
-/// A refusal of a request that has not run and won't.
+/// Refusal of a request that was not executed and will not be.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     pub(super) reason: &'static str,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// No upstream takes requests.
+    /// No upstream accepts requests.
     pub(super) fn no_upstream() -> Self {
         Self {
             reason: "no_upstream",
@@ -51,12 +51,13 @@
         }
     }
 
-    /// All upstreams want nothing for `left`.
+    /// All upstreams have asked for no requests during `left`.
     pub(super) fn resting(left: Millis) -> Self {
         Self::new(RESTING, left)
     }
 
-    /// Upstreams ended under the request, and it may not be sent again before `retry` is over.
+    /// Upstreams ended while the request was in progress, and it may not be sent again before `retry_after`
+    /// has passed.
     pub(super) fn ends_upstreams(retry: Millis) -> Self {
         Self::new("ends_upstreams", retry)
     }
@@ -65,7 +66,7 @@
         Self { reason, retry }
     }
 
-    /// Answer 503 with the time to come back.
+    /// Response 503 with the retry time.
     pub(super) fn reply(self, trail: &Trail) -> Reply {
         trail.turned_down(503, self.reason, self.retry);
         let mut reply = plain_reply(503, "not run; come back later\n");
@@ -77,13 +78,13 @@
     }
 }
 
-/// Answer to a request that is wrong by itself, or for which there is no route.
+/// Response to a request that is invalid or has no route.
 pub(super) fn own_failure(trail: &Trail, status: u16, reason: &str) -> Reply {
     trail.turned_down(status, reason, Millis(0));
     plain_reply(status, "request not passed on\n")
 }
 
-/// Answer to a request that was sent and may have run.
+/// Response to a request that was sent and may have been executed.
 pub(super) fn unsettled(trail: &Trail, status: u16, reason: &str) -> Reply {
     trail.unsettled(status, reason);
     plain_reply(status, "sent, and without a whole answer\n")
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -1,4 +1,4 @@
-//! An answer on its way back.
+//! Forwarding of a response to the caller.
 
 use bytes::Bytes;
 use futures_util::stream::unfold;
@@ -8,10 +8,10 @@
 use super::trail::Trail;
 use crate::table::UnderWay;
 
-/// Bytes of an answer that are held until it is whole; a longer one is passed on as it comes.
+/// Maximum size of a response that is buffered until it is complete; a longer one is forwarded as it arrives.
 const HELD: usize = 256 * 1024;
 
-/// Head of an answer, as the upstream sent it.
+/// Response with the status and headers that the upstream sent, and an empty body.
 pub(super) fn head(response: &Response) -> Reply {
     let mut reply = Reply::new(Body::whole(Bytes::new()));
     *reply.status_mut() =
@@ -22,15 +22,14 @@
     reply
 }
 
-/// An answer that was read whole, or up to what is held.
+/// A response that was read completely, or up to the size of the buffer.
 pub(super) enum Held {
-    /// Whole.
     Whole(Reply),
-    /// Longer than what is held.
+    /// The response exceeds the buffer. Holds the bytes read so far.
     Long(Response, Vec<u8>),
 }
 
-/// Reads an answer whole, so that a broken one is never passed on.
+/// Reads a response into the buffer, so that an incomplete one is never forwarded.
 pub(super) async fn hold(mut response: Response) -> Result<Held, BodyError> {
     let mut bytes = Vec::new();
     while let Some(piece) = response.next().await {
@@ -53,7 +52,7 @@
     begun: bool,
 }
 
-/// Passes an answer on piece by piece, `start` first.
+/// Forwards a response as it arrives, after the bytes of `prefix`.
 pub(super) fn pass(response: Response, start: Vec<u8>, trail: Trail, under_way: UnderWay) -> Reply {
     let mut reply = head(&response);
     let relay = Relay {
--- a/crates/gateway/src/request/resume.rs
+++ b/crates/gateway/src/request/resume.rs
@@ -1,8 +1,8 @@
-//! A stream of numbered events that goes on elsewhere if its upstream breaks off.
+//! Streams of numbered events that another upstream resumes if their upstream fails.
 //!
-//! Only whole events are passed on, so that the caller never sees part of one twice. The next
-//! upstream is told the last event that was passed on, and goes on after it; the head stays that of
-//! the first.
+//! Only complete events are forwarded, so that the caller never receives part of one twice. The next upstream
+//! receives the ID of the last event that was forwarded and resumes after it; the headers are those of the
+//! first response.
 
 use bytes::Bytes;
 use futures_util::stream::unfold;
@@ -13,10 +13,10 @@
 use super::relay::head;
 use crate::table::UnderWay;
 
-/// Longest event, bytes. One of tokens has some dozens.
+/// Maximum size of an event in bytes. An event with one token takes some dozens of bytes.
 const EVENT_LIMIT: usize = 256 * 1024;
 
-/// A stream that may go on elsewhere.
+/// A stream that another upstream may resume.
 struct Resuming {
     job: Job,
     progress: Progress,
@@ -24,11 +24,11 @@
     under_way: UnderWay,
     scanner: SseScanner,
     status: u16,
-    /// Whether an event was passed on.
+    /// Whether an event was forwarded.
     begun: bool,
 }
 
-/// Passes a stream on event by event, over several upstreams if need be.
+/// Forwards a stream event by event, resuming at other upstreams if necessary.
 pub(super) fn pass(response: Response, job: Job, progress: Progress, under_way: UnderWay) -> Reply {
     let mut reply = head(&response);
     let resuming = Resuming {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whole events that have arrived.
+    /// Complete events received so far.
     fn scan(&mut self) -> Result<Option<Bytes>, BodyError> {
         let mut events = Vec::new();
         loop {
@@ -106,7 +106,7 @@
         Ok((!events.is_empty()).then(|| Bytes::from(events)))
     }
 
-    /// Finds another upstream to go on; `false` if there is none.
+    /// Resumes the stream at another upstream; returns `false` if there is none.
     async fn go_on(&mut self, error: &BodyError) -> bool {
         let error = error.to_string();
         self.job.trail.lost("read answer", true, true, &error);
--- a/crates/gateway/src/request/send.rs
+++ b/crates/gateway/src/request/send.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request at one instance, up to the head of its answer.
+//! One attempt: sends a request to one instance and reads the headers of the response.
 
 use std::time::Duration;
 
@@ -10,28 +10,29 @@
 use super::job::Job;
 use crate::{AttemptAttributes, ResponseAttributes, RetryAfter};
 
-/// Least time that is worth a send.
+/// Minimum time left, in milliseconds, for which an attempt is worthwhile.
 pub(super) const LEAST_LEFT: u64 = 20;
 
-/// Status of an upstream that turns a request away.
+/// Status of an upstream that rejects a request.
 const OVERLOADED: u16 = 503;
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 pub(super) enum Attempt {
-    /// An answer to pass on, its body still to come.
+    /// Response to forward; its body has not been read.
     Answer(Response),
-    /// Did not run there, by the upstream's own word.
+    /// The upstream reported that it did not execute the request.
     NotRun(ResponseAttributes),
-    /// Not a byte left.
+    /// No byte was sent.
     NotSent(String),
-    /// No answer; it may have run.
+    /// No response; the request may have been executed.
     Lost(String),
-    /// No answer in the time given; it may have run.
+    /// No response before the timeout; the request may have been executed.
     Late,
 }
 
 impl Job {
-    /// Sends the request to `upstream` and gives the head of the answer, if it comes in `span`.
+    /// Sends the request to `upstream` and returns the outcome once the headers of the response have arrived,
+    /// or after `timeout`.
     pub(super) async fn send(
         &self,
         upstream: &Upstream,
@@ -63,7 +64,7 @@
         self.judge(upstream, response, sent_at)
     }
 
-    /// An upstream that turns a request away may tell when it wants requests again.
+    /// An upstream that rejects a request may tell when it accepts requests again.
     fn note_rest(&self, upstream: &Upstream, heard: &ResponseAttributes) {
         match heard.retry_after {
             Some(RetryAfter::DelayMs(told)) => self.shared.said_rests(upstream, Millis(told)),
@@ -87,7 +88,8 @@
             self.note_rest(upstream, &heard);
         }
         if heard.request_id.is_some() && heard.request_id.as_deref() != Some(self.id()) {
-            // A connection that carries another request's answer is dropped with it.
+            // Dropping the response also closes its connection, which carries the response to another
+            // request.
             return Attempt::Lost("answer to another request".to_owned());
         }
         if heard.is_other_instance {
--- a/crates/gateway/src/request/trail.rs
+++ b/crates/gateway/src/request/trail.rs
@@ -1,4 +1,4 @@
-//! What one request has been through, and the line about its end.
+//! Progress of one request, and the log line at its end.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,24 +12,23 @@
 use crate::shared::Shared;
 use crate::suspects;
 
-/// Tells a request's end once; a trail that is dropped before tells that the caller left.
+/// Logs the end of a request once. If dropped before, it logs that the caller disconnected.
 pub(super) struct Trail {
     pub(super) shared: Rc<Shared>,
     pub(super) request: String,
     route: String,
-    /// What it has in common with other tries; nothing until its body was read.
+    /// Identifies repeated attempts; `None` until the body was read.
     fingerprint: Cell<Option<Fingerprint>>,
     layout: u64,
     pub(super) arrived: Millis,
     service: RefCell<String>,
     instance: RefCell<String>,
-    /// No other suspect is where it goes.
+    /// The attempt is sent to an upstream where no other suspect is in progress.
     alone: Cell<bool>,
-    /// Where the attempt under way went.
+    /// Upstream of the current attempt.
     upstream: RefCell<Option<Upstream>>,
     attempts: Cell<u32>,
-    /// Age of the list of upstreams at the start of the latest attempt; 0 if unknown or before any
-    /// attempt.
+    /// Age of the list of upstreams at the start of the latest attempt; 0 if unknown or before any attempt.
     list_age: Cell<Millis>,
     /// Time spent waiting for turns.
     turn: Cell<Millis>,
@@ -76,7 +75,7 @@
         self.fingerprint.get().unwrap_or_default()
     }
 
-    /// The fingerprint as text; empty until the body was read.
+    /// Fingerprint as text; empty until the body was read.
     fn fingerprint_text(&self) -> String {
         self.fingerprint
             .get()
@@ -88,7 +87,7 @@
         self.service.replace(service.to_string());
     }
 
-    /// An attempt goes to `upstream`.
+    /// Records that an attempt is sent to `upstream`.
     pub(super) fn attempt(&self, upstream: &Upstream) {
         self.attempts.set(self.attempts.get() + 1);
         let age = self.shared.marks.list_age(self.shared.timer.now());
@@ -97,12 +96,12 @@
         self.upstream.replace(Some(upstream.clone()));
     }
 
-    /// The request goes where no other suspect is.
+    /// Records that the request is sent to an upstream where no other suspect is in progress.
     pub(super) fn set_alone(&self) {
         self.alone.set(true);
     }
 
-    /// The connection of the attempt under way broke off.
+    /// Records that the connection of the current attempt was lost.
     pub(super) fn broke(&self) {
         if let (Some(fingerprint), Some(upstream)) =
             (self.fingerprint.get(), &*self.upstream.borrow())
@@ -111,17 +110,17 @@
         }
     }
 
-    /// An upstream served the request.
+    /// Records that an upstream served the request.
     pub(super) fn served(&self) {
         suspects::served(&self.shared, &self.fingerprint());
     }
 
-    /// A wait for a turn took `waited`.
+    /// Adds the time spent waiting for a turn.
     pub(super) fn waited(&self, waited: Millis) {
         self.turn.set(self.turn.get() + waited);
     }
 
-    /// The answer's first byte was passed on.
+    /// Records that the first byte of the response was forwarded.
     pub(super) fn first(&self) {
         if self.first.get().is_some() {
             return;
@@ -138,7 +137,7 @@
         self.shared.timer.now().since(self.arrived)
     }
 
-    /// An upstream's answer was passed on.
+    /// Logs that an upstream's response was forwarded.
     pub(super) fn passed_on(&self, status: u16, whole: bool) {
         self.count(if whole { "passed_on" } else { "broken" });
         let first = self.first.get().unwrap_or_else(|| self.age());
@@ -161,7 +160,7 @@
         self.shared.log.emit(&events::PASSED_ON, &fields);
     }
 
-    /// The request was refused as not run.
+    /// Logs that the request was refused without having been executed.
     pub(super) fn turned_down(&self, status: u16, reason: &str, retry: Millis) {
         self.count("turned_down");
         let fingerprint = self.fingerprint_text();
@@ -179,7 +178,7 @@
         self.shared.log.emit(&events::TURNED_DOWN, &fields);
     }
 
-    /// The request failed and may have run.
+    /// Logs that the request failed and may have been executed.
     pub(super) fn unsettled(&self, status: u16, reason: &str) {
         self.count("unsettled");
         let instance = self.instance.borrow();
@@ -199,7 +198,7 @@
         self.shared.log.emit(&events::UNSETTLED, &fields);
     }
 
-    /// One attempt gave nothing to pass on.
+    /// Logs that an attempt provided no response to forward.
     pub(super) fn lost(&self, step: &str, ran: bool, again: bool, error: &str) {
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that the gateway's parts share.
+//! State shared by the parts of the gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,25 +23,27 @@
 use crate::table::Table;
 use crate::{HeaderCodec, RateLimit};
 
-/// Readiness condition of the configuration.
+/// Readiness condition: a configuration was read.
 pub(crate) const LAYOUT: &str = "layout";
 
-/// Readiness condition that ends with a stop.
+/// Readiness condition: no stop was requested.
 pub(crate) const RUNNING: &str = "running";
 
-/// How far a stop has come.
+/// Progress of a stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stopping {
-    /// None was asked for.
+    /// No stop was requested.
     #[default]
     No,
-    /// Asked for: requests are taken, and each answer tells its caller to go elsewhere.
+    /// Requests are accepted, and each response tells its caller to close the connection and use another
+    /// gateway.
     Asked,
-    /// Answers that may last would be cut by the end: their requests are refused.
+    /// Requests to model engines are refused, because their responses may not complete before the process
+    /// ends.
     Closing,
 }
 
-/// What the gateway's parts share.
+/// State shared by the parts of the gateway.
 pub(crate) struct Shared {
     pub(crate) timer: Timer,
     pub(crate) log: Log,
@@ -56,25 +58,25 @@
     pub(crate) client: Client,
     /// Client for agents.
     pub(crate) agents: Client,
-    /// What upstreams said of themselves.
+    /// Leaving and backoff, as reported by upstreams themselves.
     pub(crate) words: RefCell<OwnWords>,
     /// Rate limits announced by upstreams.
     pub(crate) limits: RefCell<RateLimits>,
-    /// Requests under which upstreams ended.
+    /// Requests in progress when upstreams ended.
     pub(crate) guard: Guard,
-    /// Whether relays gather what is known of engines.
+    /// Whether figures of engines are collected by relays.
     pub(crate) relayed: Cell<bool>,
     pub(crate) repeat: RepeatOptions,
-    /// What the engines of a service were found to do.
+    /// Median traits of the engines of each service.
     pub(crate) peers: RefCell<Peers>,
-    /// Gateways that share the slack of repeats.
+    /// Number of gateways that share the slack of repeats.
     pub(crate) gateways: RefCell<Gateways>,
     pub(crate) windows: RefCell<BTreeMap<ServiceId, RepeatWindow>>,
     pub(crate) rng: RefCell<ChaCha8Rng>,
     pub(crate) readiness: Readiness,
     pub(crate) drain: Drain,
     pub(crate) meters: Meters,
-    /// How far a stop has come.
+    /// Progress of a stop.
     pub(crate) stopping: Cell<Stopping>,
 }
 
@@ -85,7 +87,7 @@
         self.window(service, |w| w.record_request(now));
     }
 
-    /// Takes one more send of a request to `service` from the bound, if it allows one.
+    /// Counts a repeated send of a request to `service`, if the limit allows one; returns whether it does.
     pub(crate) fn may_repeat(&self, service: &ServiceId) -> bool {
         let now = self.timer.now();
         let allowed = self.window(service, |w| w.try_repeat(now));
@@ -110,7 +112,7 @@
         look(window)
     }
 
-    /// An upstream said in an answer that it leaves.
+    /// Records that `upstream` reported in a response that it is leaving.
     pub(crate) fn said_leaving(&self, upstream: &Upstream) {
         let now = self.timer.now();
         if self.words.borrow_mut().leaves(upstream, now) {
@@ -168,7 +170,8 @@
         limits.wait(limit_source(upstream), self.limit_sharers(), now)
     }
 
-    /// Reserves a slot in this gateway's share of the rate limit of `upstream`, if one is free within `max_wait`.
+    /// Reserves a slot in this gateway's share of the rate limit of `upstream`, if one is free within
+    /// `max_wait`.
     pub(crate) fn reserve(&self, upstream: &Upstream, max_wait: Millis) -> Admission {
         let now = self.timer.now();
         let sharers = self.limit_sharers();
@@ -190,7 +193,7 @@
         limits.note_exhausted(&upstream.instance, now + wait, now);
     }
 
-    /// Another upstream answered in the place of `instance`.
+    /// Records that another instance answered at the address of `instance`.
     pub(crate) fn seen_replaced(&self, instance: &str) {
         let known = self
             .table
@@ -206,24 +209,24 @@
         self.log.emit(&events::SEEN_LEAVING, &fields);
     }
 
-    /// Whether `upstream` takes requests, by all that was heard from itself and in its place.
+    /// Whether `upstream` accepts requests, by its own reports and by what answered at its address.
     pub(crate) fn takes(&self, upstream: &Upstream) -> bool {
         self.stays(upstream) && self.rest_left(upstream).is_none()
     }
 
-    /// Whether `upstream` is there and does not leave, by the same.
+    /// Whether `upstream` was neither replaced nor has reported that it is leaving.
     pub(crate) fn stays(&self, upstream: &Upstream) -> bool {
         let replaced = self.table.with(&upstream.instance, |r| r.replaced);
         !replaced && !self.words.borrow().is_leaving(upstream)
     }
 
-    /// Time for which `upstream` wants nothing from this gateway, by its own word.
+    /// Time for which `upstream` has asked this gateway to send no requests.
     pub(crate) fn rest_left(&self, upstream: &Upstream) -> Option<Millis> {
         let now = self.timer.now();
         self.words.borrow().rest_left(upstream, now)
     }
 
-    /// `upstream` turned a request away and wants nothing for `told`.
+    /// Records that `upstream` rejected a request and asked for no requests during `requested`.
     pub(crate) fn said_rests(&self, upstream: &Upstream, told: Millis) {
         let now = self.timer.now();
         let held = self.words.borrow_mut().rests(upstream, told, now);
--- a/crates/gateway/src/side.rs
+++ b/crates/gateway/src/side.rs
@@ -1,4 +1,4 @@
-//! Exchanges with the agents beside engines: turns, news and figures.
+//! Exchanges with the agents beside engines: turns, news of requests, and figures.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,35 +15,38 @@
 use crate::suspects;
 use crate::table::{Asking, Record};
 
-/// Path of the one exchange.
+/// Path of the exchange.
 const TURN_PATH: &str = "/peer/v1/turn";
 
-/// Pause between two looks at who has to be told something.
+/// Interval between checks for agents that are due for an exchange.
 const LOOK: Duration = Duration::from_millis(25);
 
-/// Time after which news go out; an agent counts prompts as unread until then.
+/// Minimum interval between exchanges that carry news. Until news arrive, an agent counts the prompts of
+/// requests that have begun as unread.
 const NEWS_SPAN: Millis = Millis(50);
 
-/// Time between two exchanges without news. Figures older than a few prompts' time place badly.
+/// Interval between exchanges without news. Figures older than the time of a few prompts lead to poor
+/// routing.
 const SYNC_SPAN: Millis = Millis(200);
 
-/// Time after the last word about an engine, by its agent or a relay, after which its agent is asked
-/// though a relay gathers: five views. Time between two tries of an agent that could not be reached, too.
+/// Time after the last message about an engine, from its agent or a relay, after which its agent is called
+/// directly although a relay collects figures: five views. Also the interval between calls to an agent that
+/// could not be reached.
 const UNHEARD_SPAN: Millis = Millis(1_000);
 
-/// Time for an exchange without an ask. A sound agent answers in a few milliseconds.
+/// Timeout of an exchange without an ask. A healthy agent responds within a few milliseconds.
 const CALL_SPAN: Duration = Duration::from_millis(500);
 
-/// Step in which a waiting ask looks whether its agent is still there.
+/// Interval at which a pending ask checks whether its agent is still reachable.
 const ASK_STEP: Duration = Duration::from_millis(100);
 
-/// Time that an ask may take beyond its caller's patience.
+/// Time that an ask may take beyond the patience of its caller.
 const ASK_MARGIN: Millis = Millis(200);
 
-/// An ask without an outcome.
+/// The agent was lost before the ask had an outcome.
 pub(crate) struct AgentLost;
 
-/// Keeps figures fresh and delivers news, for good.
+/// Keeps figures fresh and delivers news; never returns.
 pub(crate) async fn sync(shared: Rc<Shared>) {
     loop {
         let now = shared.timer.now();
@@ -55,7 +58,7 @@
     }
 }
 
-/// Engines with whose agents an exchange is due; they count as begun.
+/// Engines that are due for an exchange with their agent; marks the exchanges as started.
 fn due(shared: &Shared, now: Millis) -> Vec<Upstream> {
     let catalog = shared.catalog.borrow();
     let relayed = RelaySelector::is_needed(engines(&catalog).count());
@@ -71,8 +74,8 @@
     catalog.upstreams().filter(is_engine)
 }
 
-/// Whether an exchange with the agent beside `instance` is due. Where a relay gathers figures, only
-/// agents that have to be told something, or are waited for, or were not heard of, are met.
+/// Whether an exchange with the agent beside `instance` is due. Where a relay collects figures, only agents
+/// are called that have news to receive, have pending asks, or have not been heard of.
 fn is_due(shared: &Shared, instance: &str, relayed: bool, now: Millis) -> bool {
     shared.table.with(instance, |r| {
         let age = now.since(r.synced);
@@ -81,7 +84,8 @@
             let heard = r.heard.max(r.viewed).max(Some(r.listed(now)));
             let unheard = heard.is_none_or(|at| now.since(at) >= UNHEARD_SPAN);
             let tried = r.waiting > 0 || (r.failing.is_some() && r.reach == Reach::Sound);
-            // What this gateway found itself counts more than a relay's word: only an own exchange ends it.
+            // What this gateway observed itself takes precedence over a relay's report: only a direct
+            // exchange ends the failure.
             let doubted = unheard || r.failing.is_some();
             news || (tried && age >= SYNC_SPAN) || (doubted && age >= UNHEARD_SPAN)
         } else {
@@ -126,12 +130,12 @@
     shared.limits.borrow().news(&upstream.instance, now)
 }
 
-/// Digest of the kept adapters known of `upstream`.
+/// Digest of the cached adapters known of `upstream`.
 fn known(shared: &Shared, upstream: &Upstream) -> u64 {
     shared.table.with(&upstream.instance, |r| r.kept.digest)
 }
 
-/// Asks for a turn at `upstream`; waits until it has an outcome or the agent is lost.
+/// Asks for a turn at `upstream`; waits until the ask has an outcome or the agent is lost.
 pub(crate) async fn ask(
     shared: &Shared,
     upstream: &Upstream,
@@ -176,7 +180,7 @@
     }
 }
 
-/// An ask without an outcome, until dropped.
+/// Counts an ask as pending until dropped.
 struct Waiting<'a> {
     shared: &'a Shared,
     instance: &'a str,
@@ -203,7 +207,8 @@
     let address = SocketAddr::new(upstream.address.ip(), shared.agent_port);
     let sent = shared.timer.now();
     let peer = address.to_string();
-    // Where relays gather, word goes round by them: told to each side it would be the most of what is sent.
+    // Where relays collect figures, they also distribute news of suspects: sent to each agent, these would be
+    // most of the traffic.
     let suspects = (!shared.relayed.get()).then(|| suspects::tell(shared, address));
     call.suspects = suspects.as_ref().map(|s| s.news.clone());
     let result: Result<TurnReply, NetError> =
@@ -241,7 +246,7 @@
     let named = &reply.figures.instance;
     let own = *named == upstream.instance;
     shared.table.with(&upstream.instance, |r| {
-        // An agent that does not know its engine yet has no turns to give.
+        // An agent that does not know its engine yet can't grant turns.
         r.reach = if own { Reach::Sound } else { Reach::Replaced };
     });
     if own {
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Putting a gateway together, and its stop.
+//! Start and stop of a gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,44 +29,45 @@
 use crate::table::Table;
 use crate::{GatewaySettings, HeaderCodec, side, suspects, view};
 
-/// Time for which an upstream or an agent may leave bytes without acknowledgement: many ways there
-/// and back, with a loss or two, and well below the time that callers wait.
+/// Time for which an upstream or an agent may leave bytes without acknowledgement. Covers many round trips
+/// with one or two lost packets, and is well below the time for which callers wait.
 const ACK_SPAN: Duration = Duration::from_millis(1_200);
 
 /// Idle connections kept for one upstream. Half of an upstream's limit, shared by eight gateways.
 const IDLE: usize = 6;
 
-/// Part of the grace after which idle connections are closed and no more streams are taken. Callers
-/// have been told with each answer until then, and know other gateways; what was taken before has
-/// five seconds of eight left, and a stream lasts four or more in one case of twenty.
+/// Part of the grace after which idle connections are closed and no new streams are accepted. Each response
+/// until then tells its caller to use another gateway. Earlier streams have five of eight seconds left; one
+/// stream in twenty takes four seconds or more.
 const CLOSE_PART: f64 = 0.34;
 
 /// Part of the grace after which the process ends in any case.
 const END_PART: f64 = 0.93;
 
-/// Time between two reads that another process's word brings on, for each gateway: many upstreams that
-/// come or go within a second would else have every gateway read for each of them. Together they read 50
-/// times a second at most.
+/// Minimum interval between reads of the list that are triggered by hints from other processes; a gateway
+/// multiplies it by the number of gateways. Without it, many upstreams that join or leave within a second would
+/// make every gateway read once for each of them. All gateways together perform at most 50 such reads per second.
 const HURRY: Duration = Duration::from_millis(20);
 
-/// Part of the time for a leaving upstream that this may take, however many gateways there are.
+/// Part of the leave span that the interval between such reads may take, whatever the number of gateways.
 const HURRY_PART: f64 = 0.35;
 
-/// Longest pause between two attempts to reach the log: a store that is back must be heard well within
-/// the two seconds in which lapsed entries return.
+/// Maximum backoff between attempts to reach the log. A store that is available again must be read well
+/// within the two seconds in which lapsed entries return.
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
 
-/// Part of the ratio of repeats that is used: windows of several gateways don't begin together.
+/// Part of the ratio of repeats that is used, because the windows of several gateways do not start at the
+/// same time.
 const RATIO_PART: f64 = 0.9;
 
-/// The deployment, as a gateway needs it.
+/// Interfaces to the deployment.
 #[derive(Clone)]
 pub struct GatewayParts {
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
-    /// Form of its records.
+    /// Decoder of its records.
     pub decoder: Rc<dyn RecordDecoder>,
-    /// Form of heads.
+    /// Codec of its headers.
     pub header_codec: Rc<dyn HeaderCodec>,
 }
 
@@ -112,10 +113,10 @@
 }
 
 impl Gateway {
-    /// Starts a gateway on this loop.
+    /// Starts a gateway on the current event loop.
     ///
     /// # Errors
-    /// [`ListenError`] if a listener can't be bound.
+    /// Returns [`ListenError`] if a listener can't be bound.
     pub fn start(
         settings: &GatewaySettings,
         parts: &GatewayParts,
@@ -148,7 +149,7 @@
         })
     }
 
-    /// Runs until a stop is asked for and the answers under way have ended, or the grace is over.
+    /// Runs until a stop is requested and the responses in progress have ended, or the grace is over.
     pub async fn run(self, stop: &Stop) {
         stop.first().await;
         let shared = &self.shared;
@@ -163,7 +164,8 @@
         shared.stopping.set(Stopping::Closing);
         self.callers.stop();
         let left = self.grace.mul_f64(END_PART - CLOSE_PART);
-        // Requests that still run then are cut by the process's end, which the grace demands.
+        // Requests that are still in progress after this are cut when the process ends, because the grace
+        // limits the stop.
         let _ = shared.timer.within(left, self.callers.closed()).await;
         let took = shared.timer.now().since(from).0;
         let cut = shared.drain.count();
@@ -220,8 +222,8 @@
     })
 }
 
-/// The bound that all gateways keep together: the ratio over its own requests by each, and the slack in
-/// parts.
+/// Limit of repeats across all gateways: each applies the ratio to its own requests, and uses its share of
+/// the slack.
 fn repeat(settings: &GatewaySettings) -> RepeatOptions {
     let window = u64::try_from(settings.repeat_window.0.as_millis()).unwrap_or(u64::MAX);
     RepeatOptions {
--- a/crates/gateway/src/suspects/breaks.rs
+++ b/crates/gateway/src/suspects/breaks.rs
@@ -1,41 +1,41 @@
-//! Requests whose connection to an upstream broke off, until it is known whether the upstream ended.
+//! Requests whose connection to an upstream was lost, until it is known whether the upstream ended.
 
 use std::collections::BTreeMap;
 
 use pumicecleat_types::{Fingerprint, Millis};
 
-/// Time after a break within which its upstream may be found to have ended: three heartbeats, after which
-/// the list drops it, and the time for another to take its address.
+/// Time after a lost connection within which its upstream may be found to have ended: three heartbeats, after
+/// which the list drops it, and the time until another upstream takes its address.
 const WATCH_SPAN: Millis = Millis(10_000);
 
-/// A request that broke off.
+/// A request whose connection was lost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Broken {
     pub(super) at: Millis,
-    /// No other suspect was under way there.
+    /// No other suspect was in progress there.
     pub(super) alone: bool,
 }
 
-/// What broke off at one upstream.
+/// Connections lost at one upstream.
 #[derive(Debug, Default)]
 struct Break {
-    /// Requests that broke off.
+    /// Requests whose connection was lost.
     requests: BTreeMap<Fingerprint, Broken>,
-    /// Something broke off since the upstream was last looked at.
+    /// A connection was lost since the upstream was last probed.
     fresh: bool,
-    /// When it was found to have ended.
+    /// When the upstream was found to have ended.
     ended: Option<Millis>,
 }
 
-/// What broke off, by the key of the upstream's start.
+/// Lost connections, by the key of the upstream's start.
 #[derive(Debug, Default)]
 pub(super) struct Breaks {
     open: BTreeMap<u64, Break>,
 }
 
 impl Breaks {
-    /// Adds a request where others broke off before; gives whether that upstream is known to have ended,
-    /// or `None` if nothing broke off there.
+    /// Adds a request if connections were lost at that upstream before; returns whether the upstream is known
+    /// to have ended, or `None` if no connection was lost there.
     pub(super) fn join(
         &mut self,
         key: u64,
@@ -48,7 +48,7 @@
         Some(known.ended.is_some())
     }
 
-    /// The first request broke off there.
+    /// Adds the first request that lost its connection there.
     pub(super) fn open(&mut self, key: u64, fingerprint: Fingerprint, broken: Broken) {
         let first = Break {
             requests: BTreeMap::from([(fingerprint, broken)]),
@@ -58,13 +58,13 @@
         self.open.insert(key, first);
     }
 
-    /// Whether something broke off there since this was last asked.
+    /// Whether a connection was lost there since the last call.
     pub(super) fn take_fresh(&mut self, key: u64) -> bool {
         let known = self.open.get_mut(&key);
         known.is_some_and(|b| std::mem::take(&mut b.fresh))
     }
 
-    /// The upstream has ended; gives the requests that were under way there.
+    /// Records that the upstream has ended; returns the requests that were in progress there.
     pub(super) fn end(&mut self, key: u64, now: Millis) -> Vec<(Fingerprint, bool)> {
         let Some(known) = self.open.get_mut(&key) else {
             return Vec::new();
@@ -74,7 +74,7 @@
         requests.map(|(f, broken)| (*f, broken.alone)).collect()
     }
 
-    /// Forgets what is over there; gives whether anything is left.
+    /// Removes expired requests; returns whether any are left.
     pub(super) fn settle(&mut self, key: u64, now: Millis) -> bool {
         let Some(known) = self.open.get_mut(&key) else {
             return false;
--- a/crates/gateway/src/suspects/denials.rs
+++ b/crates/gateway/src/suspects/denials.rs
@@ -1,5 +1,5 @@
-//! Requests that an agent gave no permission for: they are refused until the time that it told, unless more
-//! becomes known.
+//! Requests to which an agent granted no trial. They are refused until the time that the agent returned,
+//! unless more ends become known.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,25 @@
 #[derive(Clone, Copy, Debug)]
 struct Denial {
     until: Millis,
-    /// Upstreams that the request may have ended then.
+    /// Number of upstreams that the request may have ended at the time of the denial.
     ends: usize,
 }
 
-/// Requests without permission.
+/// Requests without a trial.
 #[derive(Debug, Default)]
 pub(super) struct Denials {
     known: BTreeMap<Fingerprint, Denial>,
 }
 
 impl Denials {
-    /// A request under which `ends` upstreams ended has no permission for `span`.
+    /// Records that a request that may have ended `ends` upstreams gets no trial for `span`.
     pub(super) fn add(&mut self, fingerprint: Fingerprint, ends: usize, span: Millis, now: Millis) {
         self.known.retain(|_, d| d.until > now);
         let until = now + span;
         self.known.insert(fingerprint, Denial { until, ends });
     }
 
-    /// Time for which it has none.
+    /// Time left for which the request gets no trial.
     pub(super) fn left(
         &self,
         fingerprint: &Fingerprint,
--- a/crates/gateway/src/suspects/keep.rs
+++ b/crates/gateway/src/suspects/keep.rs
@@ -1,9 +1,9 @@
-//! Suspects that outlast all processes, in a stream of our own of the deployment's log.
+//! Persists suspects across restarts of all processes, in a separate stream of the deployment's log.
 //!
-//! A gateway that saw the second end under a request, or one after it, keeps the request there, and drops
-//! it when an upstream serves it or when it is forgotten. Each gateway reads the stream once, as it starts;
-//! what comes later is told between processes. The time of a record is the only one that is taken from the
-//! clock: it outlasts every process, and seconds don't matter to it.
+//! A gateway that observes the second end during a request, or a later one, stores the request there; it
+//! removes it when an upstream serves the request or when the request expires. Each gateway reads the stream
+//! once at its start; later changes are exchanged between processes. Only the time of a record is taken from
+//! the system clock: it must outlast all processes, and an error of seconds is harmless.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -22,28 +22,28 @@
 /// Stream of the log.
 const STREAM: &str = "keyed.suspects";
 
-/// Time in which what is to be kept is gathered for one append: as an upstream ends, many requests come
-/// under suspicion at once.
+/// Time for which requests are collected into one append, because many requests become suspects at once when
+/// an upstream ends.
 const GATHER: Duration = Duration::from_millis(100);
 
-/// Pause after a call that failed; it doubles with each further one.
+/// Delay after a failed call; it doubles with each further failure.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// Longest such pause.
+/// Maximum of this delay.
 const LONGEST_PAUSE: Duration = Duration::from_mins(1);
 
-/// A request in the log.
+/// Stored value of a request.
 #[derive(Serialize, Deserialize)]
 struct Kept {
     word: SuspectWord,
-    /// Unix time of the record, ms.
+    /// Unix time of the record in milliseconds.
     at: u64,
 }
 
-/// Requests whose record is behind what is known.
+/// Requests whose record is outdated.
 pub(crate) struct Unkept {
     requests: RefCell<BTreeSet<Fingerprint>>,
-    /// Requests that this gateway keeps in the log.
+    /// Requests that this gateway stores in the log.
     kept: RefCell<BTreeSet<Fingerprint>>,
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -60,23 +60,23 @@
         }
     }
 
-    /// What is known of a request is to be kept, or it is to be dropped.
+    /// Schedules a write of the request's record, or its removal.
     pub(super) fn add(&self, fingerprint: Fingerprint) {
         self.requests.borrow_mut().insert(fingerprint);
-        // A full channel holds a token already.
+        // A full channel already holds a wakeup.
         let _ = self.sender.try_send(());
     }
 }
 
 impl Unkept {
-    /// All that this gateway keeps is to be written again.
+    /// Schedules a write of all requests that this gateway stores.
     pub(super) fn add_kept(&self) {
         for fingerprint in self.kept.borrow().iter() {
             self.add(*fingerprint);
         }
     }
 
-    /// A record was written; it is dropped if `value` is empty.
+    /// Records that a record was written; an empty `value` removes it.
     fn written(&self, fingerprint: Fingerprint, value: &[u8]) {
         let mut kept = self.kept.borrow_mut();
         if value.is_empty() {
@@ -87,12 +87,12 @@
     }
 }
 
-/// Reads what is kept, and keeps what is new, for good.
+/// Reads the stored suspects, then stores changes; never returns.
 pub(crate) async fn keep(shared: Rc<Shared>, store: Rc<dyn KeyedLog>) {
     load(&shared, &*store).await;
     let unkept = &shared.guard.unkept;
     loop {
-        // It can't be closed while `shared` holds both ends.
+        // The channel can't be closed, because `shared` holds both ends.
         let _ = unkept.receiver.recv().await;
         shared.timer.sleep(GATHER).await;
         let requests = unkept.requests.take();
@@ -162,7 +162,7 @@
     store.append(STREAM, records).await.map(|_| ())
 }
 
-/// Value of a request's record; empty if it is not to be kept.
+/// Value of a request's record; empty if it is not to be stored.
 fn value(suspects: &SuspectTable, fingerprint: &Fingerprint, now: Millis) -> Vec<u8> {
     if suspects.end_count(fingerprint, now) < TRIAL_MIN_ENDS {
         return Vec::new();
--- a/crates/gateway/src/suspects/mod.rs
+++ b/crates/gateway/src/suspects/mod.rs
@@ -1,9 +1,9 @@
-//! Requests under which upstreams end: what this gateway sees of it, and what others tell.
+//! Requests that may crash upstreams: observations of this gateway, and reports of others.
 //!
-//! - `breaks` holds the requests whose connection to an upstream broke off; `watch` finds out whether the
+//! - `breaks` holds the requests whose connection to an upstream was lost; `watch` determines whether the
 //!   upstream has ended.
-//! - `news` passes on what is known, by way of the agents.
-//! - `keep` has them outlast all processes.
+//! - `news` exchanges suspects with other processes by way of the agents.
+//! - `persist` stores suspects across restarts of all processes.
 //! - `trial` asks an agent for permission to send a suspect once more.
 
 mod breaks;
@@ -31,7 +31,7 @@
 pub(crate) use news::{hear, tell};
 pub(crate) use trial::{ask_trial, give_back};
 
-/// What a gateway knows of requests under which upstreams end.
+/// Suspects known to a gateway, and their trials.
 pub(crate) struct Guard {
     pub(crate) table: RefCell<SuspectTable>,
     links: RefCell<SuspectSync>,
@@ -39,12 +39,12 @@
     leavers: RefCell<Leavers>,
     unkept: Unkept,
     denials: RefCell<Denials>,
-    /// Permissions given by this gateway itself, where there is no agent to ask.
+    /// Trials granted by this gateway itself, if there is no agent to ask.
     trials: RefCell<Trials>,
 }
 
 impl Guard {
-    /// Knows of none; `start` tells this start of the process from others.
+    /// Creates an empty state; `start` identifies this start of the process.
     pub(crate) fn new(start: u64) -> Self {
         Self {
             table: RefCell::new(SuspectTable::new(start)),
@@ -57,12 +57,12 @@
         }
     }
 
-    /// The log may have lost what this gateway keeps there.
+    /// Stores all suspects of this gateway again, because the log may have lost them.
     pub(crate) fn keep_again(&self) {
         self.unkept.add_kept();
     }
 
-    /// An upstream leaves by its own word, or is gone from the list.
+    /// Records that an upstream leaves by its own announcement (`announced`), or was removed from the list.
     pub(crate) fn note_leaving(&self, instance: &str, said: bool, now: Millis) {
         self.leavers.borrow_mut().note(instance, said, now);
     }
@@ -71,13 +71,14 @@
         self.leavers.borrow().is_planned(instance, now)
     }
 
-    /// Upstreams that a request may have ended.
+    /// Number of upstreams that a request may have ended.
     pub(crate) fn ends(&self, fingerprint: &Fingerprint, now: Millis) -> usize {
         self.table.borrow().end_count(fingerprint, now)
     }
 }
 
-/// The connection on which `upstream` had the request broke off; `alone` if no other suspect was there.
+/// Records that the request lost its connection to `upstream`; `alone` if no other suspect was in progress
+/// there.
 pub(crate) fn broke(
     shared: &Rc<Shared>,
     fingerprint: Fingerprint,
@@ -95,7 +96,7 @@
     match known {
         Some(true) => blame(shared, upstream, &[(fingerprint, alone)]),
         Some(false) => {}
-        // An upstream that leaves may cut what is under way at its end.
+        // A leaving upstream may close connections with requests in progress when it ends.
         None if shared.guard.is_leaving(&upstream.instance, now) => {}
         None => {
             let mut breaks = shared.guard.breaks.borrow_mut();
@@ -105,7 +106,7 @@
     }
 }
 
-/// `upstream` ended while these requests were under way there.
+/// Records that `upstream` ended while `requests` were in progress there.
 fn blame(shared: &Shared, upstream: &Upstream, requests: &[(Fingerprint, bool)]) {
     let now = shared.timer.now();
     let key = end_key(&upstream.instance, upstream.born);
@@ -124,7 +125,7 @@
     }
 }
 
-/// Logs that a request needs permission from now on, if it does.
+/// Logs a request that needs permission from now on.
 fn tell_suspected(shared: &Shared, fingerprint: &Fingerprint, source: &str) {
     let ends = shared.guard.ends(fingerprint, shared.timer.now());
     if ends < TRIAL_MIN_ENDS {
@@ -140,7 +141,7 @@
     shared.log.emit(&events::REQUEST_SUSPECTED, &fields);
 }
 
-/// An upstream served the request.
+/// Records that an upstream served the request.
 pub(crate) fn served(shared: &Shared, fingerprint: &Fingerprint) {
     let ends = shared.guard.table.borrow_mut().record_served(fingerprint);
     if ends < TRIAL_MIN_ENDS {
--- a/crates/gateway/src/suspects/news.rs
+++ b/crates/gateway/src/suspects/news.rs
@@ -1,4 +1,4 @@
-//! What is known of suspects, to and from the agents.
+//! Exchange of suspects with the agents.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
         .outgoing_news(peer, &guard.table.borrow(), now)
 }
 
-/// `peer` answered a call that told it as far as `told`.
+/// Applies the reply of `peer` to a call that carried changes up to `sent_up_to`.
 pub(crate) fn hear(shared: &Shared, peer: SocketAddr, told: Seen, reply: &SuspectNews) {
     let now = shared.timer.now();
     let guard = &shared.guard;
--- a/crates/gateway/src/suspects/trial.rs
+++ b/crates/gateway/src/suspects/trial.rs
@@ -1,7 +1,8 @@
-//! Permission to send a suspect once more.
+//! Trials: permission to send a suspect once more.
 //!
-//! One agent gives it for all gateways: the first by the request's own rank that answers. So gateways agree
-//! on it without a word, and different requests ask different agents.
+//! One agent grants the trials of a request for all gateways: the first that responds, in a ranking derived
+//! from the request. Gateways therefore agree on the agent without coordination, and different requests use
+//! different agents.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,19 +17,19 @@
 use crate::shared::Shared;
 use crate::side::engines;
 
-/// Path at which an agent is asked.
+/// Path of a request for a trial.
 const TRIAL_PATH: &str = "/peer/v1/trial";
 
-/// Time for an answer. A sound agent answers in a few milliseconds.
+/// Timeout of a call to an agent. A healthy agent responds within a few milliseconds.
 const SPAN: Duration = Duration::from_millis(400);
 
-/// Agents asked before a request is refused without permission.
+/// Maximum number of agents asked before a request is refused.
 const ASKED: usize = 3;
 
-/// When to come back if no agent answers: one that failed is back within two seconds.
+/// Retry time returned if no agent responds: a failed agent is back within two seconds.
 const UNANSWERED_RETRY: Millis = Millis(2_000);
 
-/// Asks for permission for one send of a request; if there is none, gives when to come back.
+/// Asks for a trial of a request. If none is granted, fails with the time after which to retry.
 pub(crate) async fn ask_trial(
     shared: &Shared,
     request: &str,
@@ -70,7 +71,7 @@
     outcome
 }
 
-/// Gives back permission that was not used.
+/// Gives back a trial that was not used.
 pub(crate) fn give_back(shared: &Rc<Shared>, fingerprint: Fingerprint) {
     let shared = Rc::clone(shared);
     monoio::spawn(async move {
@@ -81,7 +82,7 @@
     });
 }
 
-/// Time for which a request is refused without asking anybody.
+/// Time left for which the request is refused without asking an agent.
 fn known(shared: &Shared, fingerprint: &Fingerprint, now: Millis) -> Option<Millis> {
     let rest = shared.guard.table.borrow().retry_after(fingerprint, now);
     let ends = shared.guard.ends(fingerprint, now);
@@ -100,9 +101,9 @@
     }
 }
 
-/// Who answered.
+/// Origin of the decision on a trial.
 enum Answer {
-    /// Nobody had to be asked.
+    /// An earlier decision is still in force, for this time.
     Known(Millis),
     By(String, TrialReply),
     Nobody,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Answer of the first agent that gives one.
+/// Returns the reply of the first agent that responds.
 async fn ask_first(shared: &Shared, call: &TrialCall) -> Answer {
     let agents = ranked(shared, &call.fingerprint);
     if agents.is_empty() {
@@ -139,7 +140,7 @@
     Answer::Nobody
 }
 
-/// Agents by the rank that they have for a request.
+/// Agents in the ranking of a request.
 fn ranked(shared: &Shared, fingerprint: &Fingerprint) -> Vec<SocketAddr> {
     let catalog = shared.catalog.borrow();
     let agent = |ip| SocketAddr::new(ip, shared.agent_port);
--- a/crates/gateway/src/suspects/watch.rs
+++ b/crates/gateway/src/suspects/watch.rs
@@ -1,8 +1,8 @@
-//! Finds out whether an upstream has ended, after connections to it broke off.
+//! Determines whether an upstream has ended after connections to it were lost.
 //!
-//! A connection that breaks off may be the network's doing, or one request's. An upstream has ended if its
-//! VM refuses connections, if another start of it or another instance is listed at its address, or if it
-//! does not answer and leaves the list.
+//! A connection may also be lost because of the network or of a single request. An upstream has ended if its
+//! VM refuses connections, if a later start of it or another instance is listed at its address, or if it does
+//! not respond and is removed from the list.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use super::blame;
 use crate::shared::Shared;
 
-/// Pause before an upstream is looked at, and between two looks: its listener closes a little after its
-/// connections.
+/// Delay before the first probe of an upstream and interval between probes. The listener closes shortly after
+/// its connections.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// What a look at an upstream found.
+/// Result of a probe.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Found {
     Sound,
@@ -26,7 +26,7 @@
     Refuses,
 }
 
-/// Watches `upstream` until it is known what became of it.
+/// Watches `upstream` until it is known whether it has ended.
 pub(super) async fn watch(shared: Rc<Shared>, upstream: Upstream) {
     let key = end_key(&upstream.instance, upstream.born);
     let mut found = Found::Sound;
@@ -54,7 +54,7 @@
     }
 }
 
-/// What shows that `upstream` has ended, if anything does.
+/// Evidence that `upstream` has ended, if there is any.
 fn sign(shared: &Shared, upstream: &Upstream, found: Found) -> Option<&'static str> {
     if found == Found::Refuses {
         return Some("refuses connections");
@@ -75,7 +75,8 @@
     gone.then_some("silent and gone from the list")
 }
 
-/// Holds the end against the requests that were under way, and against those whose break is heard later.
+/// Records the end for the requests that were in progress, and for those whose lost connection becomes known
+/// later.
 async fn end(shared: &Rc<Shared>, upstream: &Upstream, key: u64, sign: &str) {
     let now = shared.timer.now();
     let requests = shared.guard.breaks.borrow_mut().end(key, now);
--- a/crates/gateway/src/table/mod.rs
+++ b/crates/gateway/src/table/mod.rs
@@ -1,7 +1,7 @@
-//! What is believed of each upstream, beside what the list tells.
+//! State of each upstream, in addition to the list.
 //!
-//! All of it is soft state: own requests under way, answers' times, failures, and what agents told of
-//! their engines. It begins empty and is forgotten with the instance.
+//! All of it is soft state: own requests in progress, response times, failures, and the figures that agents
+//! report of their engines. It starts empty and is removed with the instance.
 
 mod record;
 
@@ -20,7 +20,7 @@
     records: RefCell<BTreeMap<String, Record>>,
 }
 
-/// A request under way at an upstream, until dropped.
+/// Counts a request as in progress at an upstream until dropped.
 pub(crate) struct UnderWay {
     table: Rc<Table>,
     instance: String,
@@ -29,7 +29,7 @@
 }
 
 impl Table {
-    /// Looks at, or changes, what is believed of `instance`.
+    /// Reads or updates the state of `instance`.
     pub(crate) fn with<T>(&self, instance: &str, look: impl FnOnce(&mut Record) -> T) -> T {
         let mut records = self.records.borrow_mut();
         if let Some(record) = records.get_mut(instance) {
@@ -42,7 +42,7 @@
         self.records.borrow_mut().remove(instance);
     }
 
-    /// Counts a request as under way. With its id, an agent is told of its end.
+    /// Counts a request as in progress. If its ID is given, the agent receives news of it.
     pub(crate) fn enter(self: &Rc<Self>, instance: &str, request: Option<&str>) -> UnderWay {
         self.with(instance, |r| r.own += 1);
         UnderWay {
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Notes an upstream's own word on its load.
+    /// Sets the load that an upstream reported of itself.
     pub(crate) fn told(&self, instance: &str, load: ReportedLoad, now: Millis) {
         self.with(instance, |r| r.load = Some((load, now)));
     }
 }
 
 impl UnderWay {
-    /// Its answer has begun.
+    /// Records that the response has begun.
     pub(crate) fn begun(&self) {
         if !self.begun.replace(true) {
             self.tell(false);
--- a/crates/gateway/src/table/record.rs
+++ b/crates/gateway/src/table/record.rs
@@ -1,70 +1,71 @@
-//! What is believed of one upstream.
+//! State of one upstream.
 
 use pumicecleat_policy::{UpstreamLoad, UpstreamStats};
 use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, Reach, RunNews, ViewRow};
 
 use crate::ReportedLoad;
 
-/// News kept for an agent that does not answer; it learns the rest from the engine's report.
+/// Maximum number of news kept for an agent that does not respond; it learns the rest from the engine's
+/// report.
 const NEWS: usize = 512;
 
-/// Age up to which an agent's figures are relied on. Agents are asked every 200 ms.
+/// Age up to which an agent's figures are used. Agents are called every 200 ms.
 const FIGURES_SPAN: Millis = Millis(700);
 
-/// Silence after which an agent counts as lost, and asks under way there are given up.
+/// Time without a message after which an agent counts as lost and pending asks there fail.
 const SILENCE: Millis = Millis(700);
 
-/// Own exchanges that fail for this long show the same, whatever a relay hears: the second after the
-/// first.
+/// Time for which direct exchanges must fail until the agent counts as lost, whatever a relay reports. With
+/// 500 ms, that is the second failure.
 const FAILING_SPAN: Millis = Millis(500);
 
-/// What is believed of one upstream.
+/// State of one upstream.
 #[derive(Default)]
 pub(crate) struct Record {
-    /// Own requests under way.
+    /// Own requests in progress.
     pub(crate) own: u32,
-    /// Times and failures of its answers.
+    /// Response times and failures.
     pub(crate) slots: UpstreamStats,
-    /// Load by its own word, and when that came.
+    /// Load reported by the upstream, and when it arrived.
     pub(crate) load: Option<(ReportedLoad, Millis)>,
-    /// Engine's figures by its agent, and when they came.
+    /// Figures of the engine reported by its agent, and when they arrived.
     pub(crate) figures: Option<(EngineFigures, Millis)>,
-    /// Adapters that its host keeps, by its agent, and their digest.
+    /// Adapters cached on the engine's host, reported by its agent, and their digest.
     pub(crate) kept: KeptAdapters,
-    /// Own asks that the figures don't show yet.
+    /// Own asks that the figures don't include yet.
     pub(crate) asking: Vec<Asking>,
-    /// Own asks that have no outcome yet.
+    /// Number of own asks without an outcome.
     pub(crate) waiting: u32,
-    /// Last view that told of the engine.
+    /// Arrival of the last view that included the engine.
     pub(crate) viewed: Option<Millis>,
-    /// Another upstream answered in its place.
+    /// Another instance answered at its address.
     pub(crate) replaced: bool,
     /// News for its agent.
     news: Vec<RunNews>,
-    /// An exchange with its agent is under way.
+    /// An exchange with its agent is in progress.
     pub(crate) syncing: bool,
-    /// Last exchange with its agent began.
+    /// Start of the last exchange with its agent.
     pub(crate) synced: Millis,
-    /// Agent last answered.
+    /// Last response of its agent.
     pub(crate) heard: Option<Millis>,
-    /// First exchange with its agent that failed since the last that did not.
+    /// Start of the current series of failed exchanges with its agent.
     pub(crate) failing: Option<Millis>,
-    /// The log tells that the agent is silent.
+    /// The loss of the agent was logged.
     pub(crate) told_lost: bool,
-    /// What exchanges with its agent tell of the engine.
+    /// Reachability, as shown by exchanges with its agent.
     pub(crate) reach: Reach,
-    /// When the engine was first looked at.
+    /// When the engine was first seen in the list.
     listed: Option<Millis>,
-    /// Unix time of the engine's start, ms, by its agent; 0 if it does not tell.
+    /// Unix time of the engine's start in milliseconds, reported by its agent; 0 if unknown.
     born: u64,
 }
 
-/// An ask for a turn under way.
+/// A pending ask for a turn.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Asking {
     pub(crate) at: Millis,
     pub(crate) tokens: u32,
-    /// Needs a place for its adapter.
+    /// The adapter needs a slot.
     pub(crate) place: bool,
 }
 
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Takes in an agent's figures. If the engine started again since the last, all else that was
-    /// believed of it is void.
+    /// Sets the figures of an agent. If the engine was restarted since the last ones, resets all other state
+    /// that depended on the earlier start.
     pub(crate) fn take_figures(&mut self, figures: EngineFigures, now: Millis) {
         if self.born != 0 && figures.born > self.born {
             self.kept = KeptAdapters::default();
@@ -87,7 +88,7 @@
         self.figures = Some((figures, now));
     }
 
-    /// Takes in what a relay told of the engine. What own exchanges found counts more.
+    /// Applies what a relay reported of the engine. Results of direct exchanges take precedence.
     pub(crate) fn take_row(&mut self, row: ViewRow, now: Millis) {
         self.viewed = Some(now);
         let at = now - Millis(row.age_ms);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Last word of the agent, to this gateway or to a relay.
+    /// Last message of the agent, to this gateway or to a relay.
     pub(crate) fn last_word(&self) -> Option<Millis> {
         self.heard.max(self.figures.as_ref().map(|f| f.1))
     }
@@ -117,7 +118,7 @@
         unheard || failing.is_some_and(|since| now.since(since) >= FAILING_SPAN)
     }
 
-    /// When the engine was first looked at.
+    /// When the engine was first seen in the list.
     pub(crate) fn listed(&mut self, now: Millis) -> Millis {
         *self.listed.get_or_insert(now)
     }
@@ -130,19 +131,19 @@
         std::mem::take(&mut self.news)
     }
 
-    /// Figures that are fresh enough to rely on.
+    /// Figures that are fresh enough to use.
     pub(crate) fn fresh(&self, now: Millis) -> Option<&EngineFigures> {
         let (figures, at) = self.figures.as_ref()?;
         (now.since(*at) <= FIGURES_SPAN).then_some(figures)
     }
 
-    /// Whether requests for the engine would be in vain: its agent says that it crashed, was
-    /// replaced or leaves, or their VM can't be reached. An agent that is down says nothing.
+    /// Whether requests to the engine would fail: its agent reports that it crashed, was replaced or is
+    /// leaving, or their VM is unreachable. An agent that is down reports nothing.
     pub(crate) fn is_out(&self, now: Millis) -> bool {
         self.reach != Reach::Sound || self.fresh(now).is_some_and(|f| f.ready_ms.is_none())
     }
 
-    /// View for the choice among plain upstreams.
+    /// Load of the upstream for the choice among plain upstreams.
     pub(crate) fn slot_view(&self, slots: u32, remote: bool, now: Millis) -> UpstreamLoad {
         UpstreamLoad {
             own_requests: self.own,
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! Figures of all engines from one agent that gathers them, where there are many.
+//! Figures of all engines, collected by one agent as relay if there are many engines.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,19 +14,19 @@
 use crate::side::engines;
 use crate::suspects;
 
-/// Path at which an agent is asked for a view.
+/// Path of a view.
 const VIEW_PATH: &str = "/peer/v1/view";
 
-/// Time between two views. Figures older than a few prompts' time place badly.
+/// Interval between views. Figures older than the time of a few prompts lead to poor routing.
 const VIEW_PAUSE: Duration = Duration::from_millis(200);
 
-/// Time for a view. A sound agent answers in a few milliseconds.
+/// Timeout of a view. A healthy agent responds within a few milliseconds.
 const VIEW_SPAN: Duration = Duration::from_millis(400);
 
-/// Pause after a view that failed, before the next agent is asked.
+/// Delay after a failed view, before the next agent is tried.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Asks for views while there are many engines, for good.
+/// Requests views while there are many engines; never returns.
 pub(crate) async fn watch(shared: Rc<Shared>) {
     let mut watch = Watch {
         shared: Rc::clone(&shared),
@@ -48,12 +48,12 @@
 struct Watch {
     shared: Rc<Shared>,
     link: RelaySelector,
-    /// Relay asked last.
+    /// Key of the relay that was selected last.
     last: u64,
 }
 
 impl Watch {
-    /// Asks the relay for one view; gives whether there was one.
+    /// Requests one view from the relay; returns whether it succeeded.
     async fn step(&mut self, members: &[Member]) -> bool {
         let now = self.shared.timer.now();
         let digest = members_digest(members);
@@ -78,7 +78,7 @@
     engines(&catalog).map(member).collect()
 }
 
-/// Asks for one view; gives whether there was one.
+/// Requests one view from `pick`; returns whether it succeeded.
 async fn look(
     shared: &Shared,
     link: &mut RelaySelector,
@@ -128,7 +128,7 @@
     shared.gateways.borrow_mut().told(reply.entries, now);
     let way = now.since(sent);
     for mut row in reply.rows {
-        // Counted from the ask: figures must not look younger than they are.
+        // The age includes the whole round trip, so that figures never appear newer than they are.
         row.age_ms += way.0;
         let instance = row.instance.clone();
         shared.table.with(&instance, |r| r.take_row(row, now));
