--- a/crates/gateway/src/side.rs
+++ b/crates/gateway/src/agents.rs
@@ -10,35 +10,35 @@
 use pumicecleat_policy::RelaySelector;
 use pumicecleat_types::{LimitNews, Millis, Reach, RunNews, Turn, TurnAsk, TurnCall, TurnReply};
 
-use crate::peers::peers;
+use crate::service_traits::service_traits;
 use crate::shared::Shared;
 use crate::suspects;
-use crate::table::{Asking, Record};
+use crate::table::{UnreportedAsk, UpstreamRecord};
 
 /// Path of the exchange.
 const TURN_PATH: &str = "/peer/v1/turn";
 
 /// Interval between checks for agents that are due for an exchange.
-const LOOK: Duration = Duration::from_millis(25);
+const SYNC_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Minimum interval between exchanges that carry news. Until news arrive, an agent counts the prompts of
 /// requests that have begun as unread.
-const NEWS_SPAN: Millis = Millis(50);
+const MIN_NEWS_INTERVAL: Millis = Millis(50);
 
 /// Interval between exchanges without news. Figures older than the time of a few prompts lead to poor
 /// routing.
-const SYNC_SPAN: Millis = Millis(200);
+const SYNC_INTERVAL: Millis = Millis(200);
 
 /// Time after the last message about an engine, from its agent or a relay, after which its agent is called
 /// directly although a relay collects figures: five views. Also the interval between calls to an agent that
 /// could not be reached.
-const UNHEARD_SPAN: Millis = Millis(1_000);
+const DIRECT_SYNC_INTERVAL: Millis = Millis(1_000);
 
 /// Timeout of an exchange without an ask. A healthy agent responds within a few milliseconds.
-const CALL_SPAN: Duration = Duration::from_millis(500);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Interval at which a pending ask checks whether its agent is still reachable.
-const ASK_STEP: Duration = Duration::from_millis(100);
+const ASK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time that an ask may take beyond the patience of its caller.
 const ASK_MARGIN: Millis = Millis(200);
@@ -47,23 +47,23 @@
 pub(crate) struct AgentLost;
 
 /// Keeps figures fresh and delivers news; never returns.
-pub(crate) async fn sync(shared: Rc<Shared>) {
+pub(crate) async fn sync_agents(shared: Rc<Shared>) {
     loop {
         let now = shared.timer.now();
-        for upstream in due(&shared, now) {
+        for upstream in due_upstreams(&shared, now) {
             let shared = Rc::clone(&shared);
-            monoio::spawn(async move { sync_one(&shared, &upstream).await });
+            monoio::spawn(async move { sync_agent(&shared, &upstream).await });
         }
-        shared.timer.sleep(LOOK).await;
+        shared.timer.sleep(SYNC_CHECK_INTERVAL).await;
     }
 }
 
 /// Engines that are due for an exchange with their agent; marks the exchanges as started.
-fn due(shared: &Shared, now: Millis) -> Vec<Upstream> {
+fn due_upstreams(shared: &Shared, now: Millis) -> Vec<Upstream> {
     let catalog = shared.catalog.borrow();
-    let relayed = RelaySelector::is_needed(engines(&catalog).count());
-    shared.relayed.set(relayed);
-    let due = engines(&catalog).filter(|u| is_due(shared, &u.instance, relayed, now));
+    let uses_relay = RelaySelector::is_needed(engines(&catalog).count());
+    shared.uses_relay.set(uses_relay);
+    let due = engines(&catalog).filter(|u| is_due(shared, &u.instance, uses_relay, now));
     due.cloned().collect()
 }
 
@@ -76,52 +76,59 @@
 
 /// Whether an exchange with the agent beside `instance` is due. Where a relay collects figures, only agents
 /// are called that have news to receive, have pending asks, or have not been heard of.
-fn is_due(shared: &Shared, instance: &str, relayed: bool, now: Millis) -> bool {
+fn is_due(shared: &Shared, instance: &str, uses_relay: bool, now: Millis) -> bool {
     shared.table.with(instance, |r| {
-        let age = now.since(r.synced);
-        let news = r.has_news() && age >= NEWS_SPAN;
-        let due = if relayed {
-            let heard = r.heard.max(r.viewed).max(Some(r.listed(now)));
-            let unheard = heard.is_none_or(|at| now.since(at) >= UNHEARD_SPAN);
-            let tried = r.waiting > 0 || (r.failing.is_some() && r.reach == Reach::Sound);
+        let age = now.since(r.synced_at);
+        let is_news_due = r.has_news() && age >= MIN_NEWS_INTERVAL;
+        let due = if uses_relay {
+            let last_message = r.heard_at.max(r.viewed_at).max(Some(r.first_seen(now)));
+            let is_overdue = last_message.is_none_or(|at| now.since(at) >= DIRECT_SYNC_INTERVAL);
+            let needs_contact =
+                r.pending_asks > 0 || (r.failing_since.is_some() && r.reach == Reach::Sound);
             // What this gateway observed itself takes precedence over a relay's report: only a direct
             // exchange ends the failure.
-            let doubted = unheard || r.failing.is_some();
-            news || (tried && age >= SYNC_SPAN) || (doubted && age >= UNHEARD_SPAN)
+            let needs_check = is_overdue || r.failing_since.is_some();
+            is_news_due
+                || (needs_contact && age >= SYNC_INTERVAL)
+                || (needs_check && age >= DIRECT_SYNC_INTERVAL)
         } else {
-            r.heard.is_none() || age >= SYNC_SPAN || news
+            r.heard_at.is_none() || age >= SYNC_INTERVAL || is_news_due
         };
-        let due = due && !r.syncing && (age >= NEWS_SPAN || r.synced == Millis(0));
+        let due = due && !r.is_syncing && (age >= MIN_NEWS_INTERVAL || r.synced_at == Millis(0));
         if due {
-            r.syncing = true;
-            r.synced = now;
+            r.is_syncing = true;
+            r.synced_at = now;
         }
         due
     })
 }
 
-async fn sync_one(shared: &Shared, upstream: &Upstream) {
-    let news = shared.table.with(&upstream.instance, Record::take_news);
+async fn sync_agent(shared: &Shared, upstream: &Upstream) {
+    let news = shared
+        .table
+        .with(&upstream.instance, UpstreamRecord::take_news);
     let mut call = TurnCall {
         entry: shared.vm.clone(),
         instance: upstream.instance.clone(),
         news: news.clone(),
         marks: shared.marks.to_message(shared.timer.now()),
-        kept: known(shared, upstream),
-        peers: peers(shared, &upstream.service),
+        kept: kept_digest(shared, upstream),
+        peers: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
         ask: None,
     };
-    let result = exchange(shared, upstream, &mut call, CALL_SPAN).await;
+    let result = exchange(shared, upstream, &mut call, SYNC_TIMEOUT).await;
     if result.is_err() {
         shared.table.with(&upstream.instance, |r| {
             for news in news {
-                r.tell(news);
+                r.push_news(news);
             }
         });
     }
-    shared.table.with(&upstream.instance, |r| r.syncing = false);
+    shared
+        .table
+        .with(&upstream.instance, |r| r.is_syncing = false);
 }
 
 /// News of the rate limit of `upstream` for its agent.
@@ -131,47 +138,49 @@
 }
 
 /// Digest of the cached adapters known of `upstream`.
-fn known(shared: &Shared, upstream: &Upstream) -> u64 {
-    shared.table.with(&upstream.instance, |r| r.kept.digest)
+fn kept_digest(shared: &Shared, upstream: &Upstream) -> u64 {
+    shared
+        .table
+        .with(&upstream.instance, |r| r.kept_adapters.digest)
 }
 
 /// Asks for a turn at `upstream`; waits until the ask has an outcome or the agent is lost.
-pub(crate) async fn ask(
+pub(crate) async fn ask_turn(
     shared: &Shared,
     upstream: &Upstream,
     ask: TurnAsk,
-    place: bool,
+    needs_slot: bool,
 ) -> Result<Turn, AgentLost> {
     let now = shared.timer.now();
-    let asking = Asking {
-        at: now,
+    let unreported_ask = UnreportedAsk {
+        sent_at: now,
         tokens: ask.tokens,
-        place,
+        needs_slot,
     };
     let news: Vec<RunNews> = shared.table.with(&upstream.instance, |r| {
-        r.asking.push(asking);
-        r.waiting += 1;
+        r.unreported_asks.push(unreported_ask);
+        r.pending_asks += 1;
         r.take_news()
     });
-    let span = Duration::from_millis((Millis(ask.patience_ms) + ASK_MARGIN).0);
+    let timeout = Duration::from_millis((Millis(ask.patience_ms) + ASK_MARGIN).0);
     let mut call = TurnCall {
         entry: shared.vm.clone(),
         instance: upstream.instance.clone(),
         news,
         marks: shared.marks.to_message(now),
-        kept: known(shared, upstream),
-        peers: peers(shared, &upstream.service),
+        kept: kept_digest(shared, upstream),
+        peers: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
         ask: Some(ask),
     };
-    let _waiting = Waiting {
+    let _guard = PendingAskGuard {
         shared,
         instance: &upstream.instance,
     };
-    let mut exchange = Box::pin(exchange(shared, upstream, &mut call, span));
+    let mut exchange = Box::pin(exchange(shared, upstream, &mut call, timeout));
     loop {
-        match shared.timer.within(ASK_STEP, &mut exchange).await {
+        match shared.timer.within(ASK_CHECK_INTERVAL, &mut exchange).await {
             Ok(Ok(reply)) => return reply.turn.ok_or(AgentLost),
             Ok(Err(_)) => return Err(AgentLost),
             Err(_) if is_silent(shared, &upstream.instance) => return Err(AgentLost),
@@ -181,15 +190,17 @@
 }
 
 /// Counts an ask as pending until dropped.
-struct Waiting<'a> {
+struct PendingAskGuard<'a> {
     shared: &'a Shared,
     instance: &'a str,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingAskGuard<'_> {
     fn drop(&mut self) {
         let table = &self.shared.table;
-        table.with(self.instance, |r| r.waiting = r.waiting.saturating_sub(1));
+        table.with(self.instance, |r| {
+            r.pending_asks = r.pending_asks.saturating_sub(1);
+        });
     }
 }
 
@@ -202,38 +213,38 @@
     shared: &Shared,
     upstream: &Upstream,
     call: &mut TurnCall,
-    span: Duration,
+    timeout: Duration,
 ) -> Result<TurnReply, NetError> {
     let address = SocketAddr::new(upstream.address.ip(), shared.agent_port);
-    let sent = shared.timer.now();
+    let sent_at = shared.timer.now();
     let peer = address.to_string();
     // Where relays collect figures, they also distribute news of suspects: sent to each agent, these would be
     // most of the traffic.
-    let suspects = (!shared.relayed.get()).then(|| suspects::tell(shared, address));
+    let suspects = (!shared.uses_relay.get()).then(|| suspects::outgoing_news(shared, address));
     call.suspects = suspects.as_ref().map(|s| s.news.clone());
     let result: Result<TurnReply, NetError> =
-        post(&shared.agents, &peer, TURN_PATH, call, span).await;
+        post(&shared.agent_client, &peer, TURN_PATH, call, timeout).await;
     match &result {
         Ok(reply) => {
-            if let (Some(told), Some(news)) = (suspects, &reply.suspects) {
-                suspects::hear(shared, address, told.sent_up_to, news);
+            if let (Some(sent), Some(news)) = (suspects, &reply.suspects) {
+                suspects::apply_reply(shared, address, sent.sent_up_to, news);
             }
-            note_heard(shared, upstream, reply, sent);
+            record_reply(shared, upstream, reply, sent_at);
         }
-        Err(e) => note_lost(shared, upstream, e),
+        Err(e) => record_failure(shared, upstream, e),
     }
     result
 }
 
-fn note_heard(shared: &Shared, upstream: &Upstream, reply: &TurnReply, sent: Millis) {
+fn record_reply(shared: &Shared, upstream: &Upstream, reply: &TurnReply, sent_at: Millis) {
     let now = shared.timer.now();
-    let silent = shared.table.with(&upstream.instance, |r| {
-        r.heard = Some(now);
-        r.failing
+    let failing_since = shared.table.with(&upstream.instance, |r| {
+        r.heard_at = Some(now);
+        r.failing_since
             .take()
-            .filter(|_| std::mem::take(&mut r.told_lost))
+            .filter(|_| std::mem::take(&mut r.loss_logged))
     });
-    if let Some(since) = silent {
+    if let Some(since) = failing_since {
         let silent_ms = now.since(since).0;
         let fields = [
             field("side", upstream.instance.as_str()),
@@ -242,35 +253,42 @@
         shared.log.emit(&events::SIDE_BACK, &fields);
     }
     shared.marks.merge(&reply.marks, now);
-    shared.gateways.borrow_mut().told(reply.entries, now);
-    let named = &reply.figures.instance;
-    let own = *named == upstream.instance;
+    shared
+        .gateway_count
+        .borrow_mut()
+        .record_report(reply.entries, now);
+    let instance = &reply.figures.instance;
+    let is_expected = *instance == upstream.instance;
     shared.table.with(&upstream.instance, |r| {
         // An agent that does not know its engine yet can't grant turns.
-        r.reach = if own { Reach::Sound } else { Reach::Replaced };
+        r.reach = if is_expected {
+            Reach::Sound
+        } else {
+            Reach::Replaced
+        };
     });
-    if own {
+    if is_expected {
         shared.table.with(&upstream.instance, |r| {
-            r.asking.retain(|a| a.at > sent);
-            r.take_figures(reply.figures.clone(), now);
+            r.unreported_asks.retain(|a| a.sent_at > sent_at);
+            r.set_figures(reply.figures.clone(), now);
             if let Some(kept) = &reply.kept {
-                r.kept = kept.clone();
+                r.kept_adapters = kept.clone();
             }
         });
     }
 }
 
-fn note_lost(shared: &Shared, upstream: &Upstream, error: &NetError) {
+fn record_failure(shared: &Shared, upstream: &Upstream, error: &NetError) {
     let now = shared.timer.now();
-    let known = shared.table.with(&upstream.instance, |r| {
-        r.failing.get_or_insert(now);
+    let already_logged = shared.table.with(&upstream.instance, |r| {
+        r.failing_since.get_or_insert(now);
         let silent = r.is_silent(now);
         if silent && !error.is_refused() {
             r.reach = Reach::CutOff;
         }
-        !silent || std::mem::replace(&mut r.told_lost, true)
+        !silent || std::mem::replace(&mut r.loss_logged, true)
     });
-    if !known {
+    if !already_logged {
         let fields = [
             field("side", upstream.instance.as_str()),
             field("error", error),
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Part of the leave span for which the list is considered current, counted from the start of the read.
-const FRESH_PART: f64 = 0.6;
+const MAX_LIST_AGE_PART: f64 = 0.6;
 
 /// Part of the leave span for which a read of the list may wait for a record.
 const WAIT_PART: f64 = 0.5;
@@ -17,14 +17,14 @@
 
 /// Part of the leave span within which some gateway reads a new record and all gateways have received it,
 /// while the list answers. Covers two reads and the interval between two entries of an upstream.
-const REST_PART: f64 = 2.0;
+const READ_INTERVAL_PART: f64 = 2.0;
 
 /// Time budgeted for a response of a healthy store.
-const STORE_ANSWER_SPAN: Duration = Duration::from_millis(100);
+const STORE_RESPONSE_TIME: Duration = Duration::from_millis(100);
 
 /// Connect timeout for upstreams and agents. A request that is already assigned to a leaving upstream may
 /// still wait this long.
-pub(crate) const CONNECT_SPAN: Duration = Duration::from_millis(250);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Bounds of the waits between an entry in the list and the last request to its upstream.
 #[derive(Clone, Copy, Debug)]
@@ -44,10 +44,10 @@
     #[must_use]
     pub fn new(span: Duration) -> Self {
         Self {
-            max_list_age: span.mul_f64(FRESH_PART),
+            max_list_age: span.mul_f64(MAX_LIST_AGE_PART),
             wait: span.mul_f64(WAIT_PART),
             answer_timeout: span.mul_f64(ANSWER_TIMEOUT_PART),
-            max_read_interval: span.mul_f64(REST_PART),
+            max_read_interval: span.mul_f64(READ_INTERVAL_PART),
         }
     }
 
@@ -57,6 +57,6 @@
     #[must_use]
     pub fn worst_case(&self) -> Duration {
         let first_read = self.max_list_age.max(self.wait) + self.answer_timeout;
-        first_read + 2 * STORE_ANSWER_SPAN + CONNECT_SPAN
+        first_read + 2 * STORE_RESPONSE_TIME + CONNECT_TIMEOUT
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -25,17 +25,17 @@
 //! assert_eq!(settings.repeat_percent, 20);
 //! ```
 
-mod gate;
-mod gateways;
+mod agents;
+mod gateway_count;
 mod headers;
 mod leave;
 mod meters;
-mod own_word;
-mod peers;
+mod readiness;
 mod request;
+mod self_reports;
+mod service_traits;
 mod settings;
 mod shared;
-mod side;
 mod start;
 mod suspects;
 mod table;
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -38,14 +38,14 @@
     suspects: Family<SuspectLabels, Counter>,
     pub(crate) requests: Family<OutcomeLabels, Counter>,
     pub(crate) repeats: Family<ServiceLabels, Counter>,
-    pub(crate) first: Histograms<ServiceLabels>,
-    pub(crate) turn: Histogram,
+    pub(crate) first_byte: Histograms<ServiceLabels>,
+    pub(crate) turn_wait: Histogram,
     /// In milliseconds.
-    pub(crate) list_age: Gauge,
+    pub(crate) list_age_ms: Gauge,
     /// In requests per 1,000 seconds.
     rate_limits: Family<InstanceLabels, Gauge>,
     /// Requests to upstreams with a rate limit.
-    limited: Family<OutcomeLabels, Counter>,
+    limited_requests: Family<OutcomeLabels, Counter>,
 }
 
 impl Meters {
@@ -57,21 +57,25 @@
             ),
             requests: metrics.counters("requests", "Requests, by service and outcome"),
             repeats: metrics.counters("repeats", "Sends beyond the first, by service"),
-            first: metrics.histograms(
+            first_byte: metrics.histograms(
                 "first_byte_seconds",
                 "Time to the first byte of an answer",
                 TIME_BUCKETS,
             ),
-            turn: metrics.histogram("turn_seconds", "Wait for a turn at an engine", TIME_BUCKETS),
+            turn_wait: metrics.histogram(
+                "turn_seconds",
+                "Wait for a turn at an engine",
+                TIME_BUCKETS,
+            ),
             rate_limits: metrics.gauges(
                 "upstream_limit_per_1000_seconds",
                 "Rate limit of an upstream over all gateways",
             ),
-            limited: metrics.counters(
+            limited_requests: metrics.counters(
                 "limited_requests",
                 "Requests for upstreams with a rate limit, by service and outcome",
             ),
-            list_age: metrics.gauge(
+            list_age_ms: metrics.gauge(
                 "upstream_list_age_milliseconds",
                 "Age of the list of upstreams as this process knows it",
             ),
@@ -97,7 +101,7 @@
     pub(crate) fn count_limited(&self, service: &ServiceId, outcome: &'static str) {
         let service = service.to_string();
         let labels = OutcomeLabels { service, outcome };
-        self.limited.get_or_create(&labels).inc();
+        self.limited_requests.get_or_create(&labels).inc();
     }
 
     pub(crate) fn count_suspect(&self, what: &'static str) {
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/readiness.rs
@@ -10,11 +10,11 @@
 use crate::shared::Shared;
 
 /// Handler of the readiness listener.
-pub(crate) struct Gate {
+pub(crate) struct ReadinessHandler {
     shared: Rc<Shared>,
 }
 
-impl Gate {
+impl ReadinessHandler {
     pub(crate) fn new(shared: &Rc<Shared>) -> Self {
         Self {
             shared: Rc::clone(shared),
@@ -33,7 +33,7 @@
     }
 }
 
-impl Handler for Gate {
+impl Handler for ReadinessHandler {
     fn handle(&self, request: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
         Box::pin(ready(self.reply(&request)))
     }
--- a/crates/gateway/src/request/identity.rs
+++ b/crates/gateway/src/request/fingerprint.rs
@@ -10,7 +10,7 @@
 use pumicecleat_types::Fingerprint;
 use sha2::{Digest, Sha256};
 
-use super::head::host;
+use super::hop_headers::host;
 
 /// Fingerprint of a request. The caller is identified by its credentials only, because one caller may use
 /// many addresses.
--- a/crates/gateway/src/request/head.rs
+++ b/crates/gateway/src/request/hop_headers.rs
@@ -18,7 +18,7 @@
 }
 
 /// Removes hop-by-hop headers, including those that `Connection` names.
-pub(super) fn strip(headers: &mut HeaderMap) {
+pub(super) fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -29,7 +29,7 @@
     for name in named {
         headers.remove(name);
     }
-    let own = [
+    let hop_headers = [
         CONNECTION,
         KEEP_ALIVE,
         PROXY_CONNECTION,
@@ -40,7 +40,7 @@
         EXPECT,
         CONTENT_LENGTH,
     ];
-    for name in own {
+    for name in hop_headers {
         headers.remove(name);
     }
 }
--- a/crates/gateway/src/request/job.rs
+++ b/crates/gateway/src/request/job.rs
@@ -9,9 +9,9 @@
 use pumicecleat_catalog::{Catalog, Route, Standing, Upstream};
 use pumicecleat_types::{Millis, ServiceId};
 
-use super::head::strip;
+use super::hop_headers::strip_hop_headers;
 use super::permit::Permit;
-use super::trail::Trail;
+use super::trace::RequestTrace;
 use crate::shared::Shared;
 use crate::{AttemptAttributes, RequestAttributes};
 
@@ -23,15 +23,15 @@
     pub(super) attributes: RequestAttributes,
     pub(super) route: Route,
     pub(super) service: ServiceId,
-    pub(super) trail: Trail,
+    pub(super) trace: RequestTrace,
     /// Instances that must not be tried again.
-    pub(super) tried: Vec<String>,
+    pub(super) tried_instances: Vec<String>,
     /// Last event that was forwarded, after which another upstream resumes the stream.
-    pub(super) after: Option<u64>,
+    pub(super) last_event_id: Option<u64>,
     /// Permission to send the request, if upstreams ended while it was in progress.
     pub(super) permit: Cell<Permit>,
     /// Time by which the request needs a final response.
-    pub(super) end: Millis,
+    pub(super) deadline: Millis,
 }
 
 impl Job {
@@ -42,34 +42,34 @@
         attributes: RequestAttributes,
         route: Route,
         service: ServiceId,
-        trail: Trail,
+        trace: RequestTrace,
     ) -> Self {
-        strip(&mut head.headers);
-        let limit = attributes.deadline_ms.unwrap_or(u64::MAX);
-        let span = limit.min(route.timeout_ms);
-        trail.set_service(&service);
+        strip_hop_headers(&mut head.headers);
+        let caller_timeout_ms = attributes.deadline_ms.unwrap_or(u64::MAX);
+        let timeout_ms = caller_timeout_ms.min(route.timeout_ms);
+        trace.set_service(&service);
         Self {
             shared: Rc::clone(shared),
             head,
             body: Bytes::from(body),
             attributes,
-            end: trail.arrived + Millis(span),
+            deadline: trace.arrived + Millis(timeout_ms),
             route,
             service,
-            trail,
-            tried: Vec::new(),
-            after: None,
+            trace,
+            tried_instances: Vec::new(),
+            last_event_id: None,
             permit: Cell::default(),
         }
     }
 
     /// Time left until the request needs a final response.
-    pub(super) fn left(&self) -> Millis {
-        self.end.since(self.shared.timer.now())
+    pub(super) fn time_left(&self) -> Millis {
+        self.deadline.since(self.shared.timer.now())
     }
 
-    pub(super) fn left_span(&self) -> Duration {
-        Duration::from_millis(self.left().0)
+    pub(super) fn time_left_duration(&self) -> Duration {
+        Duration::from_millis(self.time_left().0)
     }
 
     pub(super) fn id(&self) -> &str {
@@ -88,31 +88,31 @@
         catalog: &'a Catalog,
     ) -> impl Iterator<Item = &'a Upstream> {
         let ready = catalog.ready_upstreams(&self.service);
-        let fresh = ready.filter(|u| !self.tried.contains(&u.instance));
-        fresh.filter(|u| self.shared.takes(u))
+        let untried = ready.filter(|u| !self.tried_instances.contains(&u.instance));
+        untried.filter(|u| self.shared.accepts_requests(u))
     }
 
     /// Whether `instance` still accepts requests.
     pub(super) fn is_ready(&self, instance: &str) -> bool {
         let catalog = self.shared.catalog.borrow();
         let listed = catalog.upstream(instance);
-        listed.is_some_and(|u| u.standing == Standing::Ready && self.shared.takes(u))
+        listed.is_some_and(|u| u.standing == Standing::Ready && self.shared.accepts_requests(u))
     }
 
     /// Time until the first upstream accepts requests again, if all available upstreams have asked for no
     /// requests.
-    pub(super) fn resting(&self) -> Option<Millis> {
+    pub(super) fn min_backoff(&self) -> Option<Millis> {
         let catalog = self.shared.catalog.borrow();
         let ready = catalog.ready_upstreams(&self.service);
-        let rests: Option<Vec<Millis>> = ready
-            .filter(|u| self.shared.stays(u))
-            .map(|u| self.shared.rest_left(u))
+        let backoffs: Option<Vec<Millis>> = ready
+            .filter(|u| self.shared.is_staying(u))
+            .map(|u| self.shared.backoff_left(u))
             .collect();
-        rests?.into_iter().min()
+        backoffs?.into_iter().min()
     }
 
     /// Builds the request for one attempt.
-    pub(super) fn request(&self, outgoing: &AttemptAttributes<'_>) -> http::Request<Bytes> {
+    pub(super) fn build_request(&self, attributes: &AttemptAttributes<'_>) -> http::Request<Bytes> {
         let mut request = http::Request::new(self.body.clone());
         *request.method_mut() = self.head.method.clone();
         // Upstreams get path and query as the caller sent them.
@@ -122,7 +122,7 @@
         let mut headers = self.head.headers.clone();
         self.shared
             .header_codec
-            .encode_attempt(&mut headers, outgoing);
+            .encode_attempt(&mut headers, attributes);
         *request.headers_mut() = headers;
         request
     }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -1,16 +1,16 @@
 //! Handling of one request, from routing to response.
 
-mod head;
-mod identity;
+mod fingerprint;
+mod forward;
+mod hop_headers;
 mod job;
 mod model;
 mod permit;
 mod plain;
 mod refuse;
-mod relay;
 mod resume;
 mod send;
-mod trail;
+mod trace;
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
 use pumicecleat_ops::{events, field};
 use rand::Rng;
 
-use crate::shared::{Shared, Stopping};
-use identity::fingerprint;
+use crate::shared::{Shared, StopPhase};
+use fingerprint::fingerprint;
 use job::Job;
-use refuse::{Refusal, own_failure};
-use trail::Trail;
+use refuse::{Refusal, reject};
+use trace::RequestTrace;
 
 /// Timeout for reading a request body. Callers upload over a link for a few seconds at most.
-const BODY_SPAN: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Handler of the callers' listener.
 #[derive(Clone)]
@@ -48,8 +48,8 @@
 
     async fn reply(self, request: Incoming) -> Reply {
         let shared = self.shared;
-        let mut reply = answer(&shared, request).await;
-        if shared.stopping.get() != Stopping::No {
+        let mut reply = respond(&shared, request).await;
+        if shared.stop_phase.get() != StopPhase::Running {
             let close = HeaderValue::from_static("close");
             reply.headers_mut().insert(CONNECTION, close);
         }
@@ -63,7 +63,7 @@
     }
 }
 
-async fn answer(shared: &Rc<Shared>, request: Incoming) -> Reply {
+async fn respond(shared: &Rc<Shared>, request: Incoming) -> Reply {
     let arrived = shared.timer.now();
     let (head, mut body) = request.into_parts();
     let attributes = shared.header_codec.decode_request(&head.headers);
@@ -79,37 +79,39 @@
         shared.log.emit(&events::HEAD_UNREADABLE, &fields);
     }
     let Some(layout) = shared.catalog.borrow().layout().cloned() else {
-        let trail = Trail::new(shared, &attributes, "", 0, arrived);
-        return Refusal::unknown().reply(&trail);
+        let trace = RequestTrace::new(shared, &attributes, "", 0, arrived);
+        return Refusal::no_layout().reply(&trace);
     };
-    let found = layout.find(head::host(&head), head.uri.path()).cloned();
+    let found = layout
+        .find(hop_headers::host(&head), head.uri.path())
+        .cloned();
     let Some(route) = found else {
-        let trail = Trail::new(shared, &attributes, "", layout.number, arrived);
-        return own_failure(&trail, 404, "no_route");
+        let trace = RequestTrace::new(shared, &attributes, "", layout.number, arrived);
+        return reject(&trace, 404, "no_route");
     };
-    let trail = Trail::new(shared, &attributes, &route.name, layout.number, arrived);
+    let trace = RequestTrace::new(shared, &attributes, &route.name, layout.number, arrived);
     let body = match read_all(
         &mut body,
         layout.limits.max_body_bytes,
-        BODY_SPAN,
+        BODY_TIMEOUT,
         &shared.timer,
     )
     .await
     {
         Ok(body) => body,
-        Err(e) => return own_failure(&trail, e.status(), "body"),
+        Err(e) => return reject(&trace, e.status(), "body"),
     };
-    trail.set_fingerprint(fingerprint(&head, &body));
-    let roll = shared.rng.borrow_mut().next_u64();
-    let Some(service) = route.pick_service(roll).cloned() else {
-        return Refusal::no_upstream().reply(&trail);
+    trace.set_fingerprint(fingerprint(&head, &body));
+    let random = shared.rng.borrow_mut().next_u64();
+    let Some(service) = route.pick_service(random).cloned() else {
+        return Refusal::no_upstream().reply(&trace);
     };
-    let engine = layout.engine(&service).is_some();
-    if engine && shared.stopping.get() == Stopping::Closing {
-        return Refusal::stopping().reply(&trail);
+    let is_engine = layout.engine(&service).is_some();
+    if is_engine && shared.stop_phase.get() == StopPhase::Closing {
+        return Refusal::stopping().reply(&trace);
     }
-    let job = Job::new(shared, head, body, attributes, route, service, trail);
-    if engine {
+    let job = Job::new(shared, head, body, attributes, route, service, trace);
+    if is_engine {
         model::serve(job).await
     } else {
         plain::serve(job).await
--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -7,93 +7,100 @@
 use pumicecleat_policy::{AdapterState, Admission, EngineChoice, EngineView, TurnSearch};
 use pumicecleat_types::{Millis, Turn, TurnAsk, TurnRefusal};
 
+use super::forward::forward;
 use super::job::Job;
-use super::refuse::{LIMITED, RESTING, Refusal, unsettled};
-use super::relay::pass;
+use super::refuse::{LIMITED, RESTING, Refusal, outcome_unknown};
 use super::resume;
-use super::send::{Attempt, LEAST_LEFT};
+use super::send::{AttemptOutcome, MIN_TIME_LEFT_MS};
 use crate::RetryAfter;
-use crate::side::{self, AgentLost};
-use crate::table::UnderWay;
+use crate::agents::{self, AgentLost};
+use crate::table::InFlight;
 
 /// Wait for the first event after which callers disconnect, in objectives. They wait at least
 /// [`MIN_PATIENCE`].
-const PATIENCE: u64 = 4;
+const PATIENCE_OBJECTIVES: u64 = 4;
 
 /// Minimum of this wait.
-const LEAST_PATIENCE: Millis = Millis(2_000);
+const MIN_PATIENCE: Millis = Millis(2_000);
 
 /// Time for which a request waits for an engine to become available, in objectives. After a longer wait it
 /// would hardly be served before its caller disconnects.
-const AWAIT: u64 = 2;
+const ENGINE_WAIT_OBJECTIVES: u64 = 2;
 
 /// Interval between checks for an available engine.
-const ENGINE_LOOK: Duration = Duration::from_millis(25);
+const ENGINE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Retry time returned if no engine gave one.
-const RETRY: Millis = Millis(500);
+const DEFAULT_RETRY_AFTER: Millis = Millis(500);
 
 /// Handles a request to a model engine.
 pub(super) async fn serve(mut job: Job) -> Reply {
     job.shared.count_request(&job.service);
     let mut progress = Progress::default();
     loop {
-        if let Err(refusal) = job.clear().await {
-            return job.refuse(progress.ran, refusal);
+        if let Err(refusal) = job.acquire_permit().await {
+            return job.refuse(progress.may_have_run, refusal);
         }
         let turn = match find_turn(&mut job, &mut progress).await {
             Ok(turn) => turn,
-            Err(reason) => return give_up(&job, &progress, reason),
+            Err(reason) => return final_refusal(&job, &progress, reason),
         };
-        match run(&mut job, &turn, &mut progress).await {
-            Ran::Answer(answered) => {
-                let Answered {
+        match attempt(&mut job, &turn, &mut progress).await {
+            AttemptResult::Response(engine_response) => {
+                let EngineResponse {
                     response,
-                    under_way,
-                } = *answered;
-                let stream = response.status() == 200 && job.route.retry == RetryMode::Resume;
-                if stream {
-                    return resume::pass(response, job, progress, under_way);
+                    in_flight,
+                } = *engine_response;
+                let is_resumable = response.status() == 200 && job.route.retry == RetryMode::Resume;
+                if is_resumable {
+                    return resume::forward(response, job, progress, in_flight);
                 }
-                return pass(response, Vec::new(), job.trail, under_way);
+                return forward(response, Vec::new(), job.trace, in_flight);
             }
-            Ran::Again => {}
-            Ran::Over(reason) => return give_up(&job, &progress, reason),
+            AttemptResult::Retry => {}
+            AttemptResult::Failed(reason) => return final_refusal(&job, &progress, reason),
         }
     }
 }
 
 /// Resumes a stream at another engine after its engine failed; returns `None` if there is none.
-pub(super) async fn go_on(job: &mut Job, progress: &mut Progress) -> Option<Box<Answered>> {
+pub(super) async fn resume_elsewhere(
+    job: &mut Job,
+    progress: &mut Progress,
+) -> Option<Box<EngineResponse>> {
     progress.search.restart();
-    while progress.sent < job.route.max_attempts {
-        job.clear().await.ok()?;
+    while progress.sends < job.route.max_attempts {
+        job.acquire_permit().await.ok()?;
         let turn = find_turn(job, progress).await.ok()?;
-        match run(job, &turn, progress).await {
-            Ran::Answer(answered) if answered.response.status() == 200 => return Some(answered),
-            Ran::Again => {}
-            Ran::Answer(_) | Ran::Over(_) => return None,
+        match attempt(job, &turn, progress).await {
+            AttemptResult::Response(engine_response)
+                if engine_response.response.status() == 200 =>
+            {
+                return Some(engine_response);
+            }
+            AttemptResult::Retry => {}
+            AttemptResult::Response(_) | AttemptResult::Failed(_) => return None,
         }
     }
     None
 }
 
 /// A turn granted at an engine.
-struct HadTurn {
+struct GrantedTurn {
     upstream: Upstream,
     /// Version of the adapter loaded there, if known.
     version: Option<u64>,
 }
 
 /// Asks engines for a turn, in order of preference; returns the reason if none grants one.
-async fn find_turn(job: &mut Job, progress: &mut Progress) -> Result<HadTurn, &'static str> {
+async fn find_turn(job: &mut Job, progress: &mut Progress) -> Result<GrantedTurn, &'static str> {
     loop {
-        if job.left().0 < LEAST_LEFT {
+        if job.time_left().0 < MIN_TIME_LEFT_MS {
             return Err("deadline");
         }
-        let Some((upstream, hold)) = choose(job, &progress.search) else {
-            if let Some(left) = job.resting() {
-                progress.rests(left);
+        let Some((upstream, adapter_state)) = choose_engine(job, &progress.search) else {
+            if let Some(backoff) = job.min_backoff() {
+                progress.set_backoff(backoff);
                 return Err(RESTING);
             }
             if progress.search.switch_to_waiting() {
@@ -102,33 +109,33 @@
             if !may_await_engine(job, &progress.search) {
                 return Err("no_engine");
             }
-            job.shared.timer.sleep(ENGINE_LOOK).await;
+            job.shared.timer.sleep(ENGINE_CHECK_INTERVAL).await;
             progress.search.restart();
             continue;
         };
         let Some(stays) = progress.search.count_ask() else {
             return Err("no_turn");
         };
-        match ask(job, &upstream, hold.needs_slot(), stays).await {
-            Ok(Turn::Go { version }) => return Ok(HadTurn { upstream, version }),
-            Err(AgentLost) if hold == AdapterState::Loaded => {
+        match ask_turn(job, &upstream, adapter_state.needs_slot(), stays).await {
+            Ok(Turn::Go { version }) => return Ok(GrantedTurn { upstream, version }),
+            Err(AgentLost) if adapter_state == AdapterState::Loaded => {
                 if let Admission::Refused(wait) = job.shared.reserve(&upstream, Millis(0)) {
-                    progress.refused(LIMITED, wait);
+                    progress.record_refusal(LIMITED, wait);
                     progress.search.exclude(&upstream.instance);
                     continue;
                 }
                 let version = None;
-                return Ok(HadTurn { upstream, version });
+                return Ok(GrantedTurn { upstream, version });
             }
             Ok(Turn::No { reason, retry_ms }) => {
                 if reason == TurnRefusal::Limited {
                     job.shared.note_exhausted(&upstream, Millis(retry_ms));
                 }
-                progress.refused(reason.as_str(), Millis(retry_ms));
+                progress.record_refusal(reason.as_str(), Millis(retry_ms));
                 progress.search.record_refusal(&upstream.instance);
             }
             Err(AgentLost) => {
-                progress.refused("agent_lost", RETRY);
+                progress.record_refusal("agent_lost", DEFAULT_RETRY_AFTER);
                 progress.search.exclude(&upstream.instance);
             }
         }
@@ -139,85 +146,90 @@
 /// failed it, although none accepts requests now. After a complete power loss, engines are back within two
 /// seconds and known shortly after; without this wait, refused callers retried and were refused again.
 fn may_await_engine(job: &Job, search: &TurnSearch) -> bool {
-    let most = Millis(job.route.objective_ms * AWAIT);
+    let max_wait = Millis(job.route.objective_ms * ENGINE_WAIT_OBJECTIVES);
     let listed = job.candidates();
-    job.trail.age() < most && listed.iter().any(|u| !search.is_excluded(&u.instance))
+    job.trace.age() < max_wait && listed.iter().any(|u| !search.is_excluded(&u.instance))
 }
 
 /// Progress of a request.
 #[derive(Default)]
 pub(super) struct Progress {
     search: TurnSearch,
-    sent: u32,
-    ran: bool,
+    sends: u32,
+    may_have_run: bool,
     reason: Option<&'static str>,
-    retry: Option<Millis>,
+    retry_after: Option<Millis>,
 }
 
 impl Progress {
-    /// Records that all engines have asked for no requests during `left`.
-    fn rests(&mut self, left: Millis) {
+    /// Records that all engines have asked for no requests during `backoff`.
+    fn set_backoff(&mut self, backoff: Millis) {
         self.reason = Some(RESTING);
-        self.retry = Some(left);
+        self.retry_after = Some(backoff);
     }
 
-    fn refused(&mut self, reason: &'static str, retry: Millis) {
+    fn record_refusal(&mut self, reason: &'static str, retry_after: Millis) {
         self.reason = Some(reason);
-        self.retry = Some(self.retry.map_or(retry, |r| r.min(retry)));
+        self.retry_after = Some(self.retry_after.map_or(retry_after, |r| r.min(retry_after)));
     }
 }
 
 /// A response, and the guard that counts its request as in progress.
-pub(super) struct Answered {
+pub(super) struct EngineResponse {
     pub(super) response: Response,
-    pub(super) under_way: UnderWay,
+    pub(super) in_flight: InFlight,
 }
 
 /// Result of an attempt at an engine.
-enum Ran {
+enum AttemptResult {
     /// Response to forward.
-    Answer(Box<Answered>),
+    Response(Box<EngineResponse>),
     /// The request is not finished: another engine may be asked.
-    Again,
+    Retry,
     /// No further attempt may follow, for this reason.
-    Over(&'static str),
+    Failed(&'static str),
 }
 
-async fn ask(job: &Job, upstream: &Upstream, place: bool, stays: bool) -> Result<Turn, AgentLost> {
-    let from = job.shared.timer.now();
+async fn ask_turn(
+    job: &Job,
+    upstream: &Upstream,
+    needs_slot: bool,
+    stays: bool,
+) -> Result<Turn, AgentLost> {
+    let started_at = job.shared.timer.now();
     let model = job.attributes.model.clone();
     let adapter = model.as_ref().and_then(|m| m.adapter.clone());
-    let turn = side::ask(
+    let turn = agents::ask_turn(
         &job.shared,
         upstream,
         TurnAsk {
             request: job.id().to_owned(),
             base: model.map(|m| m.base).unwrap_or_default(),
-            version: version(job).unwrap_or_default(),
+            version: adapter_version(job).unwrap_or_default(),
             adapter,
             tokens: job.attributes.prompt_tokens,
             priority: job.route.priority,
             objective_ms: job.route.objective_ms,
-            due_ms: Millis(job.route.objective_ms).since(job.trail.age()).0,
+            due_ms: Millis(job.route.objective_ms).since(job.trace.age()).0,
             patience_ms: patience(job).0,
             stays,
             trial: job.trial(),
         },
-        place,
+        needs_slot,
     )
     .await;
-    let waited = job.shared.timer.now().since(from);
-    job.shared.meters.turn.observe(waited.as_secs());
-    job.trail.waited(waited);
+    let waited = job.shared.timer.now().since(started_at);
+    job.shared.meters.turn_wait.observe(waited.as_secs());
+    job.trace.add_turn_wait(waited);
     turn
 }
 
 /// Latest declared version of the requested adapter, if any.
-fn version(job: &Job) -> Option<u64> {
-    version_in(job, &job.shared.catalog.borrow())
+fn adapter_version(job: &Job) -> Option<u64> {
+    adapter_version_in(job, &job.shared.catalog.borrow())
 }
 
-fn version_in(job: &Job, catalog: &Catalog) -> Option<u64> {
+fn adapter_version_in(job: &Job, catalog: &Catalog) -> Option<u64> {
     let model = job.attributes.model.as_ref()?;
     let adapter = model.adapter.as_ref()?;
     let name = format!("{}/{adapter}", model.base);
@@ -226,29 +238,36 @@
 
 /// Time for which the caller still waits for the first event.
 fn patience(job: &Job) -> Millis {
-    let most = Millis(job.route.objective_ms * PATIENCE);
-    let most = most.max(LEAST_PATIENCE);
-    most.since(job.trail.age()).min(job.left())
+    let max_wait = Millis(job.route.objective_ms * PATIENCE_OBJECTIVES);
+    let max_wait = max_wait.max(MIN_PATIENCE);
+    max_wait.since(job.trace.age()).min(job.time_left())
 }
 
-fn choose(job: &Job, search: &TurnSearch) -> Option<(Upstream, AdapterState)> {
+fn choose_engine(job: &Job, search: &TurnSearch) -> Option<(Upstream, AdapterState)> {
     let now = job.shared.timer.now();
     let catalog = job.shared.catalog.borrow();
-    let open = |u: &&Upstream| search.is_candidate(&u.instance);
-    let there = |u: &&Upstream| job.shared.table.with(&u.instance, |r| !r.is_out(now));
-    let candidates = job.candidates_in(&catalog).filter(open).filter(there);
+    let is_candidate = |u: &&Upstream| search.is_candidate(&u.instance);
+    let is_reachable = |u: &&Upstream| {
+        job.shared
+            .table
+            .with(&u.instance, |r| !r.is_unavailable(now))
+    };
+    let candidates = job
+        .candidates_in(&catalog)
+        .filter(is_candidate)
+        .filter(is_reachable);
     let candidates = without_exhausted(job, candidates.collect(), now);
-    let oldest = version_in(job, &catalog).unwrap_or_default();
+    let min_version = adapter_version_in(job, &catalog).unwrap_or_default();
     let model = job.attributes.model.as_ref();
     let adapter = model.and_then(|m| m.adapter.as_deref());
     let views: Vec<EngineView> = candidates
         .iter()
-        .map(|u| view(job, u, adapter, oldest, now))
+        .map(|u| engine_view(job, u, adapter, min_version, now))
         .collect();
     let name = adapter.unwrap_or_default();
     let choice = EngineChoice::new(pumicecleat_policy::name_key(name));
-    let at = choice.pick(&views)?;
-    Some((candidates[at].clone(), views[at].adapter_state))
+    let index = choice.pick(&views)?;
+    Some((candidates[index].clone(), views[index].adapter_state))
 }
 
 /// Excludes candidates whose agent is known to have no free slot under the rate limit, unless that excludes
@@ -268,42 +287,42 @@
 }
 
 /// State of an engine for a request that needs its adapter at `min_version` or newer.
-fn view(
+fn engine_view(
     job: &Job,
     upstream: &Upstream,
     adapter: Option<&str>,
-    oldest: u64,
+    min_version: u64,
     now: Millis,
 ) -> EngineView {
     job.shared.table.with(&upstream.instance, |r| {
-        let stale = r.fresh(now).is_none();
-        let asked: u64 = r.asking.iter().map(|a| u64::from(a.tokens)).sum();
+        let stale = r.fresh_figures(now).is_none();
+        let pending_tokens: u64 = r.unreported_asks.iter().map(|a| u64::from(a.tokens)).sum();
         let figures = r.figures.as_ref().map(|f| &f.0);
-        let holds = |name: &str| {
-            figures.is_some_and(|f| f.held.iter().any(|h| h.0 == name && h.1 >= oldest))
+        let is_loaded = |name: &str| {
+            figures.is_some_and(|f| f.held.iter().any(|h| h.0 == name && h.1 >= min_version))
         };
-        let keeps = |name: &str| r.kept.names.iter().any(|k| k == name);
-        let taken = r.asking.iter().filter(|a| a.place).count();
-        let taken = u32::try_from(taken).unwrap_or(u32::MAX);
-        let loads = |name: &str| figures.is_some_and(|f| f.loading.iter().any(|l| l == name));
+        let is_cached = |name: &str| r.kept_adapters.names.iter().any(|k| k == name);
+        let reserved_slots = r.unreported_asks.iter().filter(|a| a.needs_slot).count();
+        let reserved_slots = u32::try_from(reserved_slots).unwrap_or(u32::MAX);
+        let is_loading = |name: &str| figures.is_some_and(|f| f.loading.iter().any(|l| l == name));
         EngineView {
             key: pumicecleat_policy::name_key(&upstream.instance),
             adapter_state: match adapter {
-                Some(name) if holds(name) => AdapterState::Loaded,
-                Some(name) if loads(name) => AdapterState::Loading,
-                Some(name) if keeps(name) => AdapterState::Cached,
+                Some(name) if is_loaded(name) => AdapterState::Loaded,
+                Some(name) if is_loading(name) => AdapterState::Loading,
+                Some(name) if is_cached(name) => AdapterState::Cached,
                 Some(_) => AdapterState::Absent,
                 None => AdapterState::Loaded,
             },
-            available_slots: figures.map_or(0, |f| f.spare.saturating_sub(taken)),
-            unread_tokens: figures.map_or(0, |f| f.unread) + asked,
+            available_slots: figures.map_or(0, |f| f.spare.saturating_sub(reserved_slots)),
+            unread_tokens: figures.map_or(0, |f| f.unread) + pending_tokens,
             prompt_tokens: job.attributes.prompt_tokens,
             traits: figures.map(|f| f.traits).unwrap_or_default(),
             running: figures.map_or(0, |f| f.running),
             ready_in_ms: figures.and_then(|f| f.ready_ms).unwrap_or_default(),
             stale,
             remote: upstream.centre != job.shared.centre,
-            failure_penalty_ms: if r.slots.has_recent_failure(now) {
+            failure_penalty_ms: if r.stats.has_recent_failure(now) {
                 2_000
             } else {
                 0
@@ -312,100 +331,110 @@
     })
 }
 
-async fn run(job: &mut Job, turn: &HadTurn, progress: &mut Progress) -> Ran {
+async fn attempt(job: &mut Job, turn: &GrantedTurn, progress: &mut Progress) -> AttemptResult {
     let instance = turn.upstream.instance.clone();
-    let under_way = job.shared.table.enter(&instance, Some(job.id()));
+    let in_flight = job.shared.table.track(&instance, Some(job.id()));
     if !job.is_ready(&instance) {
         progress.search.exclude(&instance);
-        return Ran::Again;
+        return AttemptResult::Retry;
     }
-    if !job.is_clear() {
-        return Ran::Again;
+    if !job.is_permitted() {
+        return AttemptResult::Retry;
     }
-    if progress.sent > 0 && !job.shared.may_repeat(&job.service) {
-        return Ran::Over("repeat_bound");
+    if progress.sends > 0 && !job.shared.try_repeat(&job.service) {
+        return AttemptResult::Failed("repeat_bound");
     }
-    progress.sent += 1;
-    let version = version(job).max(turn.version);
-    let attempt = job.send(&turn.upstream, version, job.left_span()).await;
+    progress.sends += 1;
+    let version = adapter_version(job).max(turn.version);
+    let outcome = job
+        .send(&turn.upstream, version, job.time_left_duration())
+        .await;
     progress.search.exclude(&instance);
-    follow(job, turn, attempt, under_way, progress)
+    handle_outcome(job, turn, outcome, in_flight, progress)
 }
 
 /// Determines how to continue after an attempt.
-fn follow(
+fn handle_outcome(
     job: &Job,
-    turn: &HadTurn,
-    attempt: Attempt,
-    under_way: UnderWay,
+    turn: &GrantedTurn,
+    outcome: AttemptOutcome,
+    in_flight: InFlight,
     progress: &mut Progress,
-) -> Ran {
-    let again = job.route.retry != RetryMode::Never && progress.sent < job.route.max_attempts;
-    match attempt {
-        Attempt::Answer(response) => {
+) -> AttemptResult {
+    let may_retry = job.route.retry != RetryMode::Never && progress.sends < job.route.max_attempts;
+    match outcome {
+        AttemptOutcome::Response(response) => {
             if response.status() >= 500 {
-                fail(job, &turn.upstream);
-                if again {
-                    job.trail.lost("read answer", true, true, "engine failed");
-                    progress.ran = true;
-                    return Ran::Again;
+                record_failure(job, &turn.upstream);
+                if may_retry {
+                    job.trace
+                        .log_attempt_lost("read answer", true, true, "engine failed");
+                    progress.may_have_run = true;
+                    return AttemptResult::Retry;
                 }
             }
-            Ran::Answer(Box::new(Answered {
+            AttemptResult::Response(Box::new(EngineResponse {
                 response,
-                under_way,
+                in_flight,
             }))
         }
-        Attempt::NotRun(heard) => {
-            job.trail.lost("refused by engine", false, true, "");
-            let retry = match heard.retry_after {
+        AttemptOutcome::NotRun(attributes) => {
+            job.trace
+                .log_attempt_lost("refused by engine", false, true, "");
+            let retry_after = match attributes.retry_after {
                 Some(RetryAfter::DelayMs(ms)) => Millis(ms),
-                _ => RETRY,
+                _ => DEFAULT_RETRY_AFTER,
             };
-            progress.refused("engine_refused", retry);
-            Ran::Again
+            progress.record_refusal("engine_refused", retry_after);
+            AttemptResult::Retry
         }
-        Attempt::NotSent(e) => {
-            progress.sent -= 1;
-            fail(job, &turn.upstream);
-            job.trail.lost("send", false, true, &e);
-            progress.refused("not_sent", RETRY);
-            Ran::Again
+        AttemptOutcome::NotSent(e) => {
+            progress.sends -= 1;
+            record_failure(job, &turn.upstream);
+            job.trace.log_attempt_lost("send", false, true, &e);
+            progress.record_refusal("not_sent", DEFAULT_RETRY_AFTER);
+            AttemptResult::Retry
         }
-        Attempt::Lost(e) => {
-            progress.ran = true;
-            fail(job, &turn.upstream);
-            job.trail.lost("await answer", true, again, &e);
-            if again {
-                Ran::Again
+        AttemptOutcome::Lost(e) => {
+            progress.may_have_run = true;
+            record_failure(job, &turn.upstream);
+            job.trace
+                .log_attempt_lost("await answer", true, may_retry, &e);
+            if may_retry {
+                AttemptResult::Retry
             } else {
-                Ran::Over("no_answer")
+                AttemptResult::Failed("no_answer")
             }
         }
-        Attempt::Late => {
-            progress.ran = true;
-            fail(job, &turn.upstream);
-            job.trail.lost("await answer", true, false, "deadline");
-            Ran::Over("deadline")
+        AttemptOutcome::TimedOut => {
+            progress.may_have_run = true;
+            record_failure(job, &turn.upstream);
+            job.trace
+                .log_attempt_lost("await answer", true, false, "deadline");
+            AttemptResult::Failed("deadline")
         }
     }
 }
 
-fn fail(job: &Job, upstream: &Upstream) {
+fn record_failure(job: &Job, upstream: &Upstream) {
     let now = job.shared.timer.now();
     job.shared
         .table
-        .with(&upstream.instance, |r| r.slots.record_failure(now));
+        .with(&upstream.instance, |r| r.stats.record_failure(now));
 }
 
 /// Final response if no engine provided one.
-fn give_up(job: &Job, progress: &Progress, reason: &'static str) -> Reply {
-    job.give_permit_back();
-    if progress.ran {
-        let status = if job.left().0 < LEAST_LEFT { 504 } else { 502 };
-        return unsettled(&job.trail, status, reason);
+fn final_refusal(job: &Job, progress: &Progress, reason: &'static str) -> Reply {
+    job.release_permit();
+    if progress.may_have_run {
+        let status = if job.time_left().0 < MIN_TIME_LEFT_MS {
+            504
+        } else {
+            502
+        };
+        return outcome_unknown(&job.trace, status, reason);
     }
     let reason = progress.reason.unwrap_or(reason);
-    let retry = progress.retry.unwrap_or(RETRY);
-    Refusal::new(reason, retry).reply(&job.trail)
+    let retry_after = progress.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+    Refusal::new(reason, retry_after).reply(&job.trace)
 }
--- a/crates/gateway/src/request/permit.rs
+++ b/crates/gateway/src/request/permit.rs
@@ -5,8 +5,8 @@
 use pumicecleat_types::{Millis, Trial};
 
 use super::job::Job;
-use super::refuse::{Refusal, unsettled};
-use crate::suspects::{ask_trial, give_back};
+use super::refuse::{Refusal, outcome_unknown};
+use crate::suspects::{ask_trial, release_trial};
 
 /// Permission of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,36 +21,38 @@
 }
 
 /// Retry time returned while the permitted send has no outcome.
-const OUTCOME_RETRY: Millis = Millis(2_000);
+const OUTCOME_RETRY_AFTER: Millis = Millis(2_000);
 
 impl Job {
     /// Whether the request may be sent without asking for permission.
-    pub(super) fn is_clear(&self) -> bool {
-        let ends = self.ends();
+    pub(super) fn is_permitted(&self) -> bool {
+        let end_count = self.end_count();
         match self.permit.get() {
-            Permit::Trial(_, known) => ends <= known,
-            _ => ends < TRIAL_MIN_ENDS,
+            Permit::Trial(_, permitted_count) => end_count <= permitted_count,
+            _ => end_count < TRIAL_MIN_ENDS,
         }
     }
 
     /// Asks for permission to send the request, if it needs one.
-    pub(super) async fn clear(&self) -> Result<(), Refusal> {
-        if self.is_clear() {
+    pub(super) async fn acquire_permit(&self) -> Result<(), Refusal> {
+        if self.is_permitted() {
             return Ok(());
         }
         if self.permit.get() != Permit::None {
-            return Err(Refusal::ends_upstreams(OUTCOME_RETRY));
+            return Err(Refusal::ends_upstreams(OUTCOME_RETRY_AFTER));
         }
-        let fingerprint = self.trail.fingerprint();
-        let answer = ask_trial(&self.shared, self.id(), fingerprint).await;
-        let trial = answer.map_err(Refusal::ends_upstreams)?;
-        self.permit.set(Permit::Trial(trial, self.ends()));
+        let fingerprint = self.trace.fingerprint();
+        let granted = ask_trial(&self.shared, self.id(), fingerprint).await;
+        let trial = granted.map_err(Refusal::ends_upstreams)?;
+        self.permit.set(Permit::Trial(trial, self.end_count()));
         Ok(())
     }
 
-    fn ends(&self) -> usize {
+    fn end_count(&self) -> usize {
         let now = self.shared.timer.now();
-        self.shared.guard.ends(&self.trail.fingerprint(), now)
+        self.shared
+            .suspects
+            .end_count(&self.trace.fingerprint(), now)
     }
 
     /// Kind of the permitted send, if there is one that was not performed yet.
@@ -62,21 +64,21 @@
     }
 
     /// Gives back a permission that was not used.
-    pub(super) fn give_permit_back(&self) {
+    pub(super) fn release_permit(&self) {
         if self.trial().is_some() {
             self.permit.set(Permit::Used);
-            give_back(&self.shared, self.trail.fingerprint());
+            release_trial(&self.shared, self.trace.fingerprint());
         }
     }
 
     /// Final response to a request that may not be sent; `may_have_run` if an earlier attempt may have been
     /// executed.
-    pub(super) fn refuse(&self, ran: bool, refusal: Refusal) -> Reply {
-        self.give_permit_back();
-        if ran {
-            return unsettled(&self.trail, 502, refusal.reason);
+    pub(super) fn refuse(&self, may_have_run: bool, refusal: Refusal) -> Reply {
+        self.release_permit();
+        if may_have_run {
+            return outcome_unknown(&self.trace, 502, refusal.reason);
         }
-        refusal.reply(&self.trail)
+        refusal.reply(&self.trace)
     }
 
     /// Records that the request is sent.
@@ -86,7 +88,7 @@
         };
         self.permit.set(Permit::Used);
         if trial == Trial::Alone {
-            self.trail.set_alone();
+            self.trace.set_alone();
         }
     }
 }
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -7,37 +7,37 @@
 use pumicecleat_policy::Admission;
 use pumicecleat_types::Millis;
 
+use super::forward::{Buffered, buffer, forward};
 use super::job::Job;
-use super::refuse::{LIMITED, Refusal, unsettled};
-use super::relay::{Held, hold, pass};
-use super::send::{Attempt, LEAST_LEFT};
+use super::refuse::{LIMITED, Refusal, outcome_unknown};
+use super::send::{AttemptOutcome, MIN_TIME_LEFT_MS};
 
 /// Part of the objective after which a retryable request is sent to another upstream, so that the retry can
 /// still meet the objective. With one half, one response in thirty is slower than this.
-const PATIENCE: f64 = 0.5;
+const ATTEMPT_TIMEOUT_PART: f64 = 0.5;
 
 /// Minimum timeout of such an attempt: two round trips between data centres and the mean response time.
-const LEAST_PATIENCE: Millis = Millis(60);
+const MIN_ATTEMPT_TIMEOUT: Millis = Millis(60);
 
 /// Retry time returned if all upstreams of a service are full: one response time.
-const FULL_RETRY: Millis = Millis(150);
+const FULL_RETRY_AFTER: Millis = Millis(150);
 
 /// Maximum number of sends of one request, including those that reached no upstream. Bounds the attempts if
 /// all upstreams of a service refuse connections.
-const SENDS: u32 = 8;
+const MAX_SENDS: u32 = 8;
 
 /// Next step after an attempt.
 enum Next {
     Reply(Reply),
-    Again,
+    Retry,
 }
 
 /// Progress of a request.
 #[derive(Default)]
 struct Progress {
-    sent: u32,
+    sends: u32,
     /// Whether an attempt may have been executed.
-    ran: bool,
+    may_have_run: bool,
 }
 
 /// Handles a request to a plain service.
@@ -45,40 +45,48 @@
     job.shared.count_request(&job.service);
     let mut progress = Progress::default();
     loop {
-        if job.left().0 < LEAST_LEFT {
-            return give_up(&job, &progress, "deadline");
+        if job.time_left().0 < MIN_TIME_LEFT_MS {
+            return final_refusal(&job, &progress, "deadline");
         }
-        if let Err(refusal) = job.clear().await {
-            return job.refuse(progress.ran, refusal);
+        if let Err(refusal) = job.acquire_permit().await {
+            return job.refuse(progress.may_have_run, refusal);
         }
         let upstream = match admit(&job).await {
             Ok(Some(upstream)) => upstream,
-            Ok(None) => return give_up(&job, &progress, "no_upstream"),
+            Ok(None) => return final_refusal(&job, &progress, "no_upstream"),
             Err(wait) => return refuse_limited(&job, &progress, wait),
         };
         if !job.is_ready(&upstream.instance) {
             continue;
         }
-        progress.sent += 1;
-        let under_way = job.shared.table.enter(&upstream.instance, None);
-        let from = job.shared.timer.now();
-        let tried = attempt(&job, &upstream, progress.sent).await;
-        job.tried.push(upstream.instance.clone());
-        let next = match tried {
-            Tried::Long(response, start) => return pass(response, start, job.trail, under_way),
-            Tried::Whole(reply) => {
-                let took = job.shared.timer.now().since(from);
-                settle(&job, &upstream, reply, took, &mut progress)
+        progress.sends += 1;
+        let in_flight = job.shared.table.track(&upstream.instance, None);
+        let started_at = job.shared.timer.now();
+        let result = attempt(&job, &upstream, progress.sends).await;
+        job.tried_instances.push(upstream.instance.clone());
+        let next = match result {
+            AttemptResult::Oversized(response, prefix) => {
+                return forward(response, prefix, job.trace, in_flight);
             }
-            Tried::Failed { ran, step, error } => {
+            AttemptResult::Complete(reply) => {
+                let took = job.shared.timer.now().since(started_at);
+                handle_response(&job, &upstream, reply, took, &mut progress)
+            }
+            AttemptResult::Failed {
+                may_have_run,
+                step,
+                error,
+            } => {
                 let now = job.shared.timer.now();
                 job.shared
                     .table
-                    .with(&upstream.instance, |r| r.slots.record_failure(now));
-                progress.ran |= ran;
-                fail(&job, &progress, ran, step, &error)
+                    .with(&upstream.instance, |r| r.stats.record_failure(now));
+                progress.may_have_run |= may_have_run;
+                handle_failure(&job, &progress, may_have_run, step, &error)
+            }
+            AttemptResult::NotRun => {
+                handle_failure(&job, &progress, false, "refused by upstream", "")
             }
-            Tried::NotRun => fail(&job, &progress, false, "refused by upstream", ""),
         };
         if let Next::Reply(reply) = next {
             return reply;
@@ -86,65 +94,79 @@
     }
 }
 
-enum Tried {
-    Whole(Reply),
-    Long(pumicecleat_net::Response, Vec<u8>),
+enum AttemptResult {
+    Complete(Reply),
+    Oversized(pumicecleat_net::Response, Vec<u8>),
     Failed {
-        ran: bool,
+        may_have_run: bool,
         step: &'static str,
         error: String,
     },
     NotRun,
 }
 
-async fn attempt(job: &Job, upstream: &Upstream, sent: u32) -> Tried {
-    let span = patience(job, sent);
-    let within = job.shared.timer.within(span, exchange(job, upstream, span));
-    within.await.unwrap_or_else(|_| Tried::Failed {
-        ran: true,
+async fn attempt(job: &Job, upstream: &Upstream, sends: u32) -> AttemptResult {
+    let timeout = attempt_timeout(job, sends);
+    let within = job
+        .shared
+        .timer
+        .within(timeout, exchange(job, upstream, timeout));
+    within.await.unwrap_or_else(|_| AttemptResult::Failed {
+        may_have_run: true,
         step: "await answer",
-        error: format!("not whole within {span:?}"),
+        error: format!("response incomplete after {timeout:?}"),
     })
 }
 
-async fn exchange(job: &Job, upstream: &Upstream, span: Duration) -> Tried {
-    let failed = |ran, step, error| Tried::Failed { ran, step, error };
-    match job.send(upstream, None, span).await {
-        Attempt::Answer(response) => match hold(response).await {
-            Ok(Held::Whole(reply)) => Tried::Whole(reply),
-            Ok(Held::Long(response, start)) => Tried::Long(response, start),
+async fn exchange(job: &Job, upstream: &Upstream, timeout: Duration) -> AttemptResult {
+    let failed = |may_have_run, step, error| AttemptResult::Failed {
+        may_have_run,
+        step,
+        error,
+    };
+    match job.send(upstream, None, timeout).await {
+        AttemptOutcome::Response(response) => match buffer(response).await {
+            Ok(Buffered::Complete(reply)) => AttemptResult::Complete(reply),
+            Ok(Buffered::Oversized(response, prefix)) => AttemptResult::Oversized(response, prefix),
             Err(e) => {
-                job.trail.broke();
+                job.trace.record_lost_connection();
                 failed(true, "read answer", e.to_string())
             }
         },
-        Attempt::NotRun(_) => Tried::NotRun,
-        Attempt::NotSent(e) => failed(false, "send", e),
-        Attempt::Lost(e) => failed(true, "await answer", e),
-        Attempt::Late => failed(true, "await answer", format!("none within {span:?}")),
+        AttemptOutcome::NotRun(_) => AttemptResult::NotRun,
+        AttemptOutcome::NotSent(e) => failed(false, "send", e),
+        AttemptOutcome::Lost(e) => failed(true, "await answer", e),
+        AttemptOutcome::TimedOut => failed(
+            true,
+            "await answer",
+            format!("no response within {timeout:?}"),
+        ),
     }
 }
 
 /// Timeout of one attempt: all of the time left, unless another attempt may follow.
-fn patience(job: &Job, sent: u32) -> Duration {
-    let left = job.left();
-    let another = job.route.retry == RetryMode::Whole && sent < job.route.max_attempts;
-    let others = job.candidates().len() > 1;
-    if !another || !others {
+fn attempt_timeout(job: &Job, sends: u32) -> Duration {
+    let left = job.time_left();
+    let may_retry = job.route.retry == RetryMode::Whole && sends < job.route.max_attempts;
+    let has_others = job.candidates().len() > 1;
+    if !may_retry || !has_others {
         return Duration::from_millis(left.0);
     }
-    let part = Duration::from_millis(job.route.objective_ms).mul_f64(PATIENCE);
-    let least = Duration::from_millis(LEAST_PATIENCE.0);
-    part.max(least).min(Duration::from_millis(left.0))
+    let objective_part =
+        Duration::from_millis(job.route.objective_ms).mul_f64(ATTEMPT_TIMEOUT_PART);
+    let shortest = Duration::from_millis(MIN_ATTEMPT_TIMEOUT.0);
+    objective_part
+        .max(shortest)
+        .min(Duration::from_millis(left.0))
 }
 
 /// Selects an upstream, waits for a slot under its rate limit if necessary, and returns the upstream. Fails
 /// with the time until its next slot if that exceeds the rest of the objective.
 async fn admit(job: &Job) -> Result<Option<Upstream>, Millis> {
-    let Some((upstream, wait)) = choose(job) else {
+    let Some((upstream, wait)) = choose_upstream(job) else {
         return Ok(None);
     };
-    let due = Millis(job.route.objective_ms).since(job.trail.age());
+    let due = Millis(job.route.objective_ms).since(job.trace.age());
     let max_wait = if wait > Millis(0) { due } else { Millis(0) };
     match job.shared.reserve(&upstream, max_wait) {
         Admission::Unlimited => Ok(Some(upstream)),
@@ -161,31 +183,31 @@
 
 /// Upstream with the shortest wait under its rate limit, and that wait. Among equal waits, the upstream with
 /// the lowest expected response time is chosen.
-fn choose(job: &Job) -> Option<(Upstream, Millis)> {
+fn choose_upstream(job: &Job) -> Option<(Upstream, Millis)> {
     let now = job.shared.timer.now();
     let cost = |u: &Upstream| {
         job.shared.table.with(&u.instance, |r| {
-            let view = r.slot_view(u.slots, u.centre != job.shared.centre, now);
-            r.slots.cost(&view, now)
+            let view = r.upstream_load(u.slots, u.centre != job.shared.centre, now);
+            r.stats.cost(&view, now)
         })
     };
     let candidates = job.candidates().into_iter();
     let costed = candidates.map(|u| (job.shared.limit_wait(&u), cost(&u), u));
-    let least = costed.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    least.map(|(wait, _, upstream)| (upstream, wait))
+    let shortest = costed.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+    shortest.map(|(wait, _, upstream)| (upstream, wait))
 }
 
 /// Whether another attempt may follow; `may_have_run` if the last one may have been executed. If so, counts
 /// it against the limit of repeats.
-fn may_go_on(job: &Job, progress: &Progress, ran: bool) -> bool {
-    let repeatable = job.route.retry == RetryMode::Whole && progress.sent < job.route.max_attempts;
-    let open = (!ran || repeatable) && progress.sent < SENDS;
-    let left = job.left().0 > LEAST_LEFT && !job.candidates().is_empty();
-    open && left && job.shared.may_repeat(&job.service)
+fn try_retry(job: &Job, progress: &Progress, may_have_run: bool) -> bool {
+    let may_retry = job.route.retry == RetryMode::Whole && progress.sends < job.route.max_attempts;
+    let is_allowed = (!may_have_run || may_retry) && progress.sends < MAX_SENDS;
+    let can_continue = job.time_left().0 > MIN_TIME_LEFT_MS && !job.candidates().is_empty();
+    is_allowed && can_continue && job.shared.try_repeat(&job.service)
 }
 
 /// Returns a complete response, unless it reports a failure and another attempt may follow.
-fn settle(
+fn handle_response(
     job: &Job,
     upstream: &Upstream,
     reply: Reply,
@@ -193,57 +215,73 @@
     progress: &mut Progress,
 ) -> Next {
     let status = reply.status().as_u16();
-    progress.ran = true;
+    progress.may_have_run = true;
     if status >= 500 {
-        if may_go_on(job, progress, true) {
-            job.trail.lost("read answer", true, true, "upstream failed");
-            return Next::Again;
+        if try_retry(job, progress, true) {
+            job.trace
+                .log_attempt_lost("read answer", true, true, "upstream failed");
+            return Next::Retry;
         }
     } else {
         job.shared
             .table
-            .with(&upstream.instance, |r| r.slots.record_response(took));
+            .with(&upstream.instance, |r| r.stats.record_response(took));
     }
     if status < 500 {
-        job.trail.served();
+        job.trace.record_served();
     }
-    job.trail.first();
-    job.trail.passed_on(status, true);
+    job.trace.record_first_byte();
+    job.trace.log_passed_on(status, true);
     Next::Reply(reply)
 }
 
-fn fail(job: &Job, progress: &Progress, ran: bool, step: &str, error: &str) -> Next {
-    let again = may_go_on(job, progress, ran);
-    job.trail.lost(step, ran, again, error);
-    if again {
-        return Next::Again;
+fn handle_failure(
+    job: &Job,
+    progress: &Progress,
+    may_have_run: bool,
+    step: &str,
+    error: &str,
+) -> Next {
+    let will_retry = try_retry(job, progress, may_have_run);
+    job.trace
+        .log_attempt_lost(step, may_have_run, will_retry, error);
+    if will_retry {
+        return Next::Retry;
     }
-    let reason = if ran { "no_answer" } else { "no_upstream" };
-    Next::Reply(give_up(job, progress, reason))
+    let reason = if may_have_run {
+        "no_answer"
+    } else {
+        "no_upstream"
+    };
+    Next::Reply(final_refusal(job, progress, reason))
 }
 
 /// Final response if the rate limits of all upstreams delay the request too long; `wait` is the time until
 /// the next slot.
 fn refuse_limited(job: &Job, progress: &Progress, wait: Millis) -> Reply {
-    if progress.ran {
-        return give_up(job, progress, LIMITED);
+    if progress.may_have_run {
+        return final_refusal(job, progress, LIMITED);
     }
-    job.give_permit_back();
-    Refusal::new(LIMITED, wait).reply(&job.trail)
+    job.release_permit();
+    Refusal::new(LIMITED, wait).reply(&job.trace)
 }
 
 /// Final response if no upstream provided one.
-fn give_up(job: &Job, progress: &Progress, reason: &'static str) -> Reply {
-    job.give_permit_back();
-    if progress.ran {
-        let status = if job.left().0 < LEAST_LEFT { 504 } else { 502 };
-        return unsettled(&job.trail, status, reason);
+fn final_refusal(job: &Job, progress: &Progress, reason: &'static str) -> Reply {
+    job.release_permit();
+    if progress.may_have_run {
+        let status = if job.time_left().0 < MIN_TIME_LEFT_MS {
+            504
+        } else {
+            502
+        };
+        return outcome_unknown(&job.trace, status, reason);
     }
-    if let Some(left) = job.resting() {
-        return Refusal::resting(left).reply(&job.trail);
+    if let Some(backoff) = job.min_backoff() {
+        return Refusal::resting(backoff).reply(&job.trace);
     }
-    if job.tried.is_empty() {
-        return Refusal::no_upstream().reply(&job.trail);
+    if job.tried_instances.is_empty() {
+        return Refusal::no_upstream().reply(&job.trace);
     }
-    Refusal::new(reason, FULL_RETRY).reply(&job.trail)
+    Refusal::new(reason, FULL_RETRY_AFTER).reply(&job.trace)
 }
--- a/crates/gateway/src/request/refuse.rs
+++ b/crates/gateway/src/request/refuse.rs
@@ -5,13 +5,13 @@
 use pumicecleat_net::{Reply, plain_reply};
 use pumicecleat_types::Millis;
 
-use super::trail::Trail;
+use super::trace::RequestTrace;
 
 /// Retry time returned if no upstream or no configuration is known: lists are read within a second.
-const UNKNOWN_RETRY: Millis = Millis(500);
+const UNKNOWN_RETRY_AFTER: Millis = Millis(500);
 
 /// Retry time returned if another gateway can handle the request at once.
-const ELSEWHERE_RETRY: Millis = Millis(20);
+const OTHER_GATEWAY_RETRY_AFTER: Millis = Millis(20);
 
 /// Reason of a refusal while all upstreams have asked for no requests.
 pub(super) const RESTING: &str = "resting";
@@ -23,15 +23,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     pub(super) reason: &'static str,
-    pub(super) retry: Millis,
+    pub(super) retry_after: Millis,
 }
 
 impl Refusal {
     /// No configuration is known yet.
-    pub(super) fn unknown() -> Self {
+    pub(super) fn no_layout() -> Self {
         Self {
             reason: "no_layout",
-            retry: UNKNOWN_RETRY,
+            retry_after: UNKNOWN_RETRY_AFTER,
         }
     }
 
@@ -39,7 +39,7 @@
     pub(super) fn no_upstream() -> Self {
         Self {
             reason: "no_upstream",
-            retry: UNKNOWN_RETRY,
+            retry_after: UNKNOWN_RETRY_AFTER,
         }
     }
 
@@ -47,30 +47,33 @@
     pub(super) fn stopping() -> Self {
         Self {
             reason: "stopping",
-            retry: ELSEWHERE_RETRY,
+            retry_after: OTHER_GATEWAY_RETRY_AFTER,
         }
     }
 
-    /// All upstreams have asked for no requests during `left`.
-    pub(super) fn resting(left: Millis) -> Self {
-        Self::new(RESTING, left)
+    /// All upstreams have asked for no requests during `backoff`.
+    pub(super) fn resting(backoff: Millis) -> Self {
+        Self::new(RESTING, backoff)
     }
 
     /// Upstreams ended while the request was in progress, and it may not be sent again before `retry_after`
     /// has passed.
-    pub(super) fn ends_upstreams(retry: Millis) -> Self {
-        Self::new("ends_upstreams", retry)
+    pub(super) fn ends_upstreams(retry_after: Millis) -> Self {
+        Self::new("ends_upstreams", retry_after)
     }
 
-    pub(super) fn new(reason: &'static str, retry: Millis) -> Self {
-        Self { reason, retry }
+    pub(super) fn new(reason: &'static str, retry_after: Millis) -> Self {
+        Self {
+            reason,
+            retry_after,
+        }
     }
 
     /// Response 503 with the retry time.
-    pub(super) fn reply(self, trail: &Trail) -> Reply {
-        trail.turned_down(503, self.reason, self.retry);
+    pub(super) fn reply(self, trace: &RequestTrace) -> Reply {
+        trace.log_turned_down(503, self.reason, self.retry_after);
         let mut reply = plain_reply(503, "not run; come back later\n");
-        let seconds = format!("{:.2}", self.retry.as_secs());
+        let seconds = format!("{:.2}", self.retry_after.as_secs());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             reply.headers_mut().insert(RETRY_AFTER, value);
         }
@@ -79,13 +82,13 @@
 }
 
 /// Response to a request that is invalid or has no route.
-pub(super) fn own_failure(trail: &Trail, status: u16, reason: &str) -> Reply {
-    trail.turned_down(status, reason, Millis(0));
+pub(super) fn reject(trace: &RequestTrace, status: u16, reason: &str) -> Reply {
+    trace.log_turned_down(status, reason, Millis(0));
     plain_reply(status, "request not passed on\n")
 }
 
 /// Response to a request that was sent and may have been executed.
-pub(super) fn unsettled(trail: &Trail, status: u16, reason: &str) -> Reply {
-    trail.unsettled(status, reason);
+pub(super) fn outcome_unknown(trace: &RequestTrace, status: u16, reason: &str) -> Reply {
+    trace.log_unsettled(status, reason);
     plain_reply(status, "sent, and without a whole answer\n")
 }
--- a/crates/gateway/src/request/resume.rs
+++ b/crates/gateway/src/request/resume.rs
@@ -8,20 +8,20 @@
 use futures_util::stream::unfold;
 use pumicecleat_net::{Body, BodyError, Reply, Response, SseScanner};
 
+use super::forward::response_head;
 use super::job::Job;
-use super::model::{Progress, go_on};
-use super::relay::head;
-use crate::table::UnderWay;
+use super::model::{Progress, resume_elsewhere};
+use crate::table::InFlight;
 
 /// Maximum size of an event in bytes. An event with one token takes some dozens of bytes.
 const EVENT_LIMIT: usize = 256 * 1024;
 
 /// A stream that another upstream may resume.
-struct Resuming {
+struct ResumableStream {
     job: Job,
     progress: Progress,
     response: Response,
-    under_way: UnderWay,
+    in_flight: InFlight,
     scanner: SseScanner,
     status: u16,
     /// Whether an event was forwarded.
@@ -29,38 +29,43 @@
 }
 
 /// Forwards a stream event by event, resuming at other upstreams if necessary.
-pub(super) fn pass(response: Response, job: Job, progress: Progress, under_way: UnderWay) -> Reply {
-    let mut reply = head(&response);
-    let resuming = Resuming {
+pub(super) fn forward(
+    response: Response,
+    job: Job,
+    progress: Progress,
+    in_flight: InFlight,
+) -> Reply {
+    let mut reply = response_head(&response);
+    let stream = ResumableStream {
         job,
         progress,
         status: response.status(),
         response,
-        under_way,
+        in_flight,
         scanner: SseScanner::new(EVENT_LIMIT),
         begun: false,
     };
-    let pieces = unfold(Some(resuming), |resuming| async move {
-        let mut resuming = resuming?;
-        let piece = resuming.next().await?;
-        let rest = piece.is_ok().then_some(resuming);
-        Some((piece, rest))
+    let chunks = unfold(Some(stream), |stream| async move {
+        let mut stream = stream?;
+        let chunk = stream.next().await?;
+        let state = chunk.is_ok().then_some(stream);
+        Some((chunk, state))
     });
-    *reply.body_mut() = Body::Stream(Box::pin(pieces));
+    *reply.body_mut() = Body::Stream(Box::pin(chunks));
     reply
 }
 
-impl Resuming {
+impl ResumableStream {
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
-            match self.scan() {
+            match self.take_events() {
                 Ok(Some(events)) => {
-                    self.begin();
+                    self.mark_begun();
                     return Some(Ok(events));
                 }
                 Ok(None) => {}
                 Err(e) => {
-                    self.job.trail.passed_on(self.status, false);
+                    self.job.trace.log_passed_on(self.status, false);
                     return Some(Err(e));
                 }
             }
@@ -70,16 +75,16 @@
                     let rest = self.scanner.pending().to_vec();
                     self.scanner = SseScanner::new(EVENT_LIMIT);
                     if rest.is_empty() {
-                        self.job.trail.passed_on(self.status, true);
-                        self.job.trail.served();
+                        self.job.trace.log_passed_on(self.status, true);
+                        self.job.trace.record_served();
                         return None;
                     }
                     return Some(Ok(Bytes::from(rest)));
                 }
                 Some(Err(e)) => {
-                    self.job.trail.broke();
-                    if !self.go_on(&e).await {
-                        self.job.trail.passed_on(self.status, false);
+                    self.job.trace.record_lost_connection();
+                    if !self.resume(&e).await {
+                        self.job.trace.log_passed_on(self.status, false);
                         return Some(Err(e));
                     }
                 }
@@ -88,12 +93,12 @@
     }
 
     /// Complete events received so far.
-    fn scan(&mut self) -> Result<Option<Bytes>, BodyError> {
+    fn take_events(&mut self) -> Result<Option<Bytes>, BodyError> {
         let mut events = Vec::new();
         loop {
             match self.scanner.scan_event() {
                 Ok(Some(event)) => {
-                    self.job.after = event.number().or(self.job.after);
+                    self.job.last_event_id = event.number().or(self.job.last_event_id);
                     events.extend_from_slice(&event.raw);
                 }
                 Ok(None) => break,
@@ -107,13 +112,15 @@
     }
 
     /// Resumes the stream at another upstream; returns `false` if there is none.
-    async fn go_on(&mut self, error: &BodyError) -> bool {
+    async fn resume(&mut self, error: &BodyError) -> bool {
         let error = error.to_string();
-        self.job.trail.lost("read answer", true, true, &error);
-        match go_on(&mut self.job, &mut self.progress).await {
-            Some(answered) => {
-                self.response = answered.response;
-                self.under_way = answered.under_way;
+        self.job
+            .trace
+            .log_attempt_lost("read answer", true, true, &error);
+        match resume_elsewhere(&mut self.job, &mut self.progress).await {
+            Some(engine_response) => {
+                self.response = engine_response.response;
+                self.in_flight = engine_response.in_flight;
                 self.scanner = SseScanner::new(EVENT_LIMIT);
                 true
             }
@@ -121,11 +128,11 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn mark_begun(&mut self) {
         if !self.begun {
             self.begun = true;
-            self.job.trail.first();
+            self.job.trace.record_first_byte();
         }
-        self.under_way.begun();
+        self.in_flight.mark_begun();
     }
 }
--- a/crates/gateway/src/request/send.rs
+++ b/crates/gateway/src/request/send.rs
@@ -11,15 +11,15 @@
 use crate::{AttemptAttributes, ResponseAttributes, RetryAfter};
 
 /// Minimum time left, in milliseconds, for which an attempt is worthwhile.
-pub(super) const LEAST_LEFT: u64 = 20;
+pub(super) const MIN_TIME_LEFT_MS: u64 = 20;
 
 /// Status of an upstream that rejects a request.
 const OVERLOADED: u16 = 503;
 
 /// Outcome of one attempt.
-pub(super) enum Attempt {
+pub(super) enum AttemptOutcome {
     /// Response to forward; its body has not been read.
-    Answer(Response),
+    Response(Response),
     /// The upstream reported that it did not execute the request.
     NotRun(ResponseAttributes),
     /// No byte was sent.
@@ -27,7 +27,7 @@
     /// No response; the request may have been executed.
     Lost(String),
     /// No response before the timeout; the request may have been executed.
-    Late,
+    TimedOut,
 }
 
 impl Job {
@@ -37,37 +37,46 @@
         &self,
         upstream: &Upstream,
         adapter_version: Option<u64>,
-        span: Duration,
-    ) -> Attempt {
-        self.trail.attempt(upstream);
+        timeout: Duration,
+    ) -> AttemptOutcome {
+        self.trace.start_attempt(upstream);
         self.use_permit();
         let priority = adapter_version.map(|_| self.route.priority);
-        let outgoing = AttemptAttributes {
+        let attributes = AttemptAttributes {
             instance: &upstream.instance,
-            deadline_ms: self.left().0,
+            deadline_ms: self.time_left().0,
             adapter_version,
             priority: priority.or(Some(self.route.priority)),
-            last_event_id: self.after,
+            last_event_id: self.last_event_id,
         };
-        let request = self.request(&outgoing);
+        let request = self.build_request(&attributes);
         let peer = upstream.address.to_string();
         let sent_at = self.shared.timer.now();
-        let response = match self.shared.client.send(&peer, request, span).await {
+        let response = match self
+            .shared
+            .upstream_client
+            .send(&peer, request, timeout)
+            .await
+        {
             Ok(response) => response,
-            Err(e) if e.sent() == Sent::No => return Attempt::NotSent(e.to_string()),
-            Err(pumicecleat_net::NetError::AnswerTimeout { .. }) => return Attempt::Late,
+            Err(e) if e.sent() == Sent::No => return AttemptOutcome::NotSent(e.to_string()),
+            Err(pumicecleat_net::NetError::AnswerTimeout { .. }) => {
+                return AttemptOutcome::TimedOut;
+            }
             Err(e) => {
-                self.trail.broke();
-                return Attempt::Lost(e.to_string());
+                self.trace.record_lost_connection();
+                return AttemptOutcome::Lost(e.to_string());
             }
         };
-        self.judge(upstream, response, sent_at)
+        self.classify(upstream, response, sent_at)
     }
 
     /// An upstream that rejects a request may tell when it accepts requests again.
-    fn note_rest(&self, upstream: &Upstream, heard: &ResponseAttributes) {
-        match heard.retry_after {
-            Some(RetryAfter::DelayMs(told)) => self.shared.said_rests(upstream, Millis(told)),
+    fn note_retry_after(&self, upstream: &Upstream, response_attributes: &ResponseAttributes) {
+        match response_attributes.retry_after {
+            Some(RetryAfter::DelayMs(delay_ms)) => {
+                self.shared.note_backoff(upstream, Millis(delay_ms));
+            }
             Some(RetryAfter::Unreadable) => {
                 let fields = [field("instance", upstream.instance.as_str())];
                 self.shared.log.emit(&events::RETRY_UNREADABLE, &fields);
@@ -76,34 +85,36 @@
         }
     }
 
-    fn judge(&self, upstream: &Upstream, response: Response, sent_at: Millis) -> Attempt {
-        let heard = self
+    fn classify(&self, upstream: &Upstream, response: Response, sent_at: Millis) -> AttemptOutcome {
+        let response_attributes = self
             .shared
             .header_codec
             .decode_response(response.status(), response.headers());
-        if heard.is_leaving {
-            self.shared.said_leaving(upstream);
+        if response_attributes.is_leaving {
+            self.shared.note_leaving(upstream);
         }
         if response.status() == OVERLOADED {
-            self.note_rest(upstream, &heard);
+            self.note_retry_after(upstream, &response_attributes);
         }
-        if heard.request_id.is_some() && heard.request_id.as_deref() != Some(self.id()) {
-            // Dropping the response also closes its connection, which carries the response to another
-            // request.
-            return Attempt::Lost("answer to another request".to_owned());
+        if response_attributes.request_id.is_some()
+            && response_attributes.request_id.as_deref() != Some(self.id())
+        {
+            // Dropping the response also closes its connection, whose responses no longer match the requests.
+            return AttemptOutcome::Lost("response to another request".to_owned());
         }
-        if heard.is_other_instance {
-            self.shared.seen_replaced(&upstream.instance);
-            return Attempt::NotRun(heard);
+        if response_attributes.is_other_instance {
+            self.shared.note_replaced(&upstream.instance);
+            return AttemptOutcome::NotRun(response_attributes);
         }
-        self.shared.note_limit(upstream, heard.rate_limit, sent_at);
-        if let Some(load) = heard.load {
+        self.shared
+            .note_limit(upstream, response_attributes.rate_limit, sent_at);
+        if let Some(load) = response_attributes.load {
             let now = self.shared.timer.now();
-            self.shared.table.told(&upstream.instance, load, now);
+            self.shared.table.set_load(&upstream.instance, load, now);
         }
-        if heard.not_run {
-            return Attempt::NotRun(heard);
+        if response_attributes.not_run {
+            return AttemptOutcome::NotRun(response_attributes);
         }
-        Attempt::Answer(response)
+        AttemptOutcome::Response(response)
     }
 }
--- a/crates/gateway/src/request/trail.rs
+++ b/crates/gateway/src/request/trace.rs
@@ -13,7 +13,7 @@
 use crate::suspects;
 
 /// Logs the end of a request once. If dropped before, it logs that the caller disconnected.
-pub(super) struct Trail {
+pub(super) struct RequestTrace {
     pub(super) shared: Rc<Shared>,
     pub(super) request: String,
     route: String,
@@ -24,20 +24,20 @@
     service: RefCell<String>,
     instance: RefCell<String>,
     /// The attempt is sent to an upstream where no other suspect is in progress.
-    alone: Cell<bool>,
+    is_alone: Cell<bool>,
     /// Upstream of the current attempt.
     upstream: RefCell<Option<Upstream>>,
     attempts: Cell<u32>,
     /// Age of the list of upstreams at the start of the latest attempt; 0 if unknown or before any attempt.
     list_age: Cell<Millis>,
     /// Time spent waiting for turns.
-    turn: Cell<Millis>,
-    first: Cell<Option<Millis>>,
-    told: Cell<bool>,
-    _open: DrainGuard,
+    turn_wait: Cell<Millis>,
+    first_byte: Cell<Option<Millis>>,
+    outcome_counted: Cell<bool>,
+    _drain_guard: DrainGuard,
 }
 
-impl Trail {
+impl RequestTrace {
     pub(super) fn new(
         shared: &Rc<Shared>,
         attributes: &RequestAttributes,
@@ -56,14 +56,14 @@
             arrived,
             service: RefCell::default(),
             instance: RefCell::default(),
-            alone: Cell::default(),
+            is_alone: Cell::default(),
             upstream: RefCell::default(),
             attempts: Cell::new(0),
             list_age: Cell::default(),
-            turn: Cell::default(),
-            first: Cell::new(None),
-            told: Cell::new(false),
-            _open: shared.drain.enter(&id),
+            turn_wait: Cell::default(),
+            first_byte: Cell::new(None),
+            outcome_counted: Cell::new(false),
+            _drain_guard: shared.drain.enter(&id),
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Records that an attempt is sent to `upstream`.
-    pub(super) fn attempt(&self, upstream: &Upstream) {
+    pub(super) fn start_attempt(&self, upstream: &Upstream) {
         self.attempts.set(self.attempts.get() + 1);
         let age = self.shared.marks.list_age(self.shared.timer.now());
         self.list_age.set(age.unwrap_or_default());
@@ -98,38 +98,43 @@
 
     /// Records that the request is sent to an upstream where no other suspect is in progress.
     pub(super) fn set_alone(&self) {
-        self.alone.set(true);
+        self.is_alone.set(true);
     }
 
     /// Records that the connection of the current attempt was lost.
-    pub(super) fn broke(&self) {
+    pub(super) fn record_lost_connection(&self) {
         if let (Some(fingerprint), Some(upstream)) =
             (self.fingerprint.get(), &*self.upstream.borrow())
         {
-            suspects::broke(&self.shared, fingerprint, self.alone.get(), upstream);
+            suspects::record_lost_connection(
+                &self.shared,
+                fingerprint,
+                self.is_alone.get(),
+                upstream,
+            );
         }
     }
 
     /// Records that an upstream served the request.
-    pub(super) fn served(&self) {
-        suspects::served(&self.shared, &self.fingerprint());
+    pub(super) fn record_served(&self) {
+        suspects::record_served(&self.shared, &self.fingerprint());
     }
 
     /// Adds the time spent waiting for a turn.
-    pub(super) fn waited(&self, waited: Millis) {
-        self.turn.set(self.turn.get() + waited);
+    pub(super) fn add_turn_wait(&self, waited: Millis) {
+        self.turn_wait.set(self.turn_wait.get() + waited);
     }
 
     /// Records that the first byte of the response was forwarded.
-    pub(super) fn first(&self) {
-        if self.first.get().is_some() {
+    pub(super) fn record_first_byte(&self) {
+        if self.first_byte.get().is_some() {
             return;
         }
         let age = self.age();
-        self.first.set(Some(age));
+        self.first_byte.set(Some(age));
         let service = self.service.borrow().clone();
         let labels = ServiceLabels { service };
-        let meter = self.shared.meters.first.get_or_create(&labels);
+        let meter = self.shared.meters.first_byte.get_or_create(&labels);
         meter.observe(age.as_secs());
     }
 
@@ -138,9 +143,9 @@
     }
 
     /// Logs that an upstream's response was forwarded.
-    pub(super) fn passed_on(&self, status: u16, whole: bool) {
-        self.count(if whole { "passed_on" } else { "broken" });
-        let first = self.first.get().unwrap_or_else(|| self.age());
+    pub(super) fn log_passed_on(&self, status: u16, is_complete: bool) {
+        self.count_outcome(if is_complete { "passed_on" } else { "broken" });
+        let first = self.first_byte.get().unwrap_or_else(|| self.age());
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
@@ -150,19 +155,19 @@
             field("instance", instance.as_str()),
             field("status", status),
             field("attempts", self.attempts.get()),
-            field("turn_ms", self.turn.get().0),
+            field("turn_ms", self.turn_wait.get().0),
             field("first_ms", first.0),
             field("total_ms", self.age().0),
             field("list_ms", self.list_age.get().0),
             field("layout", self.layout),
-            field("whole", whole),
+            field("whole", is_complete),
         ];
         self.shared.log.emit(&events::PASSED_ON, &fields);
     }
 
     /// Logs that the request was refused without having been executed.
-    pub(super) fn turned_down(&self, status: u16, reason: &str, retry: Millis) {
-        self.count("turned_down");
+    pub(super) fn log_turned_down(&self, status: u16, reason: &str, retry_after: Millis) {
+        self.count_outcome("turned_down");
         let fingerprint = self.fingerprint_text();
         let fields = [
             field("request", self.request.as_str()),
@@ -170,7 +175,7 @@
             field("route", self.route.as_str()),
             field("reason", reason),
             field("status", status),
-            field("retry_ms", retry.0),
+            field("retry_ms", retry_after.0),
             field("attempts", self.attempts.get()),
             field("age_ms", self.age().0),
             field("layout", self.layout),
@@ -179,8 +184,8 @@
     }
 
     /// Logs that the request failed and may have been executed.
-    pub(super) fn unsettled(&self, status: u16, reason: &str) {
-        self.count("unsettled");
+    pub(super) fn log_unsettled(&self, status: u16, reason: &str) {
+        self.count_outcome("unsettled");
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
@@ -199,7 +204,13 @@
     }
 
     /// Logs that an attempt provided no response to forward.
-    pub(super) fn lost(&self, step: &str, ran: bool, again: bool, error: &str) {
+    pub(super) fn log_attempt_lost(
+        &self,
+        step: &str,
+        may_have_run: bool,
+        will_retry: bool,
+        error: &str,
+    ) {
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
@@ -207,29 +218,29 @@
             field("fingerprint", fingerprint.as_str()),
             field("instance", instance.as_str()),
             field("step", step),
-            field("ran", ran),
+            field("ran", may_have_run),
             field("age_ms", self.age().0),
             field("list_ms", self.list_age.get().0),
-            field("again", again),
+            field("again", will_retry),
             field("error", error),
         ];
         self.shared.log.emit(&events::ATTEMPT_LOST, &fields);
     }
 
-    fn count(&self, outcome: &'static str) {
-        self.told.set(true);
+    fn count_outcome(&self, outcome: &'static str) {
+        self.outcome_counted.set(true);
         let service = self.service.borrow().clone();
         let labels = OutcomeLabels { service, outcome };
         self.shared.meters.requests.get_or_create(&labels).inc();
     }
 }
 
-impl Drop for Trail {
+impl Drop for RequestTrace {
     fn drop(&mut self) {
-        if self.told.get() {
+        if self.outcome_counted.get() {
             return;
         }
-        self.count("caller_left");
+        self.count_outcome("caller_left");
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/service_traits.rs
@@ -11,30 +11,35 @@
 
 /// Time after which the median is computed again. Long compared to the interval between exchanges with an
 /// agent, short compared to the start of an engine.
-const SPAN: Millis = Millis(1_000);
+const REFRESH_INTERVAL: Millis = Millis(1_000);
 
 /// Median traits by service, and when they were computed.
 #[derive(Debug, Default)]
-pub(crate) struct Peers {
-    services: BTreeMap<ServiceId, (EngineTraits, Millis)>,
+pub(crate) struct ServiceTraits {
+    by_service: BTreeMap<ServiceId, (EngineTraits, Millis)>,
 }
 
 /// Traits of the median engine of `service`.
-pub(crate) fn peers(shared: &Shared, service: &ServiceId) -> EngineTraits {
+pub(crate) fn service_traits(shared: &Shared, service: &ServiceId) -> EngineTraits {
     let now = shared.timer.now();
-    let known = shared.peers.borrow().services.get(service).copied();
-    if let Some((traits, at)) = known
-        && now.since(at) < SPAN
+    let cached = shared
+        .service_traits
+        .borrow()
+        .by_service
+        .get(service)
+        .copied();
+    if let Some((traits, computed_at)) = cached
+        && now.since(computed_at) < REFRESH_INTERVAL
     {
         return traits;
     }
-    let traits = look(shared, service);
-    let mut peers = shared.peers.borrow_mut();
-    peers.services.insert(service.clone(), (traits, now));
+    let traits = compute_median(shared, service);
+    let mut cache = shared.service_traits.borrow_mut();
+    cache.by_service.insert(service.clone(), (traits, now));
     traits
 }
 
-fn look(shared: &Shared, service: &ServiceId) -> EngineTraits {
+fn compute_median(shared: &Shared, service: &ServiceId) -> EngineTraits {
     let catalog = shared.catalog.borrow();
     let figures = |instance: &str| {
         shared
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -15,12 +15,12 @@
 use pumicecleat_types::{DataCentre, Millis, ServiceId, VmId};
 use rand_chacha::ChaCha8Rng;
 
-use crate::gateways::Gateways;
+use crate::gateway_count::GatewayCount;
 use crate::meters::{Meters, ServiceLabels};
-use crate::own_word::OwnWords;
-use crate::peers::Peers;
-use crate::suspects::Guard;
-use crate::table::Table;
+use crate::self_reports::SelfReports;
+use crate::service_traits::ServiceTraits;
+use crate::suspects::SuspectState;
+use crate::table::UpstreamTable;
 use crate::{HeaderCodec, RateLimit};
 
 /// Readiness condition: a configuration was read.
@@ -31,13 +31,13 @@
 
 /// Progress of a stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Stopping {
+pub(crate) enum StopPhase {
     /// No stop was requested.
     #[default]
-    No,
+    Running,
     /// Requests are accepted, and each response tells its caller to close the connection and use another
     /// gateway.
-    Asked,
+    Draining,
     /// Requests to model engines are refused, because their responses may not complete before the process
     /// ends.
     Closing,
@@ -53,44 +53,44 @@
     pub(crate) header_codec: Rc<dyn HeaderCodec>,
     pub(crate) catalog: SharedCatalog,
     pub(crate) marks: Rc<Marks>,
-    pub(crate) table: Rc<Table>,
+    pub(crate) table: Rc<UpstreamTable>,
     /// Client for upstreams.
-    pub(crate) client: Client,
+    pub(crate) upstream_client: Client,
     /// Client for agents.
-    pub(crate) agents: Client,
+    pub(crate) agent_client: Client,
     /// Leaving and backoff, as reported by upstreams themselves.
-    pub(crate) words: RefCell<OwnWords>,
+    pub(crate) self_reports: RefCell<SelfReports>,
     /// Rate limits announced by upstreams.
     pub(crate) limits: RefCell<RateLimits>,
     /// Requests in progress when upstreams ended.
-    pub(crate) guard: Guard,
+    pub(crate) suspects: SuspectState,
     /// Whether figures of engines are collected by relays.
-    pub(crate) relayed: Cell<bool>,
-    pub(crate) repeat: RepeatOptions,
+    pub(crate) uses_relay: Cell<bool>,
+    pub(crate) repeat_options: RepeatOptions,
     /// Median traits of the engines of each service.
-    pub(crate) peers: RefCell<Peers>,
+    pub(crate) service_traits: RefCell<ServiceTraits>,
     /// Number of gateways that share the slack of repeats.
-    pub(crate) gateways: RefCell<Gateways>,
-    pub(crate) windows: RefCell<BTreeMap<ServiceId, RepeatWindow>>,
+    pub(crate) gateway_count: RefCell<GatewayCount>,
+    pub(crate) repeat_windows: RefCell<BTreeMap<ServiceId, RepeatWindow>>,
     pub(crate) rng: RefCell<ChaCha8Rng>,
     pub(crate) readiness: Readiness,
     pub(crate) drain: Drain,
     pub(crate) meters: Meters,
     /// Progress of a stop.
-    pub(crate) stopping: Cell<Stopping>,
+    pub(crate) stop_phase: Cell<StopPhase>,
 }
 
 impl Shared {
     /// Counts the first send of a request to `service`.
     pub(crate) fn count_request(&self, service: &ServiceId) {
         let now = self.timer.now();
-        self.window(service, |w| w.record_request(now));
+        self.with_repeat_window(service, |w| w.record_request(now));
     }
 
     /// Counts a repeated send of a request to `service`, if the limit allows one; returns whether it does.
-    pub(crate) fn may_repeat(&self, service: &ServiceId) -> bool {
+    pub(crate) fn try_repeat(&self, service: &ServiceId) -> bool {
         let now = self.timer.now();
-        let allowed = self.window(service, |w| w.try_repeat(now));
+        let allowed = self.with_repeat_window(service, |w| w.try_repeat(now));
         if allowed {
             let service = service.to_string();
             let labels = ServiceLabels { service };
@@ -99,24 +99,29 @@
         allowed
     }
 
-    fn window<T>(&self, service: &ServiceId, look: impl FnOnce(&mut RepeatWindow) -> T) -> T {
+    fn with_repeat_window<T>(
+        &self,
+        service: &ServiceId,
+        f: impl FnOnce(&mut RepeatWindow) -> T,
+    ) -> T {
         let options = RepeatOptions {
-            slack: self.repeat.slack / f64::from(self.gateways.borrow().parts()),
-            ..self.repeat
+            slack: self.repeat_options.slack
+                / f64::from(self.gateway_count.borrow().slack_shares()),
+            ..self.repeat_options
         };
-        let mut windows = self.windows.borrow_mut();
+        let mut windows = self.repeat_windows.borrow_mut();
         let window = windows
             .entry(service.clone())
             .or_insert_with(|| RepeatWindow::new_ext(options));
         window.set_options(options);
-        look(window)
+        f(window)
     }
 
     /// Records that `upstream` reported in a response that it is leaving.
-    pub(crate) fn said_leaving(&self, upstream: &Upstream) {
+    pub(crate) fn note_leaving(&self, upstream: &Upstream) {
         let now = self.timer.now();
-        if self.words.borrow_mut().leaves(upstream, now) {
-            self.tell_leaving(&upstream.instance, "own answer");
+        if self.self_reports.borrow_mut().record_leaving(upstream, now) {
+            self.log_leaving(&upstream.instance, "own answer");
         }
     }
 
@@ -160,7 +165,7 @@
 
     /// Number of gateways that share the rate limit of an upstream equally.
     fn limit_sharers(&self) -> u32 {
-        self.gateways.borrow().sharers()
+        self.gateway_count.borrow().sharers()
     }
 
     /// Time until this gateway's next free slot under the rate limit of `upstream`.
@@ -194,46 +199,49 @@
     }
 
     /// Records that another instance answered at the address of `instance`.
-    pub(crate) fn seen_replaced(&self, instance: &str) {
-        let known = self
+    pub(crate) fn note_replaced(&self, instance: &str) {
+        let already_known = self
             .table
-            .with(instance, |r| std::mem::replace(&mut r.replaced, true));
-        if !known {
-            self.tell_leaving(instance, "other instance");
+            .with(instance, |r| std::mem::replace(&mut r.is_replaced, true));
+        if !already_known {
+            self.log_leaving(instance, "other instance");
         }
     }
 
-    fn tell_leaving(&self, instance: &str, sign: &'static str) {
-        self.guard.note_leaving(instance, true, self.timer.now());
+    fn log_leaving(&self, instance: &str, sign: &'static str) {
+        self.suspects.note_leaving(instance, true, self.timer.now());
         let fields = [field("instance", instance), field("sign", sign)];
         self.log.emit(&events::SEEN_LEAVING, &fields);
     }
 
     /// Whether `upstream` accepts requests, by its own reports and by what answered at its address.
-    pub(crate) fn takes(&self, upstream: &Upstream) -> bool {
-        self.stays(upstream) && self.rest_left(upstream).is_none()
+    pub(crate) fn accepts_requests(&self, upstream: &Upstream) -> bool {
+        self.is_staying(upstream) && self.backoff_left(upstream).is_none()
     }
 
     /// Whether `upstream` was neither replaced nor has reported that it is leaving.
-    pub(crate) fn stays(&self, upstream: &Upstream) -> bool {
-        let replaced = self.table.with(&upstream.instance, |r| r.replaced);
-        !replaced && !self.words.borrow().is_leaving(upstream)
+    pub(crate) fn is_staying(&self, upstream: &Upstream) -> bool {
+        let is_replaced = self.table.with(&upstream.instance, |r| r.is_replaced);
+        !is_replaced && !self.self_reports.borrow().is_leaving(upstream)
     }
 
     /// Time for which `upstream` has asked this gateway to send no requests.
-    pub(crate) fn rest_left(&self, upstream: &Upstream) -> Option<Millis> {
+    pub(crate) fn backoff_left(&self, upstream: &Upstream) -> Option<Millis> {
         let now = self.timer.now();
-        self.words.borrow().rest_left(upstream, now)
+        self.self_reports.borrow().backoff_left(upstream, now)
     }
 
     /// Records that `upstream` rejected a request and asked for no requests during `requested`.
-    pub(crate) fn said_rests(&self, upstream: &Upstream, told: Millis) {
+    pub(crate) fn note_backoff(&self, upstream: &Upstream, requested: Millis) {
         let now = self.timer.now();
-        let held = self.words.borrow_mut().rests(upstream, told, now);
+        let applied = self
+            .self_reports
+            .borrow_mut()
+            .record_backoff(upstream, requested, now);
         let fields = [
             field("instance", upstream.instance.as_str()),
-            field("told_ms", told.0),
-            field("held_ms", held.0),
+            field("told_ms", requested.0),
+            field("held_ms", applied.0),
         ];
         self.log.emit(&events::UPSTREAM_RESTS, &fields);
     }
@@ -253,29 +261,30 @@
             Applied::Upstream {
                 instance,
                 standing: Standing::Leaving,
-            } => self.guard.note_leaving(instance, true, self.timer.now()),
+            } => self.suspects.note_leaving(instance, true, self.timer.now()),
             Applied::Gone { instance } => {
-                self.guard.note_leaving(instance, false, self.timer.now());
+                self.suspects
+                    .note_leaving(instance, false, self.timer.now());
                 self.limits.borrow_mut().remove(instance);
                 self.meters.set_rate_limit(instance, None);
-                self.table.forget(instance);
+                self.table.remove(instance);
             }
-            Applied::Restarted { instance, .. } => self.table.forget(instance),
+            Applied::Restarted { instance, .. } => self.table.remove(instance),
             _ => {}
         }
     }
 
     fn on_store_renewed(&self) {
-        self.guard.keep_again();
+        self.suspects.persist_again();
     }
 
     fn report_list_age(&self, age: Millis) {
         let age = i64::try_from(age.0).unwrap_or(i64::MAX);
-        self.meters.list_age.set(age);
+        self.meters.list_age_ms.set(age);
     }
 
     fn follower_count(&self) -> u32 {
-        self.gateways.borrow().count()
+        self.gateway_count.borrow().count()
     }
 }
 
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -19,22 +19,22 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::gate::Gate;
-use crate::gateways::Gateways;
-use crate::leave::{CONNECT_SPAN, LeaveBudget};
+use crate::gateway_count::GatewayCount;
+use crate::leave::{CONNECT_TIMEOUT, LeaveBudget};
 use crate::meters::Meters;
+use crate::readiness::ReadinessHandler;
 use crate::request::CallerHandler;
-use crate::shared::{LAYOUT, RUNNING, Shared, Stopping, TOPICS};
-use crate::suspects::Guard;
-use crate::table::Table;
-use crate::{GatewaySettings, HeaderCodec, side, suspects, view};
+use crate::shared::{LAYOUT, RUNNING, Shared, StopPhase, TOPICS};
+use crate::suspects::SuspectState;
+use crate::table::UpstreamTable;
+use crate::{GatewaySettings, HeaderCodec, agents, suspects, view};
 
 /// Time for which an upstream or an agent may leave bytes without acknowledgement. Covers many round trips
 /// with one or two lost packets, and is well below the time for which callers wait.
-const ACK_SPAN: Duration = Duration::from_millis(1_200);
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Idle connections kept for one upstream. Half of an upstream's limit, shared by eight gateways.
-const IDLE: usize = 6;
+/// Maximum number of idle connections per upstream. Half of an upstream's limit, shared by eight gateways.
+const MAX_IDLE_CONNECTIONS: usize = 6;
 
 /// Part of the grace after which idle connections are closed and no new streams are accepted. Each response
 /// until then tells its caller to use another gateway. Earlier streams have five of eight seconds left; one
@@ -45,16 +45,17 @@
 const END_PART: f64 = 0.93;
 
 /// Minimum interval between reads of the list that are triggered by hints from other processes; a gateway
-/// multiplies it by the number of gateways. Without it, many upstreams that join or leave within a second would
-/// make every gateway read once for each of them. All gateways together perform at most 50 such reads per second.
-const HURRY: Duration = Duration::from_millis(20);
+/// multiplies it by the number of gateways. Without it, many upstreams that join or leave within a second
+/// would make every gateway read once for each of them. All gateways together perform at most 50 such reads
+/// per second.
+const HINT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Part of the leave span that the interval between such reads may take, whatever the number of gateways.
-const HURRY_PART: f64 = 0.35;
+const MAX_HINT_INTERVAL_PART: f64 = 0.35;
 
 /// Maximum backoff between attempts to reach the log. A store that is available again must be read well
 /// within the two seconds in which lapsed entries return.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Part of the ratio of repeats that is used, because the windows of several gateways do not start at the
 /// same time.
@@ -78,24 +79,24 @@
     grace: Duration,
 }
 
-struct State {
+struct StateDump {
     shared: Rc<Shared>,
 }
 
-impl Dump for State {
+impl Dump for StateDump {
     fn dump(&self) -> serde_json::Value {
         let catalog = self.shared.catalog.borrow();
         let now = self.shared.timer.now();
         let upstreams: Vec<serde_json::Value> = catalog
             .upstreams()
             .map(|u| {
-                let takes = self.shared.takes(u);
+                let accepts = self.shared.accepts_requests(u);
                 self.shared.table.with(&u.instance, |r| {
                     serde_json::json!({
                         "instance": u.instance,
                         "service": u.service.as_str(),
-                        "own": r.own,
-                        "takes": takes,
+                        "own": r.own_requests,
+                        "takes": accepts,
                         "limit_per_1000_s": self.shared.limits.borrow().rate(&u.instance, u.born),
                         "figures": r.figures.as_ref().map(|f| &f.0),
                         "figures_age_ms": r.figures.as_ref().map(|f| now.since(f.1).0),
@@ -107,7 +108,7 @@
             "layout": catalog.layout().map(|l| l.number),
             "upstreams": upstreams,
             "open": self.shared.drain.count(),
-            "suspects": self.shared.guard.table.borrow().len(),
+            "suspects": self.shared.suspects.table.borrow().len(),
         })
     }
 }
@@ -124,22 +125,43 @@
         log: &Log,
     ) -> Result<Self, ListenError> {
         let metrics = Metrics::new();
-        let shared = share(settings, parts, timer, log, &metrics);
-        let state = Rc::new(State {
+        let shared = new_shared(settings, parts, timer, log, &metrics);
+        let state = Rc::new(StateDump {
             shared: Rc::clone(&shared),
         });
         let admin = Rc::new(Admin::new(&metrics, &shared.readiness, state));
-        let few = ServerOptions::default();
-        listen("admin", settings.common.admin, admin, few, timer, log)?;
-        let gate = Rc::new(Gate::new(&shared));
-        listen("readiness", settings.ready_listen, gate, few, timer, log)?;
-        let many = ServerOptions {
+        let default_options = ServerOptions::default();
+        listen(
+            "admin",
+            settings.common.admin,
+            admin,
+            default_options,
+            timer,
+            log,
+        )?;
+        let gate = Rc::new(ReadinessHandler::new(&shared));
+        listen(
+            "readiness",
+            settings.ready_listen,
+            gate,
+            default_options,
+            timer,
+            log,
+        )?;
+        let caller_options = ServerOptions {
             connections: settings.connections,
             fields: 100,
             ..ServerOptions::default()
         };
         let handler = Rc::new(CallerHandler::new(&shared));
-        let callers = listen("callers", settings.listen, handler, many, timer, log)?;
+        let callers = listen(
+            "callers",
+            settings.listen,
+            handler,
+            caller_options,
+            timer,
+            log,
+        )?;
         spawn_loops(&shared, settings, parts);
         shared.readiness.hold(RUNNING);
         Ok(Self {
@@ -153,21 +175,21 @@
     pub async fn run(self, stop: &Stop) {
         stop.first().await;
         let shared = &self.shared;
-        let from = shared.timer.now();
+        let stop_start = shared.timer.now();
         shared.readiness.fail(RUNNING, "stop asked for");
-        shared.stopping.set(Stopping::Asked);
+        shared.stop_phase.set(StopPhase::Draining);
         let open = shared.drain.count();
         shared
             .log
             .emit(&events::DRAIN_STARTED, &[field("open", open)]);
         shared.timer.sleep(self.grace.mul_f64(CLOSE_PART)).await;
-        shared.stopping.set(Stopping::Closing);
+        shared.stop_phase.set(StopPhase::Closing);
         self.callers.stop();
-        let left = self.grace.mul_f64(END_PART - CLOSE_PART);
+        let time_left = self.grace.mul_f64(END_PART - CLOSE_PART);
         // Requests that are still in progress after this are cut when the process ends, because the grace
         // limits the stop.
-        let _ = shared.timer.within(left, self.callers.closed()).await;
-        let took = shared.timer.now().since(from).0;
+        let _ = shared.timer.within(time_left, self.callers.closed()).await;
+        let took = shared.timer.now().since(stop_start).0;
         let cut = shared.drain.count();
         shared
             .log
@@ -176,22 +198,22 @@
     }
 }
 
-fn share(
+fn new_shared(
     settings: &GatewaySettings,
     parts: &GatewayParts,
     timer: &Timer,
     log: &Log,
     metrics: &Metrics,
 ) -> Rc<Shared> {
-    let client = ClientOptions {
-        connect_span: CONNECT_SPAN,
-        idle: IDLE,
-        ack_span: Some(ACK_SPAN),
+    let client_options = ClientOptions {
+        connect_span: CONNECT_TIMEOUT,
+        idle: MAX_IDLE_CONNECTIONS,
+        ack_span: Some(ACK_TIMEOUT),
         abort: true,
         ..ClientOptions::default()
     };
     let seed = pumicecleat_policy::upstream_key(&settings.common.vm);
-    let repeat = repeat(settings);
+    let repeat_options = repeat_options(settings);
     Rc::new(Shared {
         timer: timer.clone(),
         log: log.clone(),
@@ -203,28 +225,28 @@
         marks: Rc::new(Marks::new_ext(
             LeaveBudget::new(settings.leave_span.0).max_read_interval,
         )),
-        table: Rc::new(Table::default()),
-        client: Client::new_ext(client, timer),
-        agents: Client::new_ext(client, timer),
-        words: RefCell::default(),
+        table: Rc::new(UpstreamTable::default()),
+        upstream_client: Client::new_ext(client_options, timer),
+        agent_client: Client::new_ext(client_options, timer),
+        self_reports: RefCell::default(),
         limits: RefCell::new(RateLimits::new_ext(rand::random())),
-        guard: Guard::new(rand::random()),
-        relayed: Cell::default(),
-        repeat,
-        peers: RefCell::default(),
-        gateways: RefCell::new(Gateways::new(settings.gateways, repeat.window)),
-        windows: RefCell::new(BTreeMap::new()),
+        suspects: SuspectState::new(rand::random()),
+        uses_relay: Cell::default(),
+        repeat_options,
+        service_traits: RefCell::default(),
+        gateway_count: RefCell::new(GatewayCount::new(settings.gateways, repeat_options.window)),
+        repeat_windows: RefCell::new(BTreeMap::new()),
         rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
         readiness: Readiness::new(&[LAYOUT, RUNNING], log),
         drain: Drain::new(),
         meters: Meters::new(metrics),
-        stopping: Cell::default(),
+        stop_phase: Cell::default(),
     })
 }
 
 /// Limit of repeats across all gateways: each applies the ratio to its own requests, and uses its share of
 /// the slack.
-fn repeat(settings: &GatewaySettings) -> RepeatOptions {
+fn repeat_options(settings: &GatewaySettings) -> RepeatOptions {
     let window = u64::try_from(settings.repeat_window.0.as_millis()).unwrap_or(u64::MAX);
     RepeatOptions {
         window: Millis(window),
@@ -234,7 +256,7 @@
 }
 
 fn spawn_loops(shared: &Rc<Shared>, settings: &GatewaySettings, parts: &GatewayParts) {
-    let sources = FollowContext {
+    let context = FollowContext {
         catalog: Rc::clone(&shared.catalog),
         store: Rc::clone(&parts.store),
         decoder: Rc::clone(&parts.decoder),
@@ -255,16 +277,19 @@
             answer_timeout: Some(budget.answer_timeout),
             pace: Duration::ZERO,
             max_list_age: budget.max_list_age,
-            hint_interval: HURRY,
-            max_hint_interval: settings.leave_span.0.mul_f64(HURRY_PART),
-            max_backoff: LONGEST_PAUSE,
+            hint_interval: HINT_INTERVAL,
+            max_hint_interval: settings.leave_span.0.mul_f64(MAX_HINT_INTERVAL_PART),
+            max_backoff: MAX_BACKOFF,
             seed: pumicecleat_policy::upstream_key(&settings.common.vm),
         };
-        monoio::spawn(follow(topic, sources.clone(), options));
+        monoio::spawn(follow(topic, context.clone(), options));
     }
-    monoio::spawn(suspects::keep(Rc::clone(shared), Rc::clone(&parts.store)));
-    monoio::spawn(side::sync(Rc::clone(shared)));
-    monoio::spawn(view::watch(Rc::clone(shared)));
-    monoio::spawn(watch_list_age(sources.clone(), settings.leave_span.0));
-    monoio::spawn(expire_lapsed(sources));
+    monoio::spawn(suspects::persist_suspects(
+        Rc::clone(shared),
+        Rc::clone(&parts.store),
+    ));
+    monoio::spawn(agents::sync_agents(Rc::clone(shared)));
+    monoio::spawn(view::poll_views(Rc::clone(shared)));
+    monoio::spawn(watch_list_age(context.clone(), settings.leave_span.0));
+    monoio::spawn(expire_lapsed(context));
 }
--- a/crates/gateway/src/suspects/denials.rs
+++ b/crates/gateway/src/suspects/denials.rs
@@ -15,26 +15,26 @@
 /// Requests without a trial.
 #[derive(Debug, Default)]
 pub(super) struct Denials {
-    known: BTreeMap<Fingerprint, Denial>,
+    denials: BTreeMap<Fingerprint, Denial>,
 }
 
 impl Denials {
     /// Records that a request that may have ended `ends` upstreams gets no trial for `span`.
     pub(super) fn add(&mut self, fingerprint: Fingerprint, ends: usize, span: Millis, now: Millis) {
-        self.known.retain(|_, d| d.until > now);
+        self.denials.retain(|_, d| d.until > now);
         let until = now + span;
-        self.known.insert(fingerprint, Denial { until, ends });
+        self.denials.insert(fingerprint, Denial { until, ends });
     }
 
     /// Time left for which the request gets no trial.
-    pub(super) fn left(
+    pub(super) fn time_left(
         &self,
         fingerprint: &Fingerprint,
         ends: usize,
         now: Millis,
     ) -> Option<Millis> {
-        let denial = self.known.get(fingerprint)?;
-        let holds = denial.until > now && denial.ends == ends;
-        holds.then(|| denial.until.since(now))
+        let denial = self.denials.get(fingerprint)?;
+        let applies = denial.until > now && denial.ends == ends;
+        applies.then(|| denial.until.since(now))
     }
 }
--- a/crates/gateway/src/suspects/mod.rs
+++ b/crates/gateway/src/suspects/mod.rs
@@ -1,16 +1,16 @@
 //! Requests that may crash upstreams: observations of this gateway, and reports of others.
 //!
-//! - `breaks` holds the requests whose connection to an upstream was lost; `watch` determines whether the
-//!   upstream has ended.
+//! - `lost_connections` holds the requests whose connection to an upstream was lost; `watch` determines
+//!   whether the upstream has ended.
 //! - `news` exchanges suspects with other processes by way of the agents.
 //! - `persist` stores suspects across restarts of all processes.
 //! - `trial` asks an agent for permission to send a suspect once more.
 
-mod breaks;
 mod denials;
-mod keep;
-mod leavers;
+mod departures;
+mod lost_connections;
 mod news;
+mod persist;
 mod trial;
 mod watch;
 
@@ -23,111 +23,116 @@
 use pumicecleat_types::{Fingerprint, Millis};
 
 use crate::shared::Shared;
-use breaks::{Breaks, Broken};
 use denials::Denials;
-use keep::Unkept;
-pub(crate) use keep::keep;
-use leavers::Leavers;
-pub(crate) use news::{hear, tell};
-pub(crate) use trial::{ask_trial, give_back};
+use departures::Departures;
+use lost_connections::{LostConnections, LostRequest};
+pub(crate) use news::{apply_reply, outgoing_news};
+use persist::PersistQueue;
+pub(crate) use persist::persist_suspects;
+pub(crate) use trial::{ask_trial, release_trial};
 
 /// Suspects known to a gateway, and their trials.
-pub(crate) struct Guard {
+pub(crate) struct SuspectState {
     pub(crate) table: RefCell<SuspectTable>,
-    links: RefCell<SuspectSync>,
-    breaks: RefCell<Breaks>,
-    leavers: RefCell<Leavers>,
-    unkept: Unkept,
+    sync: RefCell<SuspectSync>,
+    lost_connections: RefCell<LostConnections>,
+    departures: RefCell<Departures>,
+    persist_queue: PersistQueue,
     denials: RefCell<Denials>,
     /// Trials granted by this gateway itself, if there is no agent to ask.
     trials: RefCell<Trials>,
 }
 
-impl Guard {
+impl SuspectState {
     /// Creates an empty state; `start` identifies this start of the process.
     pub(crate) fn new(start: u64) -> Self {
         Self {
             table: RefCell::new(SuspectTable::new(start)),
-            links: RefCell::default(),
-            breaks: RefCell::default(),
-            leavers: RefCell::default(),
-            unkept: Unkept::new(),
+            sync: RefCell::default(),
+            lost_connections: RefCell::default(),
+            departures: RefCell::default(),
+            persist_queue: PersistQueue::new(),
             denials: RefCell::default(),
             trials: RefCell::default(),
         }
     }
 
     /// Stores all suspects of this gateway again, because the log may have lost them.
-    pub(crate) fn keep_again(&self) {
-        self.unkept.add_kept();
+    pub(crate) fn persist_again(&self) {
+        self.persist_queue.requeue_stored();
     }
 
     /// Records that an upstream leaves by its own announcement (`announced`), or was removed from the list.
-    pub(crate) fn note_leaving(&self, instance: &str, said: bool, now: Millis) {
-        self.leavers.borrow_mut().note(instance, said, now);
+    pub(crate) fn note_leaving(&self, instance: &str, announced: bool, now: Millis) {
+        self.departures
+            .borrow_mut()
+            .record(instance, announced, now);
     }
 
-    fn is_leaving(&self, instance: &str, now: Millis) -> bool {
-        self.leavers.borrow().is_planned(instance, now)
+    fn is_end_planned(&self, instance: &str, now: Millis) -> bool {
+        self.departures.borrow().is_planned(instance, now)
     }
 
     /// Number of upstreams that a request may have ended.
-    pub(crate) fn ends(&self, fingerprint: &Fingerprint, now: Millis) -> usize {
+    pub(crate) fn end_count(&self, fingerprint: &Fingerprint, now: Millis) -> usize {
         self.table.borrow().end_count(fingerprint, now)
     }
 }
 
 /// Records that the request lost its connection to `upstream`; `alone` if no other suspect was in progress
 /// there.
-pub(crate) fn broke(
+pub(crate) fn record_lost_connection(
     shared: &Rc<Shared>,
     fingerprint: Fingerprint,
     alone: bool,
     upstream: &Upstream,
 ) {
     let now = shared.timer.now();
-    let broken = Broken { at: now, alone };
+    let lost = LostRequest {
+        lost_at: now,
+        alone,
+    };
     let key = end_key(&upstream.instance, upstream.born);
-    let known = shared
-        .guard
-        .breaks
+    let is_ended = shared
+        .suspects
+        .lost_connections
         .borrow_mut()
-        .join(key, fingerprint, broken);
-    match known {
-        Some(true) => blame(shared, upstream, &[(fingerprint, alone)]),
+        .add(key, fingerprint, lost);
+    match is_ended {
+        Some(true) => record_ends(shared, upstream, &[(fingerprint, alone)]),
         Some(false) => {}
         // A leaving upstream may close connections with requests in progress when it ends.
-        None if shared.guard.is_leaving(&upstream.instance, now) => {}
+        None if shared.suspects.is_end_planned(&upstream.instance, now) => {}
         None => {
-            let mut breaks = shared.guard.breaks.borrow_mut();
-            breaks.open(key, fingerprint, broken);
-            monoio::spawn(watch::watch(Rc::clone(shared), upstream.clone()));
+            let mut lost_connections = shared.suspects.lost_connections.borrow_mut();
+            lost_connections.add_first(key, fingerprint, lost);
+            monoio::spawn(watch::watch_upstream(Rc::clone(shared), upstream.clone()));
         }
     }
 }
 
 /// Records that `upstream` ended while `requests` were in progress there.
-fn blame(shared: &Shared, upstream: &Upstream, requests: &[(Fingerprint, bool)]) {
+fn record_ends(shared: &Shared, upstream: &Upstream, requests: &[(Fingerprint, bool)]) {
     let now = shared.timer.now();
     let key = end_key(&upstream.instance, upstream.born);
     for (fingerprint, alone) in requests {
-        let new = shared
-            .guard
+        let is_new = shared
+            .suspects
             .table
             .borrow_mut()
             .record_end(*fingerprint, key, *alone, now);
-        if new {
-            tell_suspected(shared, fingerprint, &upstream.instance);
-            if shared.guard.ends(fingerprint, now) >= TRIAL_MIN_ENDS {
-                shared.guard.unkept.add(*fingerprint);
+        if is_new {
+            log_suspected(shared, fingerprint, &upstream.instance);
+            if shared.suspects.end_count(fingerprint, now) >= TRIAL_MIN_ENDS {
+                shared.suspects.persist_queue.push(*fingerprint);
             }
         }
     }
 }
 
-/// Logs a request that needs permission from now on.
-fn tell_suspected(shared: &Shared, fingerprint: &Fingerprint, source: &str) {
-    let ends = shared.guard.ends(fingerprint, shared.timer.now());
+/// Logs a request if it needs a trial from now on.
+fn log_suspected(shared: &Shared, fingerprint: &Fingerprint, source: &str) {
+    let ends = shared.suspects.end_count(fingerprint, shared.timer.now());
     if ends < TRIAL_MIN_ENDS {
         return;
     }
@@ -142,12 +147,16 @@
 }
 
 /// Records that an upstream served the request.
-pub(crate) fn served(shared: &Shared, fingerprint: &Fingerprint) {
-    let ends = shared.guard.table.borrow_mut().record_served(fingerprint);
+pub(crate) fn record_served(shared: &Shared, fingerprint: &Fingerprint) {
+    let ends = shared
+        .suspects
+        .table
+        .borrow_mut()
+        .record_served(fingerprint);
     if ends < TRIAL_MIN_ENDS {
         return;
     }
-    shared.guard.unkept.add(*fingerprint);
+    shared.suspects.persist_queue.push(*fingerprint);
     shared.meters.count_suspect("cleared");
     let text = fingerprint.to_string();
     let fields = [field("fingerprint", text.as_str()), field("ends", ends)];
--- a/crates/gateway/src/suspects/keep.rs
+++ b/crates/gateway/src/suspects/persist.rs
@@ -1,9 +1,9 @@
 //! Persists suspects across restarts of all processes, in a separate stream of the deployment's log.
 //!
-//! A gateway that observes the second end during a request, or a later one, stores the request there; it
-//! removes it when an upstream serves the request or when the request expires. Each gateway reads the stream
-//! once at its start; later changes are exchanged between processes. Only the time of a record is taken from
-//! the system clock: it must outlast all processes, and an error of seconds is harmless.
+//! A gateway that observes the second end of an upstream during a request, or a later one, stores the request
+//! there; it removes it when an upstream serves the request or when the request expires. Each gateway reads
+//! the stream once at its start; later changes are exchanged between processes. Only the time of a record is
+//! taken from the system clock: it must outlast all processes, and an error of seconds is harmless.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -24,138 +24,142 @@
 
 /// Time for which requests are collected into one append, because many requests become suspects at once when
 /// an upstream ends.
-const GATHER: Duration = Duration::from_millis(100);
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
 /// Delay after a failed call; it doubles with each further failure.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Maximum of this delay.
-const LONGEST_PAUSE: Duration = Duration::from_mins(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
 
 /// Stored value of a request.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct StoredSuspect {
     word: SuspectWord,
     /// Unix time of the record in milliseconds.
     at: u64,
 }
 
 /// Requests whose record is outdated.
-pub(crate) struct Unkept {
-    requests: RefCell<BTreeSet<Fingerprint>>,
+pub(crate) struct PersistQueue {
+    outdated: RefCell<BTreeSet<Fingerprint>>,
     /// Requests that this gateway stores in the log.
-    kept: RefCell<BTreeSet<Fingerprint>>,
+    stored: RefCell<BTreeSet<Fingerprint>>,
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-impl Unkept {
+impl PersistQueue {
     pub(super) fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
         Self {
-            requests: RefCell::default(),
-            kept: RefCell::default(),
+            outdated: RefCell::default(),
+            stored: RefCell::default(),
             sender,
             receiver,
         }
     }
 
     /// Schedules a write of the request's record, or its removal.
-    pub(super) fn add(&self, fingerprint: Fingerprint) {
-        self.requests.borrow_mut().insert(fingerprint);
+    pub(super) fn push(&self, fingerprint: Fingerprint) {
+        self.outdated.borrow_mut().insert(fingerprint);
         // A full channel already holds a wakeup.
         let _ = self.sender.try_send(());
     }
 }
 
-impl Unkept {
+impl PersistQueue {
     /// Schedules a write of all requests that this gateway stores.
-    pub(super) fn add_kept(&self) {
-        for fingerprint in self.kept.borrow().iter() {
-            self.add(*fingerprint);
+    pub(super) fn requeue_stored(&self) {
+        for fingerprint in self.stored.borrow().iter() {
+            self.push(*fingerprint);
         }
     }
 
     /// Records that a record was written; an empty `value` removes it.
-    fn written(&self, fingerprint: Fingerprint, value: &[u8]) {
-        let mut kept = self.kept.borrow_mut();
+    fn record_written(&self, fingerprint: Fingerprint, value: &[u8]) {
+        let mut stored = self.stored.borrow_mut();
         if value.is_empty() {
-            kept.remove(&fingerprint);
+            stored.remove(&fingerprint);
         } else {
-            kept.insert(fingerprint);
+            stored.insert(fingerprint);
         }
     }
 }
 
 /// Reads the stored suspects, then stores changes; never returns.
-pub(crate) async fn keep(shared: Rc<Shared>, store: Rc<dyn KeyedLog>) {
-    load(&shared, &*store).await;
-    let unkept = &shared.guard.unkept;
+pub(crate) async fn persist_suspects(shared: Rc<Shared>, store: Rc<dyn KeyedLog>) {
+    load_stored(&shared, &*store).await;
+    let persist_queue = &shared.suspects.persist_queue;
     loop {
         // The channel can't be closed, because `shared` holds both ends.
-        let _ = unkept.receiver.recv().await;
-        shared.timer.sleep(GATHER).await;
-        let requests = unkept.requests.take();
-        let mut pause = PAUSE;
-        while let Err(e) = write(&shared, &*store, &requests).await {
-            tell_lost(&shared, &e.to_string());
-            shared.timer.sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+        let _ = persist_queue.receiver.recv().await;
+        shared.timer.sleep(BATCH_DELAY).await;
+        let requests = persist_queue.outdated.take();
+        let mut delay = RETRY_DELAY;
+        while let Err(e) = write_records(&shared, &*store, &requests).await {
+            log_store_lost(&shared, &e.to_string());
+            shared.timer.sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 }
 
-async fn load(shared: &Shared, store: &dyn KeyedLog) {
-    let mut pause = PAUSE;
+async fn load_stored(shared: &Shared, store: &dyn KeyedLog) {
+    let mut delay = RETRY_DELAY;
     let newest = loop {
         match store.newest(STREAM).await {
             Ok(newest) => break newest,
-            Err(e) => tell_lost(shared, &e.to_string()),
+            Err(e) => log_store_lost(shared, &e.to_string()),
         }
-        shared.timer.sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        shared.timer.sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     };
     let count = newest.records.len();
     let fields = [field("stream", STREAM), field("records", count)];
     shared.log.emit(&events::STORE_READ, &fields);
     for record in newest.records {
-        take(shared, &record);
+        apply_record(shared, &record);
     }
 }
 
-fn take(shared: &Shared, record: &KeyedRecord) {
+fn apply_record(shared: &Shared, record: &KeyedRecord) {
     let Some(value) = &record.value else {
         return;
     };
-    let mut kept: Kept = match serde_json::from_slice(value) {
-        Ok(kept) => kept,
+    let mut stored: StoredSuspect = match serde_json::from_slice(value) {
+        Ok(stored) => stored,
         Err(e) => {
             let error = format!("step read record {STREAM}/{}: {e}", record.key);
             let fields = [field("error", error.as_str())];
             return shared.log.emit(&events::RECORD_UNREADABLE, &fields);
         }
     };
-    kept.word.age_ms += unix_ms().saturating_sub(kept.at);
+    stored.word.age_ms += unix_ms().saturating_sub(stored.at);
     let now = shared.timer.now();
-    let fingerprint = kept.word.fingerprint;
-    let new = shared.guard.table.borrow_mut().merge(&[kept.word], now);
-    if shared.guard.ends(&fingerprint, now) < TRIAL_MIN_ENDS {
-        shared.guard.unkept.add(fingerprint);
+    let fingerprint = stored.word.fingerprint;
+    let changed = shared
+        .suspects
+        .table
+        .borrow_mut()
+        .merge(&[stored.word], now);
+    if shared.suspects.end_count(&fingerprint, now) < TRIAL_MIN_ENDS {
+        shared.suspects.persist_queue.push(fingerprint);
     }
-    for fingerprint in new {
-        super::tell_suspected(shared, &fingerprint, STREAM);
+    for fingerprint in changed {
+        super::log_suspected(shared, &fingerprint, STREAM);
     }
 }
 
-async fn write(
+async fn write_records(
     shared: &Shared,
     store: &dyn KeyedLog,
     requests: &BTreeSet<Fingerprint>,
 ) -> Result<(), AppendError> {
     let now = shared.timer.now();
     let record = |f: &Fingerprint| {
-        let value = value(&shared.guard.table.borrow(), f, now);
-        shared.guard.unkept.written(*f, &value);
+        let value = record_value(&shared.suspects.table.borrow(), f, now);
+        shared.suspects.persist_queue.record_written(*f, &value);
         store.keyed_record(&f.to_string(), &value)
     };
     let records = requests.iter().map(record).collect();
@@ -163,18 +167,18 @@
 }
 
 /// Value of a request's record; empty if it is not to be stored.
-fn value(suspects: &SuspectTable, fingerprint: &Fingerprint, now: Millis) -> Vec<u8> {
+fn record_value(suspects: &SuspectTable, fingerprint: &Fingerprint, now: Millis) -> Vec<u8> {
     if suspects.end_count(fingerprint, now) < TRIAL_MIN_ENDS {
         return Vec::new();
     }
     let Some(word) = suspects.export(fingerprint, now) else {
         return Vec::new();
     };
-    let kept = Kept {
+    let stored = StoredSuspect {
         word,
         at: unix_ms(),
     };
-    serde_json::to_vec(&kept).unwrap_or_default()
+    serde_json::to_vec(&stored).unwrap_or_default()
 }
 
 fn unix_ms() -> u64 {
@@ -182,7 +186,7 @@
     since.map_or(0, |s| u64::try_from(s.as_millis()).unwrap_or(u64::MAX))
 }
 
-fn tell_lost(shared: &Shared, error: &str) {
+fn log_store_lost(shared: &Shared, error: &str) {
     let fields = [field("stream", STREAM), field("error", error)];
     shared.log.emit(&events::STORE_LOST, &fields);
 }
--- a/crates/gateway/src/suspects/watch.rs
+++ b/crates/gateway/src/suspects/watch.rs
@@ -11,75 +11,94 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_policy::end_key;
 
-use super::blame;
+use super::record_ends;
 use crate::shared::Shared;
 
 /// Delay before the first probe of an upstream and interval between probes. The listener closes shortly after
 /// its connections.
-const LOOK: Duration = Duration::from_millis(50);
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Result of a probe.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Found {
-    Sound,
-    Silent,
-    Refuses,
+enum ProbeResult {
+    Reachable,
+    Unreachable,
+    Refused,
 }
 
 /// Watches `upstream` until it is known whether it has ended.
-pub(super) async fn watch(shared: Rc<Shared>, upstream: Upstream) {
+pub(super) async fn watch_upstream(shared: Rc<Shared>, upstream: Upstream) {
     let key = end_key(&upstream.instance, upstream.born);
-    let mut found = Found::Sound;
+    let mut probe_result = ProbeResult::Reachable;
     loop {
-        shared.timer.sleep(LOOK).await;
+        shared.timer.sleep(PROBE_INTERVAL).await;
         let now = shared.timer.now();
-        if !shared.guard.breaks.borrow_mut().settle(key, now) {
+        if !shared
+            .suspects
+            .lost_connections
+            .borrow_mut()
+            .prune(key, now)
+        {
             return;
         }
-        if shared.guard.breaks.borrow_mut().take_fresh(key) {
-            found = look(&shared, &upstream).await;
+        if shared
+            .suspects
+            .lost_connections
+            .borrow_mut()
+            .take_unprobed(key)
+        {
+            probe_result = probe(&shared, &upstream).await;
         }
-        if let Some(sign) = sign(&shared, &upstream, found) {
-            return end(&shared, &upstream, key, sign).await;
+        if let Some(sign) = find_end_sign(&shared, &upstream, probe_result) {
+            return handle_end(&shared, &upstream, key, sign).await;
         }
     }
 }
 
-async fn look(shared: &Shared, upstream: &Upstream) -> Found {
+async fn probe(shared: &Shared, upstream: &Upstream) -> ProbeResult {
     let peer = upstream.address.to_string();
-    match shared.client.open(&peer).await {
-        Ok(()) => Found::Sound,
-        Err(e) if e.is_refused() => Found::Refuses,
-        Err(_) => Found::Silent,
+    match shared.upstream_client.open(&peer).await {
+        Ok(()) => ProbeResult::Reachable,
+        Err(e) if e.is_refused() => ProbeResult::Refused,
+        Err(_) => ProbeResult::Unreachable,
     }
 }
 
 /// Evidence that `upstream` has ended, if there is any.
-fn sign(shared: &Shared, upstream: &Upstream, found: Found) -> Option<&'static str> {
-    if found == Found::Refuses {
+fn find_end_sign(
+    shared: &Shared,
+    upstream: &Upstream,
+    probe_result: ProbeResult,
+) -> Option<&'static str> {
+    if probe_result == ProbeResult::Refused {
         return Some("refuses connections");
     }
     let catalog = shared.catalog.borrow();
     let listed = catalog.upstream(&upstream.instance);
     if listed.is_some_and(|u| u.born > upstream.born) {
-        return Some("started again");
+        return Some("restarted");
     }
-    let here = |u: &Upstream| u.address == upstream.address && u.service == upstream.service;
+    let is_same_place =
+        |u: &Upstream| u.address == upstream.address && u.service == upstream.service;
     if catalog
         .upstreams()
-        .any(|u| u.instance != upstream.instance && here(u))
+        .any(|u| u.instance != upstream.instance && is_same_place(u))
     {
-        return Some("another at its address");
+        return Some("another instance at its address");
     }
-    let gone = found == Found::Silent && listed.is_none();
-    gone.then_some("silent and gone from the list")
+    let is_gone = probe_result == ProbeResult::Unreachable && listed.is_none();
+    is_gone.then_some("unreachable and removed from the list")
 }
 
 /// Records the end for the requests that were in progress, and for those whose lost connection becomes known
 /// later.
-async fn end(shared: &Rc<Shared>, upstream: &Upstream, key: u64, sign: &str) {
+async fn handle_end(shared: &Rc<Shared>, upstream: &Upstream, key: u64, sign: &str) {
     let now = shared.timer.now();
-    let requests = shared.guard.breaks.borrow_mut().end(key, now);
+    let requests = shared
+        .suspects
+        .lost_connections
+        .borrow_mut()
+        .record_end(key, now);
     let fields = [
         field("instance", upstream.instance.as_str()),
         field("sign", sign),
@@ -87,13 +106,13 @@
     ];
     shared.log.emit(&events::UPSTREAM_ENDED, &fields);
     shared.meters.count_suspect("end");
-    blame(shared, upstream, &requests);
+    record_ends(shared, upstream, &requests);
     while shared
-        .guard
-        .breaks
+        .suspects
+        .lost_connections
         .borrow_mut()
-        .settle(key, shared.timer.now())
+        .prune(key, shared.timer.now())
     {
-        shared.timer.sleep(LOOK).await;
+        shared.timer.sleep(PROBE_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/table/mod.rs
+++ b/crates/gateway/src/table/mod.rs
@@ -12,40 +12,40 @@
 use pumicecleat_types::{Millis, RunNews};
 
 use crate::ReportedLoad;
-pub(crate) use record::{Asking, Record};
+pub(crate) use record::{UnreportedAsk, UpstreamRecord};
 
 /// Upstreams by instance.
 #[derive(Default)]
-pub(crate) struct Table {
-    records: RefCell<BTreeMap<String, Record>>,
+pub(crate) struct UpstreamTable {
+    records: RefCell<BTreeMap<String, UpstreamRecord>>,
 }
 
 /// Counts a request as in progress at an upstream until dropped.
-pub(crate) struct UnderWay {
-    table: Rc<Table>,
+pub(crate) struct InFlight {
+    table: Rc<UpstreamTable>,
     instance: String,
     request: Option<String>,
     begun: Cell<bool>,
 }
 
-impl Table {
+impl UpstreamTable {
     /// Reads or updates the state of `instance`.
-    pub(crate) fn with<T>(&self, instance: &str, look: impl FnOnce(&mut Record) -> T) -> T {
+    pub(crate) fn with<T>(&self, instance: &str, f: impl FnOnce(&mut UpstreamRecord) -> T) -> T {
         let mut records = self.records.borrow_mut();
         if let Some(record) = records.get_mut(instance) {
-            return look(record);
+            return f(record);
         }
-        look(records.entry(instance.to_owned()).or_default())
+        f(records.entry(instance.to_owned()).or_default())
     }
 
-    pub(crate) fn forget(&self, instance: &str) {
+    pub(crate) fn remove(&self, instance: &str) {
         self.records.borrow_mut().remove(instance);
     }
 
     /// Counts a request as in progress. If its ID is given, the agent receives news of it.
-    pub(crate) fn enter(self: &Rc<Self>, instance: &str, request: Option<&str>) -> UnderWay {
-        self.with(instance, |r| r.own += 1);
-        UnderWay {
+    pub(crate) fn track(self: &Rc<Self>, instance: &str, request: Option<&str>) -> InFlight {
+        self.with(instance, |r| r.own_requests += 1);
+        InFlight {
             table: Rc::clone(self),
             instance: instance.to_owned(),
             request: request.map(ToOwned::to_owned),
@@ -54,32 +54,33 @@
     }
 
     /// Sets the load that an upstream reported of itself.
-    pub(crate) fn told(&self, instance: &str, load: ReportedLoad, now: Millis) {
-        self.with(instance, |r| r.load = Some((load, now)));
+    pub(crate) fn set_load(&self, instance: &str, load: ReportedLoad, now: Millis) {
+        self.with(instance, |r| r.reported_load = Some((load, now)));
     }
 }
 
-impl UnderWay {
+impl InFlight {
     /// Records that the response has begun.
-    pub(crate) fn begun(&self) {
+    pub(crate) fn mark_begun(&self) {
         if !self.begun.replace(true) {
-            self.tell(false);
+            self.queue_news(false);
         }
     }
 
-    fn tell(&self, ended: bool) {
+    fn queue_news(&self, ended: bool) {
         let Some(request) = self.request.clone() else {
             return;
         };
         let news = RunNews { request, ended };
-        self.table.with(&self.instance, |r| r.tell(news));
+        self.table.with(&self.instance, |r| r.push_news(news));
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.tell(true);
-        self.table
-            .with(&self.instance, |r| r.own = r.own.saturating_sub(1));
+        self.queue_news(true);
+        self.table.with(&self.instance, |r| {
+            r.own_requests = r.own_requests.saturating_sub(1);
+        });
     }
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -10,61 +10,61 @@
 use pumicecleat_policy::{RelayPick, RelaySelector, members_digest};
 use pumicecleat_types::{Member, Millis, ViewCall, ViewReply, Viewer};
 
+use crate::agents::engines;
 use crate::shared::Shared;
-use crate::side::engines;
 use crate::suspects;
 
 /// Path of a view.
 const VIEW_PATH: &str = "/peer/v1/view";
 
 /// Interval between views. Figures older than the time of a few prompts lead to poor routing.
-const VIEW_PAUSE: Duration = Duration::from_millis(200);
+const VIEW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Timeout of a view. A healthy agent responds within a few milliseconds.
-const VIEW_SPAN: Duration = Duration::from_millis(400);
+const VIEW_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Delay after a failed view, before the next agent is tried.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Requests views while there are many engines; never returns.
-pub(crate) async fn watch(shared: Rc<Shared>) {
-    let mut watch = Watch {
+pub(crate) async fn poll_views(shared: Rc<Shared>) {
+    let mut poller = ViewPoller {
         shared: Rc::clone(&shared),
-        link: RelaySelector::default(),
-        last: 0,
+        selector: RelaySelector::default(),
+        last_relay: 0,
     };
     loop {
         let members = members(&shared);
-        let relayed = RelaySelector::is_needed(members.len());
-        let pause = if relayed && !watch.step(&members).await {
-            RETRY_PAUSE
+        let uses_relay = RelaySelector::is_needed(members.len());
+        let delay = if uses_relay && !poller.poll(&members).await {
+            RETRY_DELAY
         } else {
-            VIEW_PAUSE
+            VIEW_INTERVAL
         };
-        shared.timer.sleep(pause).await;
+        shared.timer.sleep(delay).await;
     }
 }
 
-struct Watch {
+struct ViewPoller {
     shared: Rc<Shared>,
-    link: RelaySelector,
+    selector: RelaySelector,
     /// Key of the relay that was selected last.
-    last: u64,
+    last_relay: u64,
 }
 
-impl Watch {
+impl ViewPoller {
     /// Requests one view from the relay; returns whether it succeeded.
-    async fn step(&mut self, members: &[Member]) -> bool {
+    async fn poll(&mut self, members: &[Member]) -> bool {
         let now = self.shared.timer.now();
         let digest = members_digest(members);
-        let near = |m: &Member| m.centre == self.shared.centre;
-        let Some(pick) = self.link.pick(members, digest, near, now) else {
+        let is_near = |m: &Member| m.centre == self.shared.centre;
+        let Some(pick) = self.selector.pick(members, digest, is_near, now) else {
             return false;
         };
-        if std::mem::replace(&mut self.last, pick.key) != pick.key {
-            tell_chosen(&self.shared, members, pick);
+        if std::mem::replace(&mut self.last_relay, pick.key) != pick.key {
+            log_chosen(&self.shared, members, pick);
         }
-        look(&self.shared, &mut self.link, members, digest, pick).await
+        request_view(&self.shared, &mut self.selector, members, digest, pick).await
     }
 }
 
@@ -79,20 +79,20 @@
 }
 
 /// Requests one view from `pick`; returns whether it succeeded.
-async fn look(
+async fn request_view(
     shared: &Shared,
-    link: &mut RelaySelector,
+    selector: &mut RelaySelector,
     members: &[Member],
     digest: u64,
     pick: RelayPick,
 ) -> bool {
-    let sent = shared.timer.now();
+    let sent_at = shared.timer.now();
     let side = members[pick.index].side;
-    let suspects = suspects::tell(shared, side);
+    let suspects = suspects::outgoing_news(shared, side);
     let call = ViewCall {
         caller: shared.vm.clone(),
         viewer: Viewer::Entry,
-        marks: shared.marks.to_message(sent),
+        marks: shared.marks.to_message(sent_at),
         digest,
         members: pick.send_members.then(|| members.to_vec()),
         seen: pick.seen,
@@ -100,18 +100,18 @@
     };
     let peer = side.to_string();
     let result: Result<ViewReply, NetError> =
-        post(&shared.agents, &peer, VIEW_PATH, &call, VIEW_SPAN).await;
+        post(&shared.agent_client, &peer, VIEW_PATH, &call, VIEW_TIMEOUT).await;
     let now = shared.timer.now();
     match result {
         Ok(reply) => {
-            link.record_reply(pick.key, digest, &reply);
+            selector.record_reply(pick.key, digest, &reply);
             let known = !reply.unknown;
-            suspects::hear(shared, side, suspects.sent_up_to, &reply.suspects);
-            take(shared, reply, sent, now);
+            suspects::apply_reply(shared, side, suspects.sent_up_to, &reply.suspects);
+            apply_view(shared, reply, sent_at, now);
             known
         }
         Err(e) => {
-            link.record_failure(pick.key, now);
+            selector.record_failure(pick.key, now);
             let fields = [
                 field("relay", peer.as_str()),
                 field("centre", members[pick.index].centre.as_str()),
@@ -123,19 +123,22 @@
     }
 }
 
-fn take(shared: &Shared, reply: ViewReply, sent: Millis, now: Millis) {
+fn apply_view(shared: &Shared, reply: ViewReply, sent_at: Millis, now: Millis) {
     shared.marks.merge(&reply.marks, now);
-    shared.gateways.borrow_mut().told(reply.entries, now);
-    let way = now.since(sent);
+    shared
+        .gateway_count
+        .borrow_mut()
+        .record_report(reply.entries, now);
+    let round_trip = now.since(sent_at);
     for mut row in reply.rows {
         // The age includes the whole round trip, so that figures never appear newer than they are.
-        row.age_ms += way.0;
+        row.age_ms += round_trip.0;
         let instance = row.instance.clone();
-        shared.table.with(&instance, |r| r.take_row(row, now));
+        shared.table.with(&instance, |r| r.apply_row(row, now));
     }
 }
 
-fn tell_chosen(shared: &Shared, members: &[Member], pick: RelayPick) {
+fn log_chosen(shared: &Shared, members: &[Member], pick: RelayPick) {
     let relay = members[pick.index].side.to_string();
     let fields = [
         field("relay", relay.as_str()),
