--- a/crates/gateway/src/request/permit.rs
+++ b/crates/gateway/src/request/permit.rs
@@ -14,7 +14,7 @@
     /// No permission is needed, or none was granted.
     #[default]
     None,
-    /// One send is permitted, as long as the request may not have ended more upstreams than this number.
+    /// One send is permitted, unless the request may have ended more upstreams than this number by then.
     Trial(Trial, usize),
     /// The permitted send was performed.
     Used,
--- a/crates/gateway/src/suspects/trial.rs
+++ b/crates/gateway/src/suspects/trial.rs
@@ -51,10 +51,10 @@
             trials.try_grant(fingerprint, call.ends.len(), now)
         }
     };
-    if let (Err(retry), Decision::Agent(..)) = (outcome, &decision) {
+    if let (Err(retry_after), Decision::Agent(..)) = (outcome, &decision) {
         let ends = shared.suspects.end_count(&fingerprint, now);
         let mut denials = shared.suspects.denials.borrow_mut();
-        denials.add(fingerprint, ends, retry, now);
+        denials.add(fingerprint, ends, retry_after, now);
     }
     let what = if outcome.is_ok() { "trial" } else { "refused" };
     shared.meters.count_suspect(what);
@@ -84,9 +84,9 @@
 
 /// Time left for which the request is refused without asking an agent.
 fn denied_for(shared: &Shared, fingerprint: &Fingerprint, now: Millis) -> Option<Millis> {
-    let rest = shared.suspects.table.borrow().retry_after(fingerprint, now);
+    let retry_after = shared.suspects.table.borrow().retry_after(fingerprint, now);
     let ends = shared.suspects.end_count(fingerprint, now);
-    rest.or_else(|| {
+    retry_after.or_else(|| {
         let denials = shared.suspects.denials.borrow();
         denials.time_left(fingerprint, ends, now)
     })
--- a/crates/gateway/src/suspects/watch.rs
+++ b/crates/gateway/src/suspects/watch.rs
@@ -78,11 +78,11 @@
     if listed.is_some_and(|u| u.born > upstream.born) {
         return Some("restarted");
     }
-    let is_same_place =
+    let is_at_same_address =
         |u: &Upstream| u.address == upstream.address && u.service == upstream.service;
     if catalog
         .upstreams()
-        .any(|u| u.instance != upstream.instance && is_same_place(u))
+        .any(|u| u.instance != upstream.instance && is_at_same_address(u))
     {
         return Some("another instance at its address");
     }
