--- /dev/null
+++ b/crates/gateway/src/headers.rs
@@ -0,0 +1,119 @@
+//! Headers of requests and responses, whose names and formats differ by deployment.
+
+use http::HeaderMap;
+
+/// Decoded headers of a caller's request.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RequestAttributes {
+    /// Request ID, different for each attempt of the caller.
+    pub request_id: Option<String>,
+    /// Time for which the caller waits, in milliseconds.
+    pub deadline_ms: Option<u64>,
+    /// Requested model.
+    pub model: Option<ModelName>,
+    /// Number of prompt tokens.
+    pub prompt_tokens: u32,
+    /// Maximum number of output tokens.
+    pub max_output_tokens: u32,
+    /// Parts of the prompt, in order.
+    pub prompt_parts: Vec<PromptPart>,
+    /// Names of the values that were present but could not be decoded, and are treated as absent.
+    pub unreadable: Vec<&'static str>,
+}
+
+/// Requested model.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ModelName {
+    /// Base model.
+    pub base: String,
+    /// Adapter for the base model, if any.
+    pub adapter: Option<String>,
+}
+
+/// Part of a prompt that other requests may share.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PromptPart {
+    /// ID of the part.
+    pub id: String,
+    /// Number of tokens.
+    pub tokens: u32,
+}
+
+/// Attributes that are set on one attempt to send a request upstream.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AttemptAttributes<'a> {
+    /// Instance that the attempt is addressed to.
+    pub instance: &'a str,
+    /// Time left, in milliseconds.
+    pub deadline_ms: u64,
+    /// Required version of the adapter.
+    pub adapter_version: Option<u64>,
+    /// Priority at the engine; 0 is the highest.
+    pub priority: Option<u8>,
+    /// Event of the response stream after which to resume.
+    pub last_event_id: Option<u64>,
+}
+
+/// Time after which an upstream asks for requests again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetryAfter {
+    /// Delay in milliseconds.
+    DelayMs(u64),
+    /// The value could not be decoded.
+    Unreadable,
+}
+
+/// Rate limit of an upstream across all gateways.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RateLimit {
+    /// Requests per 1,000 seconds.
+    Rate(u64),
+    /// The value could not be decoded.
+    Unreadable,
+}
+
+/// Decoded headers of an upstream's response.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ResponseAttributes {
+    /// ID of the request that this responds to.
+    pub request_id: Option<String>,
+    /// The upstream states that it did not execute the request.
+    pub not_run: bool,
+    /// Another instance than the addressed one responded.
+    pub is_other_instance: bool,
+    /// The upstream is leaving.
+    pub is_leaving: bool,
+    /// Load of the upstream.
+    pub load: Option<ReportedLoad>,
+    /// Time after which the upstream asks for requests again.
+    pub retry_after: Option<RetryAfter>,
+    /// Rate limit, if the response carries one.
+    pub rate_limit: Option<RateLimit>,
+}
+
+/// Load of an upstream, as reported by itself.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReportedLoad {
+    /// Running requests.
+    pub running: u32,
+    /// Queued requests.
+    pub waiting: u32,
+    /// Slots.
+    pub slots: u32,
+}
+
+/// Decodes and encodes the headers of a deployment.
+pub trait HeaderCodec {
+    /// Decodes the headers of a caller's request.
+    fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes;
+
+    /// Rewrites the headers of a caller's request for an attempt; replaces those that only the gateway may
+    /// set.
+    fn encode_attempt(&self, headers: &mut HeaderMap, attempt: &AttemptAttributes<'_>);
+
+    /// Decodes the headers of a response.
+    fn decode_response(&self, status: u16, headers: &HeaderMap) -> ResponseAttributes;
+
+    /// Path of the readiness check.
+    fn ready_path(&self) -> &'static str;
+}
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The listener at which a balancer asks for readiness.
+//! Listener for the readiness checks of a load balancer.
 
 use std::future::{Future, ready};
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use crate::shared::Shared;
 
 /// Handler of the readiness listener.
-pub(crate) struct Gate {
+pub(crate) struct ReadinessHandler {
     shared: Rc<Shared>,
 }
 
-impl Gate {
+impl ReadinessHandler {
     pub(crate) fn new(shared: &Rc<Shared>) -> Self {
         Self {
             shared: Rc::clone(shared),
@@ -22,7 +22,7 @@
     }
 
     fn reply(&self, request: &Incoming) -> Reply {
-        if request.uri().path() != self.shared.wire.ready_path() {
+        if request.uri().path() != self.shared.header_codec.ready_path() {
             return plain_reply(404, "no such page\n");
         }
         if self.shared.readiness.is_ready() {
@@ -33,7 +33,7 @@
     }
 }
 
-impl Handler for Gate {
+impl Handler for ReadinessHandler {
     fn handle(&self, request: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
         Box::pin(ready(self.reply(&request)))
     }
--- a/crates/gateway/src/request/permit.rs
+++ b/crates/gateway/src/request/permit.rs
@@ -1,59 +1,61 @@
-//! Whether a request may be sent, as upstreams may have ended under it.
+//! Permission to send a request, which is needed if upstreams ended while it was in progress.
 
 use pumicecleat_net::Reply;
 use pumicecleat_policy::TRIAL_MIN_ENDS;
 use pumicecleat_types::{Millis, Trial};
 
 use super::job::Job;
-use super::refuse::{Refusal, unsettled};
-use crate::suspects::{ask_trial, give_back};
+use super::refuse::{Refusal, outcome_unknown};
+use crate::suspects::{ask_trial, release_trial};
 
-/// Permission that a request has.
+/// Permission of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Permit {
-    /// Needs none, or has none.
+    /// No permission is needed, or none was granted.
     #[default]
     None,
-    /// May be sent once, while no more upstreams end under it than these.
+    /// One send is permitted, unless the request may have ended more upstreams than this number by then.
     Trial(Trial, usize),
-    /// Was sent with permission.
+    /// The permitted send was performed.
     Used,
 }
 
-/// When to come back while the one send that was permitted has no outcome.
-const OUTCOME_RETRY: Millis = Millis(2_000);
+/// Retry time returned while the permitted send has no outcome.
+const OUTCOME_RETRY_AFTER: Millis = Millis(2_000);
 
 impl Job {
-    /// Whether the request may be sent without asking anybody.
-    pub(super) fn is_clear(&self) -> bool {
-        let ends = self.ends();
+    /// Whether the request may be sent without asking for permission.
+    pub(super) fn is_permitted(&self) -> bool {
+        let end_count = self.end_count();
         match self.permit.get() {
-            Permit::Trial(_, known) => ends <= known,
-            _ => ends < TRIAL_MIN_ENDS,
+            Permit::Trial(_, permitted_count) => end_count <= permitted_count,
+            _ => end_count < TRIAL_MIN_ENDS,
         }
     }
 
-    /// Asks for permission to send the request, if it needs any.
-    pub(super) async fn clear(&self) -> Result<(), Refusal> {
-        if self.is_clear() {
+    /// Asks for permission to send the request, if it needs one.
+    pub(super) async fn acquire_permit(&self) -> Result<(), Refusal> {
+        if self.is_permitted() {
             return Ok(());
         }
         if self.permit.get() != Permit::None {
-            return Err(Refusal::ends_upstreams(OUTCOME_RETRY));
+            return Err(Refusal::ends_upstreams(OUTCOME_RETRY_AFTER));
         }
-        let fingerprint = self.trail.fingerprint();
-        let answer = ask_trial(&self.shared, self.id(), fingerprint).await;
-        let trial = answer.map_err(Refusal::ends_upstreams)?;
-        self.permit.set(Permit::Trial(trial, self.ends()));
+        let fingerprint = self.trace.fingerprint();
+        let granted = ask_trial(&self.shared, self.id(), fingerprint).await;
+        let trial = granted.map_err(Refusal::ends_upstreams)?;
+        self.permit.set(Permit::Trial(trial, self.end_count()));
         Ok(())
     }
 
-    fn ends(&self) -> usize {
+    fn end_count(&self) -> usize {
         let now = self.shared.timer.now();
-        self.shared.guard.ends(&self.trail.fingerprint(), now)
+        self.shared
+            .suspects
+            .end_count(&self.trace.fingerprint(), now)
     }
 
-    /// How the request may be sent, if it has permission for one send.
+    /// Kind of the permitted send, if there is one that was not performed yet.
     pub(super) fn trial(&self) -> Option<Trial> {
         match self.permit.get() {
             Permit::Trial(trial, _) => Some(trial),
@@ -61,31 +63,32 @@
         }
     }
 
-    /// Gives permission back that was not used.
-    pub(super) fn give_permit_back(&self) {
+    /// Gives back a permission that was not used.
+    pub(super) fn release_permit(&self) {
         if self.trial().is_some() {
             self.permit.set(Permit::Used);
-            give_back(&self.shared, self.trail.fingerprint());
+            release_trial(&self.shared, self.trace.fingerprint());
         }
     }
 
-    /// Final answer to the request, which may not be sent; `ran` if an attempt before may have run.
-    pub(super) fn refuse(&self, ran: bool, refusal: Refusal) -> Reply {
-        self.give_permit_back();
-        if ran {
-            return unsettled(&self.trail, 502, refusal.reason);
+    /// Final response to a request that may not be sent; `may_have_run` if an earlier attempt may have been
+    /// executed.
+    pub(super) fn refuse(&self, may_have_run: bool, refusal: Refusal) -> Reply {
+        self.release_permit();
+        if may_have_run {
+            return outcome_unknown(&self.trace, 502, refusal.reason);
         }
-        refusal.reply(&self.trail)
+        refusal.reply(&self.trace)
     }
 
-    /// The request is sent.
+    /// Records that the request is sent.
     pub(super) fn use_permit(&self) {
         let Some(trial) = self.trial() else {
             return;
         };
         self.permit.set(Permit::Used);
         if trial == Trial::Alone {
-            self.trail.set_alone();
+            self.trace.set_alone();
         }
     }
 }
--- a/crates/gateway/src/request/send.rs
+++ b/crates/gateway/src/request/send.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request at one instance, up to the head of its answer.
+//! One attempt: sends a request to one instance and reads the headers of the response.
 
 use std::time::Duration;
 
@@ -8,66 +8,76 @@
 use pumicecleat_types::Millis;
 
 use super::job::Job;
-use crate::{Heard, Outgoing, RetryTime};
+use crate::{AttemptAttributes, ResponseAttributes, RetryAfter};
 
-/// Least time that is worth a send.
-pub(super) const LEAST_LEFT: u64 = 20;
+/// Minimum time left, in milliseconds, for which an attempt is worthwhile.
+pub(super) const MIN_TIME_LEFT_MS: u64 = 20;
 
-/// Status of an upstream that turns a request away.
+/// Status of an upstream that rejects a request.
 const OVERLOADED: u16 = 503;
 
-/// How one attempt ended.
-pub(super) enum Attempt {
-    /// An answer to pass on, its body still to come.
-    Answer(Response),
-    /// Did not run there, by the upstream's own word.
-    NotRun(Heard),
-    /// Not a byte left.
+/// Outcome of one attempt.
+pub(super) enum AttemptOutcome {
+    /// Response to forward; its body has not been read.
+    Response(Response),
+    /// The upstream reported that it did not execute the request.
+    NotRun(ResponseAttributes),
+    /// No byte was sent.
     NotSent(String),
-    /// No answer; it may have run.
+    /// No response; the request may have been executed.
     Lost(String),
-    /// No answer in the time given; it may have run.
-    Late,
+    /// No response before the timeout; the request may have been executed.
+    TimedOut,
 }
 
 impl Job {
-    /// Sends the request to `upstream` and gives the head of the answer, if it comes in `span`.
+    /// Sends the request to `upstream` and returns the outcome once the headers of the response have arrived,
+    /// or after `timeout`.
     pub(super) async fn send(
         &self,
         upstream: &Upstream,
-        version: Option<u64>,
-        span: Duration,
-    ) -> Attempt {
-        self.trail.attempt(upstream);
+        adapter_version: Option<u64>,
+        timeout: Duration,
+    ) -> AttemptOutcome {
+        self.trace.start_attempt(upstream);
         self.use_permit();
-        let priority = version.map(|_| self.route.priority);
-        let outgoing = Outgoing {
+        let priority = adapter_version.map(|_| self.route.priority);
+        let attributes = AttemptAttributes {
             instance: &upstream.instance,
-            deadline_ms: self.left().0,
-            version,
+            deadline_ms: self.time_left().0,
+            adapter_version,
             priority: priority.or(Some(self.route.priority)),
-            after: self.after,
+            last_event_id: self.last_event_id,
         };
-        let request = self.request(&outgoing);
+        let request = self.build_request(&attributes);
         let peer = upstream.address.to_string();
         let sent_at = self.shared.timer.now();
-        let response = match self.shared.client.send(&peer, request, span).await {
+        let response = match self
+            .shared
+            .upstream_client
+            .send(&peer, request, timeout)
+            .await
+        {
             Ok(response) => response,
-            Err(e) if e.sent() == Sent::No => return Attempt::NotSent(e.to_string()),
-            Err(pumicecleat_net::NetError::AnswerTimeout { .. }) => return Attempt::Late,
+            Err(e) if e.sent() == Sent::No => return AttemptOutcome::NotSent(e.to_string()),
+            Err(pumicecleat_net::NetError::AnswerTimeout { .. }) => {
+                return AttemptOutcome::TimedOut;
+            }
             Err(e) => {
-                self.trail.broke();
-                return Attempt::Lost(e.to_string());
+                self.trace.record_lost_connection();
+                return AttemptOutcome::Lost(e.to_string());
             }
         };
-        self.judge(upstream, response, sent_at)
+        self.classify(upstream, response, sent_at)
     }
 
-    /// An upstream that turns a request away may tell when it wants requests again.
-    fn note_rest(&self, upstream: &Upstream, heard: &Heard) {
-        match heard.retry {
-            Some(RetryTime::After(told)) => self.shared.said_rests(upstream, Millis(told)),
-            Some(RetryTime::Unreadable) => {
+    /// An upstream that rejects a request may tell when it accepts requests again.
+    fn note_retry_after(&self, upstream: &Upstream, response_attributes: &ResponseAttributes) {
+        match response_attributes.retry_after {
+            Some(RetryAfter::DelayMs(delay_ms)) => {
+                self.shared.note_backoff(upstream, Millis(delay_ms));
+            }
+            Some(RetryAfter::Unreadable) => {
                 let fields = [field("instance", upstream.instance.as_str())];
                 self.shared.log.emit(&events::RETRY_UNREADABLE, &fields);
             }
@@ -75,33 +85,36 @@
         }
     }
 
-    fn judge(&self, upstream: &Upstream, response: Response, sent_at: Millis) -> Attempt {
-        let heard = self
+    fn classify(&self, upstream: &Upstream, response: Response, sent_at: Millis) -> AttemptOutcome {
+        let response_attributes = self
             .shared
-            .wire
-            .heard(response.status(), response.headers());
-        if heard.leaving {
-            self.shared.said_leaving(upstream);
+            .header_codec
+            .decode_response(response.status(), response.headers());
+        if response_attributes.is_leaving {
+            self.shared.note_leaving(upstream);
         }
         if response.status() == OVERLOADED {
-            self.note_rest(upstream, &heard);
+            self.note_retry_after(upstream, &response_attributes);
         }
-        if heard.request.is_some() && heard.request.as_deref() != Some(self.id()) {
-            // A connection that carries another request's answer is dropped with it.
-            return Attempt::Lost("answer to another request".to_owned());
+        if response_attributes.request_id.is_some()
+            && response_attributes.request_id.as_deref() != Some(self.id())
+        {
+            // Dropping the response also closes its connection, whose responses no longer match the requests.
+            return AttemptOutcome::Lost("response to another request".to_owned());
         }
-        if heard.other_instance {
-            self.shared.seen_replaced(&upstream.instance);
-            return Attempt::NotRun(heard);
+        if response_attributes.is_other_instance {
+            self.shared.note_replaced(&upstream.instance);
+            return AttemptOutcome::NotRun(response_attributes);
         }
-        self.shared.note_limit(upstream, heard.limit, sent_at);
-        if let Some(load) = heard.load {
+        self.shared
+            .note_limit(upstream, response_attributes.rate_limit, sent_at);
+        if let Some(load) = response_attributes.load {
             let now = self.shared.timer.now();
-            self.shared.table.told(&upstream.instance, load, now);
+            self.shared.table.set_load(&upstream.instance, load, now);
         }
-        if heard.not_run {
-            return Attempt::NotRun(heard);
+        if response_attributes.not_run {
+            return AttemptOutcome::NotRun(response_attributes);
         }
-        Attempt::Answer(response)
+        AttemptOutcome::Response(response)
     }
 }
--- a/crates/gateway/src/request/trail.rs
+++ b/crates/gateway/src/request/trace.rs
@@ -1,4 +1,4 @@
-//! What one request has been through, and the line about its end.
+//! Progress of one request, and the log line at its end.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,46 +7,45 @@
 use pumicecleat_ops::{DrainGuard, events, field};
 use pumicecleat_types::{Fingerprint, Millis, RequestId, ServiceId};
 
-use crate::Attributes;
+use crate::RequestAttributes;
 use crate::meters::{OutcomeLabels, ServiceLabels};
 use crate::shared::Shared;
 use crate::suspects;
 
-/// Tells a request's end once; a trail that is dropped before tells that the caller left.
-pub(super) struct Trail {
+/// Logs the end of a request once. If dropped before, it logs that the caller disconnected.
+pub(super) struct RequestTrace {
     pub(super) shared: Rc<Shared>,
     pub(super) request: String,
     route: String,
-    /// What it has in common with other tries; nothing until its body was read.
+    /// Identifies repeated attempts; `None` until the body was read.
     fingerprint: Cell<Option<Fingerprint>>,
     layout: u64,
     pub(super) arrived: Millis,
     service: RefCell<String>,
     instance: RefCell<String>,
-    /// No other suspect is where it goes.
-    alone: Cell<bool>,
-    /// Where the attempt under way went.
+    /// The attempt is sent to an upstream where no other suspect is in progress.
+    is_alone: Cell<bool>,
+    /// Upstream of the current attempt.
     upstream: RefCell<Option<Upstream>>,
     attempts: Cell<u32>,
-    /// Age of the list of upstreams at the start of the latest attempt; 0 if unknown or before any
-    /// attempt.
+    /// Age of the list of upstreams at the start of the latest attempt; 0 if unknown or before any attempt.
     list_age: Cell<Millis>,
     /// Time spent waiting for turns.
-    turn: Cell<Millis>,
-    first: Cell<Option<Millis>>,
-    told: Cell<bool>,
-    _open: DrainGuard,
+    turn_wait: Cell<Millis>,
+    first_byte: Cell<Option<Millis>>,
+    outcome_counted: Cell<bool>,
+    _drain_guard: DrainGuard,
 }
 
-impl Trail {
+impl RequestTrace {
     pub(super) fn new(
         shared: &Rc<Shared>,
-        attributes: &Attributes,
+        attributes: &RequestAttributes,
         route: &str,
         layout: u64,
         arrived: Millis,
     ) -> Self {
-        let request = attributes.request.clone().unwrap_or_default();
+        let request = attributes.request_id.clone().unwrap_or_default();
         let id = RequestId::from(request.as_str());
         Self {
             shared: Rc::clone(shared),
@@ -57,14 +56,14 @@
             arrived,
             service: RefCell::default(),
             instance: RefCell::default(),
-            alone: Cell::default(),
+            is_alone: Cell::default(),
             upstream: RefCell::default(),
             attempts: Cell::new(0),
             list_age: Cell::default(),
-            turn: Cell::default(),
-            first: Cell::new(None),
-            told: Cell::new(false),
-            _open: shared.drain.enter(&id),
+            turn_wait: Cell::default(),
+            first_byte: Cell::new(None),
+            outcome_counted: Cell::new(false),
+            _drain_guard: shared.drain.enter(&id),
         }
     }
 
@@ -76,7 +75,7 @@
         self.fingerprint.get().unwrap_or_default()
     }
 
-    /// The fingerprint as text; empty until the body was read.
+    /// Fingerprint as text; empty until the body was read.
     fn fingerprint_text(&self) -> String {
         self.fingerprint
             .get()
@@ -88,8 +87,8 @@
         self.service.replace(service.to_string());
     }
 
-    /// An attempt goes to `upstream`.
-    pub(super) fn attempt(&self, upstream: &Upstream) {
+    /// Records that an attempt is sent to `upstream`.
+    pub(super) fn start_attempt(&self, upstream: &Upstream) {
         self.attempts.set(self.attempts.get() + 1);
         let age = self.shared.marks.list_age(self.shared.timer.now());
         self.list_age.set(age.unwrap_or_default());
@@ -97,40 +96,45 @@
         self.upstream.replace(Some(upstream.clone()));
     }
 
-    /// The request goes where no other suspect is.
+    /// Records that the request is sent to an upstream where no other suspect is in progress.
     pub(super) fn set_alone(&self) {
-        self.alone.set(true);
+        self.is_alone.set(true);
     }
 
-    /// The connection of the attempt under way broke off.
-    pub(super) fn broke(&self) {
+    /// Records that the connection of the current attempt was lost.
+    pub(super) fn record_lost_connection(&self) {
         if let (Some(fingerprint), Some(upstream)) =
             (self.fingerprint.get(), &*self.upstream.borrow())
         {
-            suspects::broke(&self.shared, fingerprint, self.alone.get(), upstream);
+            suspects::record_lost_connection(
+                &self.shared,
+                fingerprint,
+                self.is_alone.get(),
+                upstream,
+            );
         }
     }
 
-    /// An upstream served the request.
-    pub(super) fn served(&self) {
-        suspects::served(&self.shared, &self.fingerprint());
+    /// Records that an upstream served the request.
+    pub(super) fn record_served(&self) {
+        suspects::record_served(&self.shared, &self.fingerprint());
     }
 
-    /// A wait for a turn took `waited`.
-    pub(super) fn waited(&self, waited: Millis) {
-        self.turn.set(self.turn.get() + waited);
+    /// Adds the time spent waiting for a turn.
+    pub(super) fn add_turn_wait(&self, waited: Millis) {
+        self.turn_wait.set(self.turn_wait.get() + waited);
     }
 
-    /// The answer's first byte was passed on.
-    pub(super) fn first(&self) {
-        if self.first.get().is_some() {
+    /// Records that the first byte of the response was forwarded.
+    pub(super) fn record_first_byte(&self) {
+        if self.first_byte.get().is_some() {
             return;
         }
         let age = self.age();
-        self.first.set(Some(age));
+        self.first_byte.set(Some(age));
         let service = self.service.borrow().clone();
         let labels = ServiceLabels { service };
-        let meter = self.shared.meters.first.get_or_create(&labels);
+        let meter = self.shared.meters.first_byte.get_or_create(&labels);
         meter.observe(age.as_secs());
     }
 
@@ -138,10 +142,10 @@
         self.shared.timer.now().since(self.arrived)
     }
 
-    /// An upstream's answer was passed on.
-    pub(super) fn passed_on(&self, status: u16, whole: bool) {
-        self.count(if whole { "passed_on" } else { "broken" });
-        let first = self.first.get().unwrap_or_else(|| self.age());
+    /// Logs that an upstream's response was forwarded.
+    pub(super) fn log_passed_on(&self, status: u16, is_complete: bool) {
+        self.count_outcome(if is_complete { "passed_on" } else { "broken" });
+        let first = self.first_byte.get().unwrap_or_else(|| self.age());
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
@@ -151,19 +155,19 @@
             field("instance", instance.as_str()),
             field("status", status),
             field("attempts", self.attempts.get()),
-            field("turn_ms", self.turn.get().0),
+            field("turn_ms", self.turn_wait.get().0),
             field("first_ms", first.0),
             field("total_ms", self.age().0),
             field("list_ms", self.list_age.get().0),
             field("layout", self.layout),
-            field("whole", whole),
+            field("whole", is_complete),
         ];
         self.shared.log.emit(&events::PASSED_ON, &fields);
     }
 
-    /// The request was refused as not run.
-    pub(super) fn turned_down(&self, status: u16, reason: &str, retry: Millis) {
-        self.count("turned_down");
+    /// Logs that the request was refused without having been executed.
+    pub(super) fn log_turned_down(&self, status: u16, reason: &str, retry_after: Millis) {
+        self.count_outcome("turned_down");
         let fingerprint = self.fingerprint_text();
         let fields = [
             field("request", self.request.as_str()),
@@ -171,7 +175,7 @@
             field("route", self.route.as_str()),
             field("reason", reason),
             field("status", status),
-            field("retry_ms", retry.0),
+            field("retry_ms", retry_after.0),
             field("attempts", self.attempts.get()),
             field("age_ms", self.age().0),
             field("layout", self.layout),
@@ -179,9 +183,9 @@
         self.shared.log.emit(&events::TURNED_DOWN, &fields);
     }
 
-    /// The request failed and may have run.
-    pub(super) fn unsettled(&self, status: u16, reason: &str) {
-        self.count("unsettled");
+    /// Logs that the request failed and may have been executed.
+    pub(super) fn log_unsettled(&self, status: u16, reason: &str) {
+        self.count_outcome("unsettled");
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
@@ -199,8 +203,14 @@
         self.shared.log.emit(&events::UNSETTLED, &fields);
     }
 
-    /// One attempt gave nothing to pass on.
-    pub(super) fn lost(&self, step: &str, ran: bool, again: bool, error: &str) {
+    /// Logs that an attempt provided no response to forward.
+    pub(super) fn log_attempt_lost(
+        &self,
+        step: &str,
+        may_have_run: bool,
+        will_retry: bool,
+        error: &str,
+    ) {
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
@@ -208,29 +218,29 @@
             field("fingerprint", fingerprint.as_str()),
             field("instance", instance.as_str()),
             field("step", step),
-            field("ran", ran),
+            field("ran", may_have_run),
             field("age_ms", self.age().0),
             field("list_ms", self.list_age.get().0),
-            field("again", again),
+            field("again", will_retry),
             field("error", error),
         ];
         self.shared.log.emit(&events::ATTEMPT_LOST, &fields);
     }
 
-    fn count(&self, outcome: &'static str) {
-        self.told.set(true);
+    fn count_outcome(&self, outcome: &'static str) {
+        self.outcome_counted.set(true);
         let service = self.service.borrow().clone();
         let labels = OutcomeLabels { service, outcome };
         self.shared.meters.requests.get_or_create(&labels).inc();
     }
 }
 
-impl Drop for Trail {
+impl Drop for RequestTrace {
     fn drop(&mut self) {
-        if self.told.get() {
+        if self.outcome_counted.get() {
             return;
         }
-        self.count("caller_left");
+        self.count_outcome("caller_left");
         let instance = self.instance.borrow();
         let fingerprint = self.fingerprint_text();
         let fields = [
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Putting a gateway together, and its stop.
+//! Start and stop of a gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,55 +19,57 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::gate::Gate;
-use crate::gateways::Gateways;
-use crate::leave::{CONNECT_SPAN, LeaveBudget};
+use crate::gateway_count::GatewayCount;
+use crate::leave::{CONNECT_TIMEOUT, LeaveBudget};
 use crate::meters::Meters;
+use crate::readiness::ReadinessHandler;
 use crate::request::CallerHandler;
-use crate::shared::{LAYOUT, RUNNING, Shared, Stopping, TOPICS};
-use crate::suspects::Guard;
-use crate::table::Table;
-use crate::{GatewaySettings, Wire, side, suspects, view};
+use crate::shared::{LAYOUT, RUNNING, Shared, StopPhase, TOPICS};
+use crate::suspects::SuspectState;
+use crate::table::UpstreamTable;
+use crate::{GatewaySettings, HeaderCodec, agents, suspects, view};
 
-/// Time for which an upstream or an agent may leave bytes without acknowledgement: many ways there
-/// and back, with a loss or two, and well below the time that callers wait.
-const ACK_SPAN: Duration = Duration::from_millis(1_200);
+/// Time for which an upstream or an agent may leave bytes without acknowledgement. Covers many round trips
+/// with one or two lost packets, and is well below the time for which callers wait.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Idle connections kept for one upstream. Half of an upstream's limit, shared by eight gateways.
-const IDLE: usize = 6;
+/// Maximum number of idle connections per upstream. Half of an upstream's limit, shared by eight gateways.
+const MAX_IDLE_CONNECTIONS: usize = 6;
 
-/// Part of the grace after which idle connections are closed and no more streams are taken. Callers
-/// have been told with each answer until then, and know other gateways; what was taken before has
-/// five seconds of eight left, and a stream lasts four or more in one case of twenty.
+/// Part of the grace after which idle connections are closed and no new streams are accepted. Each response
+/// until then tells its caller to use another gateway. Earlier streams have five of eight seconds left; one
+/// stream in twenty takes four seconds or more.
 const CLOSE_PART: f64 = 0.34;
 
 /// Part of the grace after which the process ends in any case.
 const END_PART: f64 = 0.93;
 
-/// Time between two reads that another process's word brings on, for each gateway: many upstreams that
-/// come or go within a second would else have every gateway read for each of them. Together they read 50
-/// times a second at most.
-const HURRY: Duration = Duration::from_millis(20);
+/// Minimum interval between reads of the list that are triggered by hints from other processes; a gateway
+/// multiplies it by the number of gateways. Without it, many upstreams that join or leave within a second
+/// would make every gateway read once for each of them. All gateways together perform at most 50 such reads
+/// per second.
+const HINT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Part of the time for a leaving upstream that this may take, however many gateways there are.
-const HURRY_PART: f64 = 0.35;
+/// Part of the leave span that the interval between such reads may take, whatever the number of gateways.
+const MAX_HINT_INTERVAL_PART: f64 = 0.35;
 
-/// Longest pause between two attempts to reach the log: a store that is back must be heard well within
-/// the two seconds in which lapsed entries return.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Maximum backoff between attempts to reach the log. A store that is available again must be read well
+/// within the two seconds in which lapsed entries return.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Part of the ratio of repeats that is used: windows of several gateways don't begin together.
+/// Part of the ratio of repeats that is used, because the windows of several gateways do not start at the
+/// same time.
 const RATIO_PART: f64 = 0.9;
 
-/// The deployment, as a gateway needs it.
+/// Interfaces to the deployment.
 #[derive(Clone)]
 pub struct GatewayParts {
     /// Log of the deployment.
     pub store: Rc<dyn KeyedLog>,
-    /// Form of its records.
+    /// Decoder of its records.
     pub decoder: Rc<dyn RecordDecoder>,
-    /// Form of heads.
-    pub wire: Rc<dyn Wire>,
+    /// Codec of its headers.
+    pub header_codec: Rc<dyn HeaderCodec>,
 }
 
 /// A running gateway.
@@ -77,24 +79,24 @@
     grace: Duration,
 }
 
-struct State {
+struct StateDump {
     shared: Rc<Shared>,
 }
 
-impl Dump for State {
+impl Dump for StateDump {
     fn dump(&self) -> serde_json::Value {
         let catalog = self.shared.catalog.borrow();
         let now = self.shared.timer.now();
         let upstreams: Vec<serde_json::Value> = catalog
             .upstreams()
             .map(|u| {
-                let takes = self.shared.takes(u);
+                let accepts = self.shared.accepts_requests(u);
                 self.shared.table.with(&u.instance, |r| {
                     serde_json::json!({
                         "instance": u.instance,
                         "service": u.service.as_str(),
-                        "own": r.own,
-                        "takes": takes,
+                        "own": r.own_requests,
+                        "takes": accepts,
                         "limit_per_1000_s": self.shared.limits.borrow().rate(&u.instance, u.born),
                         "figures": r.figures.as_ref().map(|f| &f.0),
                         "figures_age_ms": r.figures.as_ref().map(|f| now.since(f.1).0),
@@ -106,16 +108,16 @@
             "layout": catalog.layout().map(|l| l.number),
             "upstreams": upstreams,
             "open": self.shared.drain.count(),
-            "suspects": self.shared.guard.table.borrow().len(),
+            "suspects": self.shared.suspects.table.borrow().len(),
         })
     }
 }
 
 impl Gateway {
-    /// Starts a gateway on this loop.
+    /// Starts a gateway on the current event loop.
     ///
     /// # Errors
-    /// [`ListenError`] if a listener can't be bound.
+    /// Returns [`ListenError`] if a listener can't be bound.
     pub fn start(
         settings: &GatewaySettings,
         parts: &GatewayParts,
@@ -123,22 +125,43 @@
         log: &Log,
     ) -> Result<Self, ListenError> {
         let metrics = Metrics::new();
-        let shared = share(settings, parts, timer, log, &metrics);
-        let state = Rc::new(State {
+        let shared = new_shared(settings, parts, timer, log, &metrics);
+        let state = Rc::new(StateDump {
             shared: Rc::clone(&shared),
         });
         let admin = Rc::new(Admin::new(&metrics, &shared.readiness, state));
-        let few = ServerOptions::default();
-        listen("admin", settings.common.admin, admin, few, timer, log)?;
-        let gate = Rc::new(Gate::new(&shared));
-        listen("readiness", settings.ready_listen, gate, few, timer, log)?;
-        let many = ServerOptions {
+        let default_options = ServerOptions::default();
+        listen(
+            "admin",
+            settings.common.admin,
+            admin,
+            default_options,
+            timer,
+            log,
+        )?;
+        let gate = Rc::new(ReadinessHandler::new(&shared));
+        listen(
+            "readiness",
+            settings.ready_listen,
+            gate,
+            default_options,
+            timer,
+            log,
+        )?;
+        let caller_options = ServerOptions {
             connections: settings.connections,
             fields: 100,
             ..ServerOptions::default()
         };
         let handler = Rc::new(CallerHandler::new(&shared));
-        let callers = listen("callers", settings.listen, handler, many, timer, log)?;
+        let callers = listen(
+            "callers",
+            settings.listen,
+            handler,
+            caller_options,
+            timer,
+            log,
+        )?;
         spawn_loops(&shared, settings, parts);
         shared.readiness.hold(RUNNING);
         Ok(Self {
@@ -148,24 +171,25 @@
         })
     }
 
-    /// Runs until a stop is asked for and the answers under way have ended, or the grace is over.
+    /// Runs until a stop is requested and the responses in progress have ended, or the grace is over.
     pub async fn run(self, stop: &Stop) {
         stop.first().await;
         let shared = &self.shared;
-        let from = shared.timer.now();
+        let stop_start = shared.timer.now();
         shared.readiness.fail(RUNNING, "stop asked for");
-        shared.stopping.set(Stopping::Asked);
+        shared.stop_phase.set(StopPhase::Draining);
         let open = shared.drain.count();
         shared
             .log
             .emit(&events::DRAIN_STARTED, &[field("open", open)]);
         shared.timer.sleep(self.grace.mul_f64(CLOSE_PART)).await;
-        shared.stopping.set(Stopping::Closing);
+        shared.stop_phase.set(StopPhase::Closing);
         self.callers.stop();
-        let left = self.grace.mul_f64(END_PART - CLOSE_PART);
-        // Requests that still run then are cut by the process's end, which the grace demands.
-        let _ = shared.timer.within(left, self.callers.closed()).await;
-        let took = shared.timer.now().since(from).0;
+        let time_left = self.grace.mul_f64(END_PART - CLOSE_PART);
+        // Requests that are still in progress after this are cut when the process ends, because the grace
+        // limits the stop.
+        let _ = shared.timer.within(time_left, self.callers.closed()).await;
+        let took = shared.timer.now().since(stop_start).0;
         let cut = shared.drain.count();
         shared
             .log
@@ -174,53 +198,55 @@
     }
 }
 
-fn share(
+fn new_shared(
     settings: &GatewaySettings,
     parts: &GatewayParts,
     timer: &Timer,
     log: &Log,
     metrics: &Metrics,
 ) -> Rc<Shared> {
-    let client = ClientOptions {
-        connect_span: CONNECT_SPAN,
-        idle: IDLE,
-        ack_span: Some(ACK_SPAN),
+    let client_options = ClientOptions {
+        connect_span: CONNECT_TIMEOUT,
+        idle: MAX_IDLE_CONNECTIONS,
+        ack_span: Some(ACK_TIMEOUT),
         abort: true,
         ..ClientOptions::default()
     };
     let seed = pumicecleat_policy::upstream_key(&settings.common.vm);
-    let repeat = repeat(settings);
+    let repeat_options = repeat_options(settings);
     Rc::new(Shared {
         timer: timer.clone(),
         log: log.clone(),
         vm: settings.common.vm.clone(),
         centre: settings.common.centre.clone(),
         agent_port: settings.agent_port,
-        wire: Rc::clone(&parts.wire),
+        header_codec: Rc::clone(&parts.header_codec),
         catalog: Rc::default(),
-        marks: Rc::new(Marks::new_ext(LeaveBudget::new(settings.leave_span.0).rest)),
-        table: Rc::new(Table::default()),
-        client: Client::new_ext(client, timer),
-        agents: Client::new_ext(client, timer),
-        words: RefCell::default(),
+        marks: Rc::new(Marks::new_ext(
+            LeaveBudget::new(settings.leave_span.0).max_read_interval,
+        )),
+        table: Rc::new(UpstreamTable::default()),
+        upstream_client: Client::new_ext(client_options, timer),
+        agent_client: Client::new_ext(client_options, timer),
+        self_reports: RefCell::default(),
         limits: RefCell::new(RateLimits::new_ext(rand::random())),
-        guard: Guard::new(rand::random()),
-        relayed: Cell::default(),
-        repeat,
-        peers: RefCell::default(),
-        gateways: RefCell::new(Gateways::new(settings.gateways, repeat.window)),
-        windows: RefCell::new(BTreeMap::new()),
+        suspects: SuspectState::new(rand::random()),
+        uses_relay: Cell::default(),
+        repeat_options,
+        service_traits: RefCell::default(),
+        gateway_count: RefCell::new(GatewayCount::new(settings.gateways, repeat_options.window)),
+        repeat_windows: RefCell::new(BTreeMap::new()),
         rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
         readiness: Readiness::new(&[LAYOUT, RUNNING], log),
         drain: Drain::new(),
         meters: Meters::new(metrics),
-        stopping: Cell::default(),
+        stop_phase: Cell::default(),
     })
 }
 
-/// The bound that all gateways keep together: the ratio over its own requests by each, and the slack in
-/// parts.
-fn repeat(settings: &GatewaySettings) -> RepeatOptions {
+/// Limit of repeats across all gateways: each applies the ratio to its own requests, and uses its share of
+/// the slack.
+fn repeat_options(settings: &GatewaySettings) -> RepeatOptions {
     let window = u64::try_from(settings.repeat_window.0.as_millis()).unwrap_or(u64::MAX);
     RepeatOptions {
         window: Millis(window),
@@ -230,7 +256,7 @@
 }
 
 fn spawn_loops(shared: &Rc<Shared>, settings: &GatewaySettings, parts: &GatewayParts) {
-    let sources = FollowContext {
+    let context = FollowContext {
         catalog: Rc::clone(&shared.catalog),
         store: Rc::clone(&parts.store),
         decoder: Rc::clone(&parts.decoder),
@@ -250,17 +276,20 @@
             detection_span,
             answer_timeout: Some(budget.answer_timeout),
             pace: Duration::ZERO,
-            max_list_age: budget.fresh,
-            hint_interval: HURRY,
-            max_hint_interval: settings.leave_span.0.mul_f64(HURRY_PART),
-            max_backoff: LONGEST_PAUSE,
+            max_list_age: budget.max_list_age,
+            hint_interval: HINT_INTERVAL,
+            max_hint_interval: settings.leave_span.0.mul_f64(MAX_HINT_INTERVAL_PART),
+            max_backoff: MAX_BACKOFF,
             seed: pumicecleat_policy::upstream_key(&settings.common.vm),
         };
-        monoio::spawn(follow(topic, sources.clone(), options));
+        monoio::spawn(follow(topic, context.clone(), options));
     }
-    monoio::spawn(suspects::keep(Rc::clone(shared), Rc::clone(&parts.store)));
-    monoio::spawn(side::sync(Rc::clone(shared)));
-    monoio::spawn(view::watch(Rc::clone(shared)));
-    monoio::spawn(watch_list_age(sources.clone(), settings.leave_span.0));
-    monoio::spawn(expire_lapsed(sources));
+    monoio::spawn(suspects::persist_suspects(
+        Rc::clone(shared),
+        Rc::clone(&parts.store),
+    ));
+    monoio::spawn(agents::sync_agents(Rc::clone(shared)));
+    monoio::spawn(view::poll_views(Rc::clone(shared)));
+    monoio::spawn(watch_list_age(context.clone(), settings.leave_span.0));
+    monoio::spawn(expire_lapsed(context));
 }
--- a/crates/gateway/src/suspects/denials.rs
+++ b/crates/gateway/src/suspects/denials.rs
@@ -1,5 +1,5 @@
-//! Requests that an agent gave no permission for: they are refused until the time that it told, unless more
-//! becomes known.
+//! Requests to which an agent granted no trial. They are refused until the time that the agent returned,
+//! unless more ends become known.
 
 use std::collections::BTreeMap;
 
@@ -8,33 +8,33 @@
 #[derive(Clone, Copy, Debug)]
 struct Denial {
     until: Millis,
-    /// Upstreams that the request may have ended then.
+    /// Number of upstreams that the request may have ended at the time of the denial.
     ends: usize,
 }
 
-/// Requests without permission.
+/// Requests without a trial.
 #[derive(Debug, Default)]
 pub(super) struct Denials {
-    known: BTreeMap<Fingerprint, Denial>,
+    denials: BTreeMap<Fingerprint, Denial>,
 }
 
 impl Denials {
-    /// A request under which `ends` upstreams ended has no permission for `span`.
+    /// Records that a request that may have ended `ends` upstreams gets no trial for `span`.
     pub(super) fn add(&mut self, fingerprint: Fingerprint, ends: usize, span: Millis, now: Millis) {
-        self.known.retain(|_, d| d.until > now);
+        self.denials.retain(|_, d| d.until > now);
         let until = now + span;
-        self.known.insert(fingerprint, Denial { until, ends });
+        self.denials.insert(fingerprint, Denial { until, ends });
     }
 
-    /// Time for which it has none.
-    pub(super) fn left(
+    /// Time left for which the request gets no trial.
+    pub(super) fn time_left(
         &self,
         fingerprint: &Fingerprint,
         ends: usize,
         now: Millis,
     ) -> Option<Millis> {
-        let denial = self.known.get(fingerprint)?;
-        let holds = denial.until > now && denial.ends == ends;
-        holds.then(|| denial.until.since(now))
+        let denial = self.denials.get(fingerprint)?;
+        let applies = denial.until > now && denial.ends == ends;
+        applies.then(|| denial.until.since(now))
     }
 }
--- a/crates/gateway/src/table/mod.rs
+++ b/crates/gateway/src/table/mod.rs
@@ -1,7 +1,7 @@
-//! What is believed of each upstream, beside what the list tells.
+//! State of each upstream, in addition to the list.
 //!
-//! All of it is soft state: own requests under way, answers' times, failures, and what agents told of
-//! their engines. It begins empty and is forgotten with the instance.
+//! All of it is soft state: own requests in progress, response times, failures, and the figures that agents
+//! report of their engines. It starts empty and is removed with the instance.
 
 mod record;
 
@@ -11,41 +11,41 @@
 
 use pumicecleat_types::{Millis, RunNews};
 
-use crate::Load;
-pub(crate) use record::{Asking, Record};
+use crate::ReportedLoad;
+pub(crate) use record::{UnreportedAsk, UpstreamRecord};
 
 /// Upstreams by instance.
 #[derive(Default)]
-pub(crate) struct Table {
-    records: RefCell<BTreeMap<String, Record>>,
+pub(crate) struct UpstreamTable {
+    records: RefCell<BTreeMap<String, UpstreamRecord>>,
 }
 
-/// A request under way at an upstream, until dropped.
-pub(crate) struct UnderWay {
-    table: Rc<Table>,
+/// Counts a request as in progress at an upstream until dropped.
+pub(crate) struct InFlight {
+    table: Rc<UpstreamTable>,
     instance: String,
     request: Option<String>,
     begun: Cell<bool>,
 }
 
-impl Table {
-    /// Looks at, or changes, what is believed of `instance`.
-    pub(crate) fn with<T>(&self, instance: &str, look: impl FnOnce(&mut Record) -> T) -> T {
+impl UpstreamTable {
+    /// Reads or updates the state of `instance`.
+    pub(crate) fn with<T>(&self, instance: &str, f: impl FnOnce(&mut UpstreamRecord) -> T) -> T {
         let mut records = self.records.borrow_mut();
         if let Some(record) = records.get_mut(instance) {
-            return look(record);
+            return f(record);
         }
-        look(records.entry(instance.to_owned()).or_default())
+        f(records.entry(instance.to_owned()).or_default())
     }
 
-    pub(crate) fn forget(&self, instance: &str) {
+    pub(crate) fn remove(&self, instance: &str) {
         self.records.borrow_mut().remove(instance);
     }
 
-    /// Counts a request as under way. With its id, an agent is told of its end.
-    pub(crate) fn enter(self: &Rc<Self>, instance: &str, request: Option<&str>) -> UnderWay {
-        self.with(instance, |r| r.own += 1);
-        UnderWay {
+    /// Counts a request as in progress. If its ID is given, the agent receives news of it.
+    pub(crate) fn track(self: &Rc<Self>, instance: &str, request: Option<&str>) -> InFlight {
+        self.with(instance, |r| r.own_requests += 1);
+        InFlight {
             table: Rc::clone(self),
             instance: instance.to_owned(),
             request: request.map(ToOwned::to_owned),
@@ -53,33 +53,34 @@
         }
     }
 
-    /// Notes an upstream's own word on its load.
-    pub(crate) fn told(&self, instance: &str, load: Load, now: Millis) {
-        self.with(instance, |r| r.load = Some((load, now)));
+    /// Sets the load that an upstream reported of itself.
+    pub(crate) fn set_load(&self, instance: &str, load: ReportedLoad, now: Millis) {
+        self.with(instance, |r| r.reported_load = Some((load, now)));
     }
 }
 
-impl UnderWay {
-    /// Its answer has begun.
-    pub(crate) fn begun(&self) {
+impl InFlight {
+    /// Records that the response has begun.
+    pub(crate) fn mark_begun(&self) {
         if !self.begun.replace(true) {
-            self.tell(false);
+            self.queue_news(false);
         }
     }
 
-    fn tell(&self, ended: bool) {
+    fn queue_news(&self, ended: bool) {
         let Some(request) = self.request.clone() else {
             return;
         };
         let news = RunNews { request, ended };
-        self.table.with(&self.instance, |r| r.tell(news));
+        self.table.with(&self.instance, |r| r.push_news(news));
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.tell(true);
-        self.table
-            .with(&self.instance, |r| r.own = r.own.saturating_sub(1));
+        self.queue_news(true);
+        self.table.with(&self.instance, |r| {
+            r.own_requests = r.own_requests.saturating_sub(1);
+        });
     }
 }
