--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -8,10 +8,10 @@
 use crate::shared::Shared;
 
 /// Scheme of the header.
-const SCHEME: &str = "bearer ";
+const BEARER_PREFIX: &str = "bearer ";
 
 /// Refuses new work of a process that stops or has no configuration.
-pub(super) fn check_open(shared: &Shared) -> Result<(), Fault> {
+pub(super) fn check_accepting(shared: &Shared) -> Result<(), Fault> {
     if shared.stop.is_asked() {
         return Err(Fault::later("stopping", "this entry is stopping", RETRY));
     }
@@ -23,14 +23,14 @@
 
 /// Caller of a request.
 pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, Fault> {
-    let caller = bearer(incoming).and_then(|key| shared.current.caller(key));
+    let caller = bearer_key(incoming).and_then(|key| shared.current.caller(key));
     caller.ok_or_else(|| Fault::bad(401, "invalid_api_key", "no known key in Authorization"))
 }
 
-fn bearer(incoming: &Incoming) -> Option<&str> {
+fn bearer_key(incoming: &Incoming) -> Option<&str> {
     let value = incoming.headers().get(AUTHORIZATION)?.to_str().ok()?;
-    let scheme = value.get(..SCHEME.len())?;
+    let scheme = value.get(..BEARER_PREFIX.len())?;
     scheme
-        .eq_ignore_ascii_case(SCHEME)
-        .then(|| value[SCHEME.len()..].trim())
+        .eq_ignore_ascii_case(BEARER_PREFIX)
+        .then(|| value[BEARER_PREFIX.len()..].trim())
 }
--- a/crates/entry/src/caller/chat.rs
+++ b/crates/entry/src/caller/chat.rs
@@ -8,15 +8,17 @@
 use pumicecleat_upstream::{BodyFault, ChatBody, ChatLimits};
 use serde::Deserialize;
 
-use super::headers::{put_attempts, read_deadline, read_priority};
-use super::{Call, read_body};
+use super::headers::{insert_attempt_headers, read_deadline, read_priority};
+use super::{CallerRequest, read_body};
 use crate::fault::Fault;
-use crate::request::{Answer, Content, Exchange, Job, Repeat, read_prompt, resolve_model};
+use crate::request::{
+    BufferedResponse, Exchange, Job, RequestBody, RetryMode, prompt_affinity, resolve_model,
+};
 use crate::shared::Shared;
-use crate::stream::{Opened, open};
+use crate::stream::{StreamStart, open_stream};
 
 /// Tokens expected where a body sets no limit.
-const TOKENS: u32 = 512;
+const DEFAULT_MAX_TOKENS: u32 = 512;
 
 /// Fields of a body that limit its answer.
 #[derive(Default, Deserialize)]
@@ -26,32 +28,32 @@
 }
 
 /// Answers a chat request.
-pub(super) async fn answer(shared: &Rc<Shared>, mut call: Call) -> Result<Reply, Fault> {
+pub(super) async fn handle(shared: &Rc<Shared>, mut call: CallerRequest) -> Result<Reply, Fault> {
     let bytes = read_body(shared, &mut call).await?;
-    let chat = parse(&bytes)?;
+    let chat = parse_chat(&bytes)?;
     let mut job = make_job(shared, &call, chat)?;
-    job.tokens = read_tokens(&bytes);
+    job.max_tokens = read_max_tokens(&bytes);
     let stream = job.stream;
     // Its headers hold the connection's first read buffer.
     drop(call.incoming);
     let mut exchange = Exchange::new(shared, job, call.guard);
     if stream {
-        return Ok(streamed(exchange).await);
+        return Ok(stream_reply(exchange).await);
     }
-    let result = exchange.whole().await;
-    Ok(finish(exchange, result))
+    let result = exchange.buffered_response().await;
+    Ok(buffered_reply(exchange, result))
 }
 
-fn parse(bytes: &[u8]) -> Result<ChatBody, Fault> {
+fn parse_chat(bytes: &[u8]) -> Result<ChatBody, Fault> {
     let limits = ChatLimits {
         bytes: bytes.len().max(1),
         ..ChatLimits::default()
     };
     let parsed = ChatBody::parse(bytes, &limits);
-    parsed.map_err(|fault| Fault::bad(400, body_code(&fault), fault.to_string()))
+    parsed.map_err(|fault| Fault::bad(400, body_fault_code(&fault), fault.to_string()))
 }
 
-fn body_code(fault: &BodyFault) -> &'static str {
+fn body_fault_code(fault: &BodyFault) -> &'static str {
     match fault {
         BodyFault::TooLong { .. } => "body_too_long",
         BodyFault::Encoding { .. } => "body_not_utf8",
@@ -61,65 +63,65 @@
     }
 }
 
-fn make_job(shared: &Shared, call: &Call, chat: ChatBody) -> Result<Job, Fault> {
+fn make_job(shared: &Shared, call: &CallerRequest, chat: ChatBody) -> Result<Job, Fault> {
     let headers = call.incoming.headers();
     let resolved = resolve_model(shared, &call.caller, chat.model())?;
-    let prompt = read_prompt(&chat, resolved.prefix_seed);
+    let prompt = prompt_affinity(&chat, resolved.prefix_seed);
     Ok(Job {
         resolved,
-        request: call.request.clone(),
+        request_id: call.request_id.clone(),
         caller: call.caller.clone(),
-        arrived: call.arrived,
-        deadline: call.arrived + read_deadline(shared, headers)?,
+        received_at: call.received_at,
+        deadline: call.received_at + read_deadline(shared, headers)?,
         priority: read_priority(shared, &call.caller, headers)?,
         stream: chat.stream(),
-        tokens: TOKENS,
-        key: None,
-        repeat: Repeat::Freely,
+        max_tokens: DEFAULT_MAX_TOKENS,
+        idempotency_key: None,
+        retry_mode: RetryMode::Idempotent,
         prompt: Some(prompt),
-        content: Content::Chat(Box::new(chat)),
+        body: RequestBody::Chat(Box::new(chat)),
     })
 }
 
 /// Most tokens that a checked body allows.
-fn read_tokens(bytes: &[u8]) -> u32 {
+fn read_max_tokens(bytes: &[u8]) -> u32 {
     let limit = serde_json::from_slice::<TokenLimit>(bytes).unwrap_or_default();
-    let most = limit.max_completion_tokens.or(limit.max_tokens);
-    most.unwrap_or(TOKENS)
+    let max_tokens = limit.max_completion_tokens.or(limit.max_tokens);
+    max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)
 }
 
-async fn streamed(exchange: Exchange) -> Reply {
-    let relay = match open(exchange).await {
-        Opened::Stream(relay) => relay,
-        Opened::Whole(answer, exchange) => return finish(exchange, Ok(answer)),
-        Opened::Fault(fault, exchange) => return finish(exchange, Err(fault)),
+async fn stream_reply(exchange: Exchange) -> Reply {
+    let relay = match open_stream(exchange).await {
+        StreamStart::Stream(relay) => relay,
+        StreamStart::Buffered(response, exchange) => return buffered_reply(exchange, Ok(response)),
+        StreamStart::Fault(fault, exchange) => return buffered_reply(exchange, Err(fault)),
     };
     let mut headers = HeaderMap::new();
-    let kind = HeaderValue::from_static("text/event-stream; charset=utf-8");
-    headers.insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream; charset=utf-8");
+    headers.insert(CONTENT_TYPE, content_type);
     headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-cache"));
-    put_attempts(&mut headers, relay.exchange());
+    insert_attempt_headers(&mut headers, relay.exchange());
     let mut reply = Reply::new(relay.into_body());
     *reply.headers_mut() = headers;
     reply
 }
 
 /// Reply by an answer's whole body, or by a fault.
-fn finish(mut exchange: Exchange, result: Result<Answer, Fault>) -> Reply {
+fn buffered_reply(mut exchange: Exchange, result: Result<BufferedResponse, Fault>) -> Reply {
     let mut reply = match result {
-        Ok(answer) => {
-            exchange.note_first();
-            exchange.note_whole();
-            let mut reply = Reply::new(Body::whole(answer.body));
-            let kind = HeaderValue::from_static("application/json");
-            reply.headers_mut().insert(CONTENT_TYPE, kind);
+        Ok(response) => {
+            exchange.record_first_byte();
+            exchange.record_completion();
+            let mut reply = Reply::new(Body::whole(response.body));
+            let content_type = HeaderValue::from_static("application/json");
+            reply.headers_mut().insert(CONTENT_TYPE, content_type);
             reply
         }
         Err(fault) => {
-            exchange.note_fault(&fault);
+            exchange.record_fault(&fault);
             fault.reply()
         }
     };
-    put_attempts(reply.headers_mut(), &exchange);
+    insert_attempt_headers(reply.headers_mut(), &exchange);
     reply
 }
--- a/crates/entry/src/caller/headers.rs
+++ b/crates/entry/src/caller/headers.rs
@@ -9,20 +9,20 @@
 use crate::shared::Shared;
 
 /// Header with the time that the caller gives its request, milliseconds.
-pub(super) const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
+pub(super) const X_DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 
 /// Header with the priority, higher first.
-pub(super) const PRIORITY: HeaderName = HeaderName::from_static("x-priority");
+pub(super) const X_PRIORITY: HeaderName = HeaderName::from_static("x-priority");
 
 /// Header with the key of a call that may not be repeated.
-pub(super) const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-const ADAPTER: HeaderName = HeaderName::from_static("x-adapter");
-const VERSION: HeaderName = HeaderName::from_static("x-version");
-const ATTEMPTS: HeaderName = HeaderName::from_static("x-attempts");
+const X_ADAPTER: HeaderName = HeaderName::from_static("x-adapter");
+const X_VERSION: HeaderName = HeaderName::from_static("x-version");
+const X_ATTEMPTS: HeaderName = HeaderName::from_static("x-attempts");
 
 /// Headers that are this hop's own and not passed on, in either direction.
-const OWN: [&str; 17] = [
+const NOT_FORWARDED: [&str; 17] = [
     "authorization",
     "connection",
     "content-length",
@@ -45,7 +45,7 @@
 /// Time that a request is given: what its caller asks, up to the declared maximum.
 pub(super) fn read_deadline(shared: &Shared, headers: &HeaderMap) -> Result<Millis, Fault> {
     let limits = shared.current.with(|config| config.limits);
-    let Some(value) = headers.get(DEADLINE) else {
+    let Some(value) = headers.get(X_DEADLINE_MS) else {
         return Ok(Millis(limits.deadline_ms));
     };
     match read_number::<u64>(value) {
@@ -63,26 +63,26 @@
     caller: &CallerId,
     headers: &HeaderMap,
 ) -> Result<u8, Fault> {
-    let Some(value) = headers.get(PRIORITY) else {
+    let Some(value) = headers.get(X_PRIORITY) else {
         return Ok(0);
     };
-    let Some(asked) = read_number::<u8>(value) else {
+    let Some(requested) = read_number::<u8>(value) else {
         let message = "X-Priority is not a number from 0 to 255";
         return Err(Fault::bad(400, "bad_priority", message));
     };
-    let most = shared
+    let max_priority = shared
         .current
         .with(|config| config.callers.get(caller).map_or(0, |c| c.priority));
-    if asked > most {
-        let message = format!("X-Priority may be at most {most} for this caller");
+    if requested > max_priority {
+        let message = format!("X-Priority may be at most {max_priority} for this caller");
         return Err(Fault::bad(403, "priority_too_high", message));
     }
-    Ok(asked)
+    Ok(requested)
 }
 
 /// Idempotency key, if the caller gives one.
 pub(super) fn read_key(headers: &HeaderMap) -> Result<Option<String>, Fault> {
-    let mut values = headers.get_all(KEY).iter();
+    let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
@@ -95,9 +95,11 @@
 }
 
 /// Headers that an upstream gets to see.
-pub(super) fn passed_on(headers: &HeaderMap) -> Vec<HeaderField> {
-    let named = headers.iter().filter(|(name, _)| is_passed(name.as_str()));
-    named
+pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
+    let forwarded = headers
+        .iter()
+        .filter(|(name, _)| is_forwarded(name.as_str()));
+    forwarded
         .filter_map(|(name, value)| {
             Some(HeaderField {
                 name: name.as_str().to_owned(),
@@ -108,8 +110,8 @@
 }
 
 /// Puts an upstream's headers into an answer.
-pub(super) fn put_passed(headers: &mut HeaderMap, fields: &[HeaderField]) {
-    for field in fields.iter().filter(|f| is_passed(&f.name)) {
+pub(super) fn insert_forwarded(headers: &mut HeaderMap, fields: &[HeaderField]) {
+    for field in fields.iter().filter(|f| is_forwarded(&f.name)) {
         let name = HeaderName::from_bytes(field.name.as_bytes());
         let value = HeaderValue::from_str(&field.value);
         if let (Ok(name), Ok(value)) = (name, value) {
@@ -119,9 +121,10 @@
 }
 
 /// Names what ran, and how many attempts it took.
-pub(super) fn put_attempts(headers: &mut HeaderMap, exchange: &Exchange) {
-    headers.insert(ATTEMPTS, HeaderValue::from(exchange.history.attempts));
-    let Some((adapter, version)) = exchange.job.engine().and_then(|e| e.rsplit_once('@')) else {
+pub(super) fn insert_attempt_headers(headers: &mut HeaderMap, exchange: &Exchange) {
+    headers.insert(X_ATTEMPTS, HeaderValue::from(exchange.history.attempts));
+    let Some((adapter, version)) = exchange.job.engine_name().and_then(|e| e.rsplit_once('@'))
+    else {
         return;
     };
     let values = (
@@ -129,13 +132,13 @@
         HeaderValue::from_str(version),
     );
     if let (Ok(adapter), Ok(version)) = values {
-        headers.insert(ADAPTER, adapter);
-        headers.insert(VERSION, version);
+        headers.insert(X_ADAPTER, adapter);
+        headers.insert(X_VERSION, version);
     }
 }
 
-fn is_passed(name: &str) -> bool {
-    !OWN.contains(&name)
+fn is_forwarded(name: &str) -> bool {
+    !NOT_FORWARDED.contains(&name)
 }
 
 fn read_number<T: std::str::FromStr>(value: &HeaderValue) -> Option<T> {
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -22,20 +22,20 @@
 use pumicecleat_types::{CallerId, Millis, RequestId};
 use uuid::Uuid;
 
-use seen::Seen;
+use seen::RequestInfo;
 
 use crate::config::ensure_fresh;
 use crate::fault::Fault;
 use crate::shared::Shared;
 
 /// Header with the request's id.
-const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+const X_REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 /// Path of chat requests.
-const CHAT: &str = "/v1/chat/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 
 /// Path of the list of models.
-const MODELS: &str = "/v1/models";
+const MODELS_PATH: &str = "/v1/models";
 
 /// Handler of the callers' listener.
 pub(crate) struct CallerHandler {
@@ -43,10 +43,10 @@
 }
 
 /// A request whose caller is known.
-struct Call {
-    request: RequestId,
+struct CallerRequest {
+    request_id: RequestId,
     caller: CallerId,
-    arrived: Millis,
+    received_at: Millis,
     incoming: Incoming,
     guard: DrainGuard,
 }
@@ -62,26 +62,26 @@
 impl Handler for CallerHandler {
     fn handle(&self, request: Incoming, peer: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
         let shared = Rc::clone(&self.shared);
-        Box::pin(async move { answer(&shared, request, peer).await })
+        Box::pin(async move { handle(&shared, request, peer).await })
     }
 }
 
-async fn answer(shared: &Rc<Shared>, incoming: Incoming, peer: SocketAddr) -> Reply {
-    let mut seen = Seen {
-        request: RequestId::from(Uuid::now_v7().to_string()),
+async fn handle(shared: &Rc<Shared>, incoming: Incoming, peer: SocketAddr) -> Reply {
+    let mut info = RequestInfo {
+        request_id: RequestId::from(Uuid::now_v7().to_string()),
         peer,
         path: incoming.uri().path().to_owned(),
-        arrived: shared.timer.now(),
+        received_at: shared.timer.now(),
         caller: None,
     };
-    let result = take(shared, &mut seen, incoming).await;
+    let result = dispatch(shared, &mut info, incoming).await;
     let mut reply = result.unwrap_or_else(|fault| {
-        seen.refused(shared, &fault);
+        info.record_refusal(shared, &fault);
         fault.reply()
     });
     let headers = reply.headers_mut();
-    if let Ok(id) = HeaderValue::from_str(seen.request.as_str()) {
-        headers.insert(REQUEST_ID, id);
+    if let Ok(id) = HeaderValue::from_str(info.request_id.as_str()) {
+        headers.insert(X_REQUEST_ID, id);
     }
     if shared.stop.is_asked() {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
@@ -89,31 +89,37 @@
     reply
 }
 
-async fn take(shared: &Rc<Shared>, seen: &mut Seen, incoming: Incoming) -> Result<Reply, Fault> {
-    admit::check_open(shared)?;
-    let guard = shared.drain.enter(&seen.request);
+async fn dispatch(
+    shared: &Rc<Shared>,
+    info: &mut RequestInfo,
+    incoming: Incoming,
+) -> Result<Reply, Fault> {
+    admit::check_accepting(shared)?;
+    let guard = shared.drain.enter(&info.request_id);
     // Boxed, as each waiting request would hold room for it.
     Box::pin(ensure_fresh(shared)).await;
     let caller = admit::identify(shared, &incoming)?;
-    seen.caller = Some(caller.clone());
-    let call = Call {
-        request: seen.request.clone(),
+    info.caller = Some(caller.clone());
+    let call = CallerRequest {
+        request_id: info.request_id.clone(),
         caller,
-        arrived: seen.arrived,
+        received_at: info.received_at,
         incoming,
         guard,
     };
     let path = call.incoming.uri().path();
     match (call.incoming.method(), path) {
-        (&Method::POST, CHAT) => Box::pin(chat::answer(shared, call)).await,
-        (&Method::GET, MODELS) => Ok(models::answer(shared, &call.caller)),
-        (_, CHAT | MODELS) => Err(Fault::bad(405, "method_not_allowed", "no such method here")),
-        _ => Box::pin(service::answer(shared, call)).await,
+        (&Method::POST, CHAT_PATH) => Box::pin(chat::handle(shared, call)).await,
+        (&Method::GET, MODELS_PATH) => Ok(models::reply(shared, &call.caller)),
+        (_, CHAT_PATH | MODELS_PATH) => {
+            Err(Fault::bad(405, "method_not_allowed", "no such method here"))
+        }
+        _ => Box::pin(service::handle(shared, call)).await,
     }
 }
 
 /// Whole body of a request.
-async fn read_body(shared: &Shared, call: &mut Call) -> Result<Vec<u8>, Fault> {
+async fn read_body(shared: &Shared, call: &mut CallerRequest) -> Result<Vec<u8>, Fault> {
     let limit = shared.current.with(|config| config.limits.body);
     let span = shared.options.body_span;
     let body = call.incoming.body_mut();
--- a/crates/entry/src/caller/models.rs
+++ b/crates/entry/src/caller/models.rs
@@ -23,28 +23,29 @@
 }
 
 /// Lists every version that a caller may reach, and each adapter that has a default one.
-pub(super) fn answer(shared: &Shared, caller: &CallerId) -> Reply {
-    let data = shared.current.with(|config| list(config, caller));
+pub(super) fn reply(shared: &Shared, caller: &CallerId) -> Reply {
+    let data = shared.current.with(|config| list_models(config, caller));
     let object = "list";
     json_reply(200, &ModelList { object, data })
 }
 
-fn list(config: &Config, caller: &CallerId) -> Vec<Model> {
+fn list_models(config: &Config, caller: &CallerId) -> Vec<Model> {
     let Some(caller) = config.callers.get(caller) else {
         return Vec::new();
     };
-    let open = config
+    let permitted = config
         .adapters
         .iter()
         .filter(|(id, _)| caller.may_adapter(id));
-    open.flat_map(|(id, adapter)| models_of(id, adapter))
+    permitted
+        .flat_map(|(id, adapter)| models_of(id, adapter))
         .collect()
 }
 
 fn models_of(id: &AdapterId, adapter: &Adapter) -> Vec<Model> {
     let versions = adapter.versions.keys().map(|v| format!("{id}@{v}"));
-    let bare = adapter.default.as_ref().map(|_| id.to_string());
-    let names = bare.into_iter().chain(versions);
+    let default_name = adapter.default.as_ref().map(|_| id.to_string());
+    let names = default_name.into_iter().chain(versions);
     names
         .map(|name| Model {
             id: name,
--- a/crates/entry/src/caller/seen.rs
+++ b/crates/entry/src/caller/seen.rs
@@ -10,28 +10,28 @@
 use crate::shared::Shared;
 
 /// What is known of a request so far.
-pub(super) struct Seen {
-    pub(super) request: RequestId,
+pub(super) struct RequestInfo {
+    pub(super) request_id: RequestId,
     pub(super) peer: SocketAddr,
     pub(super) path: String,
-    pub(super) arrived: Millis,
+    pub(super) received_at: Millis,
     /// Caller, once its key is known.
     pub(super) caller: Option<CallerId>,
 }
 
-impl Seen {
+impl RequestInfo {
     /// Counts and logs a refusal before any attempt.
-    pub(super) fn refused(&self, shared: &Shared, fault: &Fault) {
-        let took = shared.timer.now().since(self.arrived);
-        shared.meters.ended(End::Fault, fault.code, took);
+    pub(super) fn record_refusal(&self, shared: &Shared, fault: &Fault) {
+        let elapsed = shared.timer.now().since(self.received_at);
+        shared.meters.ended(End::Fault, fault.code, elapsed);
         match fault.status {
-            401 | 403 | 404 => self.note_caller(shared, fault),
-            503 => self.note_later(shared, fault),
-            _ => self.note_malformed(shared, fault),
+            401 | 403 | 404 => self.log_caller_refused(shared, fault),
+            503 => self.log_request_refused(shared, fault),
+            _ => self.log_request_malformed(shared, fault),
         }
     }
 
-    fn note_caller(&self, shared: &Shared, fault: &Fault) {
+    fn log_caller_refused(&self, shared: &Shared, fault: &Fault) {
         let fields = [
             field("peer", &self.peer),
             field("caller", self.caller()),
@@ -41,9 +41,9 @@
         shared.log.emit(&events::CALLER_REFUSED, &fields);
     }
 
-    fn note_later(&self, shared: &Shared, fault: &Fault) {
+    fn log_request_refused(&self, shared: &Shared, fault: &Fault) {
         let fields = [
-            field("request", &self.request),
+            field("request", &self.request_id),
             field("caller", self.caller()),
             field("target", self.path.as_str()),
             field("reason", fault.code),
@@ -53,10 +53,10 @@
         shared.log.emit(&events::REQUEST_REFUSED, &fields);
     }
 
-    fn note_malformed(&self, shared: &Shared, fault: &Fault) {
+    fn log_request_malformed(&self, shared: &Shared, fault: &Fault) {
         let fields = [
             field("peer", &self.peer),
-            field("request", &self.request),
+            field("request", &self.request_id),
             field("reason", fault.message.as_str()),
         ];
         shared.log.emit(&events::REQUEST_MALFORMED, &fields);
--- a/crates/entry/src/caller/service.rs
+++ b/crates/entry/src/caller/service.rs
@@ -8,62 +8,65 @@
 use pumicecleat_types::HeaderField;
 
 use super::headers::{
-    KEY, passed_on, put_attempts, put_passed, read_deadline, read_key, read_priority,
+    IDEMPOTENCY_KEY, forwarded_headers, insert_attempt_headers, insert_forwarded, read_deadline,
+    read_key, read_priority,
 };
-use super::{Call, read_body};
+use super::{CallerRequest, read_body};
 use crate::fault::Fault;
-use crate::request::{Answer, Content, Exchange, Job, Repeat, ServiceRoute, resolve_service};
+use crate::request::{
+    BufferedResponse, Exchange, Job, RequestBody, RetryMode, ServiceRoute, resolve_service,
+};
 use crate::shared::Shared;
 
 /// Answers a call of a plain service.
-pub(super) async fn answer(shared: &Rc<Shared>, mut call: Call) -> Result<Reply, Fault> {
+pub(super) async fn handle(shared: &Rc<Shared>, mut call: CallerRequest) -> Result<Reply, Fault> {
     let job = make_job(shared, &call)?;
     let body = read_body(shared, &mut call).await?;
     let job = Job {
-        content: Content::Plain(body),
+        body: RequestBody::Plain(body),
         ..job
     };
     // Its headers hold the connection's first read buffer.
     drop(call.incoming);
     let mut exchange = Exchange::new(shared, job, call.guard);
-    let result = exchange.whole().await;
-    Ok(finish(exchange, result))
+    let result = exchange.buffered_response().await;
+    Ok(buffered_reply(exchange, result))
 }
 
-fn make_job(shared: &Shared, call: &Call) -> Result<Job, Fault> {
+fn make_job(shared: &Shared, call: &CallerRequest) -> Result<Job, Fault> {
     let headers = call.incoming.headers();
     let uri = call.incoming.uri();
     let path = uri.path_and_query().map_or(uri.path(), |p| p.as_str());
     let method = call.incoming.method().as_str();
     let key = read_key(headers)?;
-    let fields = passed_on(headers);
+    let fields = forwarded_headers(headers);
     let route = resolve_service(shared, &call.caller, method, path, fields)?;
-    let repeat = read_repeat(&route, key.as_deref())?;
+    let retry_mode = read_retry_mode(&route, key.as_deref())?;
     let mut job = Job {
         resolved: route.resolved,
-        request: call.request.clone(),
+        request_id: call.request_id.clone(),
         caller: call.caller.clone(),
-        arrived: call.arrived,
-        deadline: call.arrived + read_deadline(shared, headers)?,
+        received_at: call.received_at,
+        deadline: call.received_at + read_deadline(shared, headers)?,
         priority: read_priority(shared, &call.caller, headers)?,
         stream: false,
-        tokens: 1,
-        key,
-        repeat,
+        max_tokens: 1,
+        idempotency_key: key,
+        retry_mode,
         prompt: None,
-        content: Content::Plain(Vec::new()),
+        body: RequestBody::Plain(Vec::new()),
     };
-    if repeat == Repeat::Freely {
-        pass_key(&mut job);
+    if retry_mode == RetryMode::Idempotent {
+        forward_key(&mut job);
     }
     Ok(job)
 }
 
-fn read_repeat(route: &ServiceRoute, key: Option<&str>) -> Result<Repeat, Fault> {
-    match (route.idempotent, key, route.key) {
-        (true, _, _) => Ok(Repeat::Freely),
-        (false, Some(_), _) => Ok(Repeat::ByKey),
-        (false, None, KeyRule::Optional) => Ok(Repeat::Never),
+fn read_retry_mode(route: &ServiceRoute, key: Option<&str>) -> Result<RetryMode, Fault> {
+    match (route.idempotent, key, route.key_rule) {
+        (true, _, _) => Ok(RetryMode::Idempotent),
+        (false, Some(_), _) => Ok(RetryMode::OnceByKey),
+        (false, None, KeyRule::Optional) => Ok(RetryMode::Never),
         (false, None, KeyRule::Required) => {
             let message = "this route wants an Idempotency-Key";
             Err(Fault::bad(400, "key_required", message))
@@ -72,32 +75,32 @@
 }
 
 /// A key on an idempotent route is the service's own matter: sides need not record it.
-fn pass_key(job: &mut Job) {
-    let Some(value) = job.key.take() else {
+fn forward_key(job: &mut Job) {
+    let Some(value) = job.idempotency_key.take() else {
         return;
     };
-    let name = KEY.as_str().to_owned();
+    let name = IDEMPOTENCY_KEY.as_str().to_owned();
     if let pumicecleat_types::Target::Service(service) = &mut job.resolved.target {
         service.headers.push(HeaderField { name, value });
     }
 }
 
-fn finish(mut exchange: Exchange, result: Result<Answer, Fault>) -> Reply {
+fn buffered_reply(mut exchange: Exchange, result: Result<BufferedResponse, Fault>) -> Reply {
     let mut reply = match result {
-        Ok(answer) => {
-            exchange.note_first();
-            exchange.note_whole();
-            let mut reply = Reply::new(Body::whole(answer.body));
-            let status = StatusCode::from_u16(answer.status);
+        Ok(response) => {
+            exchange.record_first_byte();
+            exchange.record_completion();
+            let mut reply = Reply::new(Body::whole(response.body));
+            let status = StatusCode::from_u16(response.status);
             *reply.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
-            put_passed(reply.headers_mut(), &answer.headers);
+            insert_forwarded(reply.headers_mut(), &response.headers);
             reply
         }
         Err(fault) => {
-            exchange.note_fault(&fault);
+            exchange.record_fault(&fault);
             fault.reply()
         }
     };
-    put_attempts(reply.headers_mut(), &exchange);
+    insert_attempt_headers(reply.headers_mut(), &exchange);
     reply
 }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -9,57 +9,57 @@
 use pumicecleat_upstream::Expect;
 
 use super::failure::Loss;
-use super::outgoing::Outgoing;
-use super::sent::SentGuard;
+use super::outgoing::OutgoingAttempt;
+use super::sent::AttemptGuard;
 use super::{Failure, Job};
 use crate::directory::Destination;
 use crate::shared::Shared;
 
 /// Time for a side to take a connection and answer its head, which it does at once.
-const HEAD_SPAN: Duration = Duration::from_secs(1);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time between two looks at whether a side still reports.
-const TICK: Duration = Duration::from_millis(500);
+const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Looks in a row that must find reports overdue: after a pause of this process one does.
-const OVERDUE_TICKS: u32 = 2;
+const MAX_OVERDUE_CHECKS: u32 = 2;
 
 /// Time for the proper end of a body that has shown its last frame.
-const END_SPAN: Duration = Duration::from_millis(100);
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// First status of an error.
-const ERROR: u16 = 400;
+const MIN_ERROR_STATUS: u16 = 400;
 
 /// First status of an upstream's own fault.
-const FAILED: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 /// Status by which an engine denies a model.
-const NO_MODEL: u16 = 404;
+const MODEL_NOT_FOUND_STATUS: u16 = 404;
 
 /// An attempt under way. Dropping it resets its HTTP/2 stream, and the side cancels it.
 pub(crate) struct Attempt {
     pub(crate) destination: Destination,
     frames: FrameReader,
     stall: Stall,
-    sent: SentGuard,
+    guard: AttemptGuard,
 }
 
 /// Start of an answer.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerHead {
+pub(crate) struct ResponseHead {
     pub(crate) status: u16,
     pub(crate) headers: Vec<HeaderField>,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Whether the upstream answers by an error.
     pub(crate) fn is_error(&self) -> bool {
-        self.status >= ERROR
+        self.status >= MIN_ERROR_STATUS
     }
 }
 
 /// What follows the start of an answer.
-pub(crate) enum Part {
+pub(crate) enum BodyPart {
     Data(Vec<u8>),
     End(Option<LoadFigures>),
 }
@@ -68,67 +68,71 @@
     /// Sends an attempt and waits for the start of its answer.
     pub(crate) async fn open(
         shared: &Rc<Shared>,
-        outgoing: Outgoing<'_>,
-    ) -> Result<(Self, AnswerHead), Failure> {
+        outgoing: OutgoingAttempt<'_>,
+    ) -> Result<(Self, ResponseHead), Failure> {
         let job = outgoing.job;
-        let number = outgoing.number;
-        let mut sent = SentGuard::new(shared, outgoing.destination.up, job.resolved.lora_ix);
+        let attempt_number = outgoing.attempt_number;
+        let mut guard = AttemptGuard::new(shared, outgoing.destination.up, job.resolved.lora_ix);
         let destination = outgoing.destination.clone();
         let request = outgoing.into_request();
         let address = &destination.address;
         // Boxed, as it is large and ends long before the answer's start may come.
-        let response = Box::pin(shared.runs.send(address, request, HEAD_SPAN)).await;
+        let response = Box::pin(shared.runs.send(address, request, HEAD_TIMEOUT)).await;
         let response = match response {
             Ok(response) => response,
-            Err(e) => return Err(sent.fail(net_failure(&e))),
+            Err(e) => return Err(guard.fail(net_failure(&e))),
         };
         if response.status() != 200 {
             let status = response.status();
             let error = format!("peer {address}: status {status}");
-            return Err(sent.fail(lost(Ran::Unknown, "await frames", error)));
+            return Err(guard.fail(lost_failure(Ran::Unknown, "await frames", error)));
         }
         let mut attempt = Self {
             destination,
             frames: FrameReader::new(response),
             stall: Stall::new(&shared.timer, shared.options.stall),
-            sent,
+            guard,
         };
-        match attempt.read_head(shared, job, number).await {
+        match attempt.read_head(shared, job, attempt_number).await {
             Ok(head) => Ok((attempt, head)),
             Err(failure) => Err(attempt.fail(failure)),
         }
     }
 
     /// Next part of the answer, if it comes in the time that a stalled upstream is given.
-    pub(crate) async fn next_part(&mut self) -> Result<Part, Failure> {
+    pub(crate) async fn next_part(&mut self) -> Result<BodyPart, Failure> {
         let next = self.stall.within(self.frames.next()).await;
         let Ok(next) = next else {
             let span = self.stall.span();
             let error = format!("peer {}: silent for {span:?}", self.destination.address);
-            return Err(stalled("read answer", error));
+            return Err(stalled_failure("read answer", error));
         };
-        match self.frame(next)? {
-            Frame::Data { bytes } => Ok(Part::Data(bytes)),
-            Frame::End { load } => Ok(Part::End(load)),
-            Frame::Broken { ran, step, detail } => Err(self.broken(ran, &step, &detail)),
+        match self.require_frame(next)? {
+            Frame::Data { bytes } => Ok(BodyPart::Data(bytes)),
+            Frame::End { load } => Ok(BodyPart::End(load)),
+            Frame::Broken { ran, step, detail } => Err(self.broken_failure(ran, &step, &detail)),
             Frame::Head { .. } | Frame::Refused(_) => {
                 let error = format!("peer {}: frame out of place", self.destination.address);
-                Err(lost(Ran::Unknown, "read answer", error))
+                Err(lost_failure(Ran::Unknown, "read answer", error))
             }
         }
     }
 
     /// What an answer to this attempt must say of itself.
-    pub(crate) fn expect<'a>(&'a self, job: &'a Job, engine: &'a str) -> Expect<'a> {
+    pub(crate) fn expected_response<'a>(
+        &'a self,
+        job: &'a Job,
+        engine_name: &'a str,
+    ) -> Expect<'a> {
         Expect {
             peer: &self.destination.address,
-            model: engine,
-            request: Some(job.request.as_str()),
+            model: engine_name,
+            request: Some(job.request_id.as_str()),
         }
     }
 
     /// Takes in load figures that came with the answer.
-    pub(crate) fn learn(&self, shared: &Shared, load: Option<LoadFigures>) {
+    pub(crate) fn update_load(&self, shared: &Shared, load: Option<LoadFigures>) {
         if let Some(load) = load {
             let now = shared.timer.now();
             let up = self.destination.up;
@@ -139,13 +143,16 @@
     /// Ends an attempt that was answered whole, and keeps its connection.
     pub(crate) async fn finish(mut self, shared: &Shared) {
         // A side that is slow to end its body only loses the connection.
-        let _ = shared.timer.within(END_SPAN, self.frames.next()).await;
-        self.sent.outcome = Some(AttemptOutcome::Completed);
+        let _ = shared
+            .timer
+            .within(BODY_END_TIMEOUT, self.frames.next())
+            .await;
+        self.guard.outcome = Some(AttemptOutcome::Completed);
     }
 
     /// Ends an attempt that failed.
     pub(crate) fn fail(mut self, failure: Failure) -> Failure {
-        self.sent.outcome = Some(failure.outcome());
+        self.guard.outcome = Some(failure.outcome());
         failure
     }
 
@@ -153,8 +160,8 @@
         &mut self,
         shared: &Shared,
         job: &Job,
-        number: u32,
-    ) -> Result<AnswerHead, Failure> {
+        attempt_number: u32,
+    ) -> Result<ResponseHead, Failure> {
         match self.first_frame(shared).await? {
             Frame::Head {
                 request,
@@ -164,78 +171,81 @@
                 headers,
                 ..
             } => {
-                if request != job.request || attempt != number {
-                    let asked = format!("{}/{number}", job.request);
-                    let answered = format!("{request}/{attempt}");
-                    return Err(Failure::Mismatch { asked, answered });
+                if request != job.request_id || attempt != attempt_number {
+                    let expected = format!("{}/{attempt_number}", job.request_id);
+                    let found = format!("{request}/{attempt}");
+                    return Err(Failure::Mismatch { expected, found });
                 }
                 self.check_model(job, model.as_deref(), status)?;
-                Ok(AnswerHead { status, headers })
+                Ok(ResponseHead { status, headers })
             }
             Frame::Refused(refusal) => Err(Failure::Refused(refusal)),
-            Frame::Broken { ran, step, detail } => Err(self.broken(ran, &step, &detail)),
+            Frame::Broken { ran, step, detail } => Err(self.broken_failure(ran, &step, &detail)),
             Frame::Data { .. } | Frame::End { .. } => {
                 let error = format!("peer {}: no head", self.destination.address);
-                Err(lost(Ran::Unknown, "read head", error))
+                Err(lost_failure(Ran::Unknown, "read head", error))
             }
         }
     }
 
     /// First frame; the side may hold it back while the request waits, as long as it reports.
     async fn first_frame(&mut self, shared: &Shared) -> Result<Frame, Failure> {
-        let mut overdue_ticks = 0;
-        while overdue_ticks < OVERDUE_TICKS {
-            let next = shared.timer.within(TICK, self.frames.next()).await;
+        let mut overdue_checks = 0;
+        while overdue_checks < MAX_OVERDUE_CHECKS {
+            let next = shared
+                .timer
+                .within(REPORT_CHECK_INTERVAL, self.frames.next())
+                .await;
             if let Ok(next) = next {
-                return self.frame(next);
+                return self.require_frame(next);
             }
             let now = shared.timer.now();
             let overdue = shared
                 .directory
                 .borrow()
                 .is_overdue(&self.destination.vm, now);
-            overdue_ticks = if overdue { overdue_ticks + 1 } else { 0 };
+            overdue_checks = if overdue { overdue_checks + 1 } else { 0 };
         }
         let error = format!("peer {}: reports overdue", self.destination.address);
-        Err(stalled("await head", error))
+        Err(stalled_failure("await head", error))
     }
 
     fn check_model(&self, job: &Job, model: Option<&str>, status: u16) -> Result<(), Failure> {
-        let Some(asked) = job.engine() else {
+        let Some(expected) = job.engine_name() else {
             return Ok(());
         };
-        if status >= FAILED || status == NO_MODEL {
+        if status >= MIN_SERVER_ERROR_STATUS || status == MODEL_NOT_FOUND_STATUS {
             let error = format!("peer {}: engine status {status}", self.destination.address);
-            return Err(lost(Ran::Unknown, "read head", error));
+            return Err(lost_failure(Ran::Unknown, "read head", error));
         }
-        let unnamed = model.is_none() && status >= ERROR;
-        if unnamed || model == Some(asked) {
+        let unnamed = model.is_none() && status >= MIN_ERROR_STATUS;
+        if unnamed || model == Some(expected) {
             return Ok(());
         }
         Err(Failure::Mismatch {
-            asked: asked.to_owned(),
-            answered: model.unwrap_or_default().to_owned(),
+            expected: expected.to_owned(),
+            found: model.unwrap_or_default().to_owned(),
         })
     }
 
-    fn frame(&self, next: Result<Option<Frame>, FrameError>) -> Result<Frame, Failure> {
+    fn require_frame(&self, next: Result<Option<Frame>, FrameError>) -> Result<Frame, Failure> {
         let address = &self.destination.address;
         match next {
             Ok(Some(frame)) => Ok(frame),
             Ok(None) => {
                 let error = format!("peer {address}: frames end without End");
-                Err(lost(Ran::Unknown, "read answer", error))
+                Err(lost_failure(Ran::Unknown, "read answer", error))
             }
             Err(e) => {
                 let error = format!("peer {address}: {e}");
-                Err(lost(Ran::Unknown, "read answer", error))
+                Err(lost_failure(Ran::Unknown, "read answer", error))
             }
         }
     }
 
-    fn broken(&self, ran: Ran, step: &str, detail: &str) -> Failure {
+    fn broken_failure(&self, ran: Ran, step: &str, detail: &str) -> Failure {
         let error = format!("peer {}: {detail}", self.destination.address);
-        lost(ran, step, error)
+        lost_failure(ran, step, error)
     }
 }
 
@@ -244,19 +254,19 @@
         Sent::No => Ran::No,
         Sent::Maybe => Ran::Unknown,
     };
-    let slow = matches!(
+    let timed_out = matches!(
         error,
         NetError::AnswerTimeout { .. } | NetError::ConnectTimeout { .. }
     );
     Failure::Lost(Loss {
         ran,
-        stalled: slow,
+        stalled: timed_out,
         step: "send attempt".to_owned(),
         error: error.to_string(),
     })
 }
 
-pub(crate) fn lost(ran: Ran, step: &str, error: String) -> Failure {
+pub(crate) fn lost_failure(ran: Ran, step: &str, error: String) -> Failure {
     Failure::Lost(Loss {
         ran,
         stalled: false,
@@ -265,7 +275,7 @@
     })
 }
 
-fn stalled(step: &str, error: String) -> Failure {
+fn stalled_failure(step: &str, error: String) -> Failure {
     Failure::Lost(Loss {
         ran: Ran::Unknown,
         stalled: true,
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -9,15 +9,15 @@
 use pumicecleat_types::{Millis, Ran};
 use pumicecleat_upstream::Usage;
 
-use super::outgoing::Outgoing;
-use super::{AnswerHead, Attempt, Failure, History, Job};
+use super::outgoing::OutgoingAttempt;
+use super::{Attempt, Failure, History, Job, ResponseHead};
 use crate::directory::{Chosen, Destination};
 use crate::fault::{Fault, RETRY};
 use crate::meters::End;
 use crate::shared::Shared;
 
 /// Time beyond the deadline for a side's own word on it.
-const GRACE: Millis = Millis(250);
+const DEADLINE_GRACE: Millis = Millis(250);
 
 /// One request from its head to the end of its answer.
 pub(crate) struct Exchange {
@@ -33,9 +33,9 @@
 impl Exchange {
     pub(crate) fn new(shared: &Rc<Shared>, job: Job, guard: DrainGuard) -> Self {
         let fields = [
-            field("request", &job.request),
+            field("request", &job.request_id),
             field("caller", &job.caller),
-            field("target", job.resolved.name()),
+            field("target", job.resolved.log_name()),
         ];
         shared.log.emit(&events::REQUEST_TAKEN, &fields);
         shared.budget.borrow_mut().record_request();
@@ -54,60 +54,65 @@
     }
 
     /// Time left until the deadline.
-    pub(crate) fn left(&self) -> Millis {
-        self.job.left(self.timer().now())
+    pub(crate) fn time_left(&self) -> Millis {
+        self.job.time_left(self.timer().now())
     }
 
     /// Time after which the entry itself gives up.
-    pub(crate) fn patience(&self) -> Duration {
-        Duration::from_millis((self.left() + GRACE).0)
+    pub(crate) fn timeout(&self) -> Duration {
+        Duration::from_millis((self.time_left() + DEADLINE_GRACE).0)
     }
 
     /// Sends the next attempt with `body` and waits for the start of its answer.
-    pub(crate) async fn attempt(
+    pub(crate) async fn send_attempt(
         &mut self,
         body: Vec<u8>,
-        left: Millis,
-    ) -> Result<(Attempt, AnswerHead), Failure> {
-        let destination = self.choose(left)?;
-        let number = self.history.start(destination.up, &destination.vm);
-        let outgoing = Outgoing {
+        time_left: Millis,
+    ) -> Result<(Attempt, ResponseHead), Failure> {
+        let destination = self.choose_destination(time_left)?;
+        let attempt_number = self.history.start_attempt(destination.up, &destination.vm);
+        let outgoing = OutgoingAttempt {
             job: &self.job,
             destination,
-            number,
-            left,
+            attempt_number,
+            time_left,
             body,
         };
         // Boxed, as it is large and only lives until the answer starts.
         Box::pin(Attempt::open(&self.shared, outgoing)).await
     }
 
-    fn choose(&self, left: Millis) -> Result<Destination, Failure> {
-        let ask = RouteQuery {
+    fn choose_destination(&self, time_left: Millis) -> Result<Destination, Failure> {
+        let query = RouteQuery {
             pool: self.job.resolved.pool_ix,
             lora: self.job.resolved.lora_ix,
             prompt: self.job.prompt,
-            time_left: left,
+            time_left,
             tried: &self.history.tried,
         };
         let now = self.timer().now();
-        let home = self.job.home();
-        match self.shared.directory.borrow_mut().choose(&ask, home, now) {
+        let affinity_key = self.job.affinity_key();
+        match self
+            .shared
+            .directory
+            .borrow_mut()
+            .choose(&query, affinity_key, now)
+        {
             Chosen::Send(destination) => Ok(destination),
-            Chosen::Late { retry } => Err(Failure::Late { retry }),
-            Chosen::Nowhere { retry } => Err(Failure::Nowhere { retry }),
+            Chosen::Late { retry } => Err(Failure::DeadlineUnreachable { retry_after: retry }),
+            Chosen::Nowhere { retry } => Err(Failure::NoUpstream { retry_after: retry }),
         }
     }
 
     /// Counts the tokens of a whole answer, if its engine tells.
-    pub(crate) fn note_usage(&self, usage: Option<Usage>) {
+    pub(crate) fn record_usage(&self, usage: Option<Usage>) {
         if let Some(usage) = usage {
             self.shared.meters.prompt(&usage);
         }
     }
 
     /// Fault at the entry's own time limit.
-    pub(crate) fn late(&self) -> Fault {
+    pub(crate) fn deadline_fault(&self) -> Fault {
         let ran = self.history.ran();
         let message = "no whole answer before the deadline";
         Fault {
@@ -118,35 +123,35 @@
     }
 
     /// Notes that the first bytes of the answer are there.
-    pub(crate) fn note_first(&self) {
-        let took = self.timer().now().since(self.job.arrived);
-        self.shared.meters.first(took);
+    pub(crate) fn record_first_byte(&self) {
+        let elapsed = self.timer().now().since(self.job.received_at);
+        self.shared.meters.first(elapsed);
     }
 
     /// Notes that the answer is whole.
-    pub(crate) fn note_whole(&mut self) {
-        let took = self.close(End::Whole, "");
+    pub(crate) fn record_completion(&mut self) {
+        let elapsed = self.record_end(End::Whole, "");
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("caller", &self.job.caller),
-            field("target", self.job.resolved.name()),
-            field("upstream", self.upstream()),
+            field("target", self.job.resolved.log_name()),
+            field("upstream", self.last_upstream()),
             field("attempts", self.history.attempts),
-            field("took_ms", took.0),
+            field("took_ms", elapsed.0),
         ];
         self.shared.log.emit(&events::REQUEST_DONE, &fields);
     }
 
     /// Notes the fault that answers the request.
-    pub(crate) fn note_fault(&mut self, fault: &Fault) {
-        self.close(End::Fault, fault.code);
+    pub(crate) fn record_fault(&mut self, fault: &Fault) {
+        self.record_end(End::Fault, fault.code);
         if fault.ran != Ran::No {
-            return self.note_broken("answer", fault.ran, &fault.message);
+            return self.log_broken("answer", fault.ran, &fault.message);
         }
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("caller", &self.job.caller),
-            field("target", self.job.resolved.name()),
+            field("target", self.job.resolved.log_name()),
             field("reason", fault.code),
             field("ran", "no"),
             field("status", fault.status),
@@ -155,34 +160,34 @@
     }
 
     /// Notes that the stream ends visibly broken.
-    pub(crate) fn note_cut(&mut self, fault: &Fault, error: &str) {
-        self.close(End::Broken, fault.code);
-        self.note_broken("stream", fault.ran, error);
+    pub(crate) fn record_broken_stream(&mut self, fault: &Fault, error: &str) {
+        self.record_end(End::Broken, fault.code);
+        self.log_broken("stream", fault.ran, error);
     }
 
-    fn note_broken(&self, step: &str, ran: Ran, error: &str) {
+    fn log_broken(&self, step: &str, ran: Ran, error: &str) {
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("caller", &self.job.caller),
-            field("target", self.job.resolved.name()),
-            field("upstream", self.upstream()),
+            field("target", self.job.resolved.log_name()),
+            field("upstream", self.last_upstream()),
             field("step", step),
-            field("ran", ran_name(ran)),
+            field("ran", ran_label(ran)),
             field("error", error),
         ];
         self.shared.log.emit(&events::REQUEST_BROKEN, &fields);
     }
 
-    fn close(&mut self, end: End, code: &'static str) -> Millis {
+    fn record_end(&mut self, end: End, code: &'static str) -> Millis {
         self.ended = true;
-        let took = self.timer().now().since(self.job.arrived);
-        self.shared.meters.ended(end, code, took);
-        took
+        let elapsed = self.timer().now().since(self.job.received_at);
+        self.shared.meters.ended(end, code, elapsed);
+        elapsed
     }
 
     /// Upstream of the last attempt, for logs.
-    pub(crate) fn upstream(&self) -> &str {
-        let upstream = self.history.upstream.as_ref();
+    pub(crate) fn last_upstream(&self) -> &str {
+        let upstream = self.history.last_upstream.as_ref();
         upstream.map_or("", |vm| vm.as_str())
     }
 }
@@ -192,17 +197,17 @@
         if self.ended {
             return;
         }
-        self.close(End::Gone, "caller_gone");
+        self.record_end(End::Gone, "caller_gone");
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("caller", &self.job.caller),
-            field("upstream", self.upstream()),
+            field("upstream", self.last_upstream()),
         ];
         self.shared.log.emit(&events::CALLER_GONE, &fields);
     }
 }
 
-fn ran_name(ran: Ran) -> &'static str {
+fn ran_label(ran: Ran) -> &'static str {
     match ran {
         Ran::No => "no",
         Ran::Unknown => "unknown",
--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -9,15 +9,15 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Failure {
     /// No upstream may get work.
-    Nowhere { retry: Millis },
+    NoUpstream { retry_after: Millis },
     /// Every upstream is too late.
-    Late { retry: Millis },
+    DeadlineUnreachable { retry_after: Millis },
     /// The side refused: not run.
     Refused(Refusal),
     /// No whole answer came.
     Lost(Loss),
     /// Answer of another request, adapter or version.
-    Mismatch { asked: String, answered: String },
+    Mismatch { expected: String, found: String },
 }
 
 /// An attempt without a whole answer.
@@ -37,7 +37,7 @@
     /// Whether the attempt ran.
     pub(crate) fn ran(&self) -> Ran {
         match self {
-            Self::Nowhere { .. } | Self::Late { .. } => Ran::No,
+            Self::NoUpstream { .. } | Self::DeadlineUnreachable { .. } => Ran::No,
             Self::Refused(refusal) => Fault::of_refusal(refusal).ran,
             Self::Lost(loss) => loss.ran,
             Self::Mismatch { .. } => Ran::Unknown,
@@ -47,8 +47,8 @@
     /// Stable word for the cause.
     pub(crate) fn cause(&self) -> &'static str {
         match self {
-            Self::Nowhere { .. } => "no_upstream",
-            Self::Late { .. } => "overloaded",
+            Self::NoUpstream { .. } => "no_upstream",
+            Self::DeadlineUnreachable { .. } => "overloaded",
             Self::Refused(refusal) => reason_code(refusal.reason),
             Self::Lost(loss) if loss.stalled => "stalled",
             Self::Lost(_) => "lost",
@@ -66,17 +66,21 @@
     }
 
     /// What the caller is told if nothing follows.
-    pub(crate) fn fault(&self) -> Fault {
+    pub(crate) fn to_fault(&self) -> Fault {
         match self {
-            Self::Nowhere { retry } => {
-                Fault::later("no_upstream", "no upstream may take work", *retry)
+            Self::NoUpstream { retry_after } => {
+                Fault::later("no_upstream", "no upstream may take work", *retry_after)
             }
-            Self::Late { retry } => Fault {
+            Self::DeadlineUnreachable { retry_after } => Fault {
                 status: 429,
-                ..Fault::later("overloaded", "no upstream can meet the deadline", *retry)
+                ..Fault::later(
+                    "overloaded",
+                    "no upstream can meet the deadline",
+                    *retry_after,
+                )
             },
             Self::Refused(refusal) => Fault::of_refusal(refusal),
-            Self::Lost(loss) => Self::lost(loss),
+            Self::Lost(loss) => Self::loss_fault(loss),
             Self::Mismatch { .. } => Fault::unknown("the upstream answered another request"),
         }
     }
@@ -84,13 +88,13 @@
     /// Whether no other side would say otherwise.
     pub(crate) fn is_final(&self) -> bool {
         match self {
-            Self::Nowhere { .. } | Self::Late { .. } => true,
-            Self::Refused(refusal) => is_final(refusal.reason),
+            Self::NoUpstream { .. } | Self::DeadlineUnreachable { .. } => true,
+            Self::Refused(refusal) => is_final_reason(refusal.reason),
             Self::Lost(_) | Self::Mismatch { .. } => false,
         }
     }
 
-    fn lost(loss: &Loss) -> Fault {
+    fn loss_fault(loss: &Loss) -> Fault {
         if loss.ran == Ran::No {
             return Fault::later("upstream_unreachable", &loss.step, RETRY);
         }
@@ -101,7 +105,7 @@
     }
 }
 
-fn is_final(reason: Reason) -> bool {
+fn is_final_reason(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::KeyReused
--- a/crates/entry/src/request/history.rs
+++ b/crates/entry/src/request/history.rs
@@ -12,17 +12,17 @@
     /// Upstreams not to be chosen again.
     pub(crate) tried: Vec<UpstreamIx>,
     /// Upstream of the last attempt.
-    pub(crate) upstream: Option<VmId>,
+    pub(crate) last_upstream: Option<VmId>,
     /// Whether an attempt that has ended ran.
     ran: Ran,
     /// An attempt is under way.
-    open: bool,
+    in_progress: bool,
     /// The one more attempt that a key allows was made.
-    pub(crate) keyed: bool,
+    pub(crate) key_retry_used: bool,
     /// The one more attempt at the same side after differing configurations was made.
-    pub(crate) stale: bool,
+    pub(crate) same_side_retry_used: bool,
     /// Fault of the last attempt that failed.
-    pub(crate) last: Option<Fault>,
+    pub(crate) last_fault: Option<Fault>,
 }
 
 impl History {
@@ -30,40 +30,40 @@
         Self {
             attempts: 0,
             tried: Vec::new(),
-            upstream: None,
+            last_upstream: None,
             ran: Ran::No,
-            open: false,
-            keyed: false,
-            stale: false,
-            last: None,
+            in_progress: false,
+            key_retry_used: false,
+            same_side_retry_used: false,
+            last_fault: None,
         }
     }
 
     /// Starts another attempt and gives its number.
-    pub(crate) fn start(&mut self, up: UpstreamIx, vm: &VmId) -> u32 {
+    pub(crate) fn start_attempt(&mut self, up: UpstreamIx, vm: &VmId) -> u32 {
         self.attempts += 1;
         self.tried.push(up);
-        self.upstream = Some(vm.clone());
-        self.open = true;
+        self.last_upstream = Some(vm.clone());
+        self.in_progress = true;
         self.attempts
     }
 
     /// Ends the attempt under way.
-    pub(crate) fn end(&mut self, ran: Ran) {
-        self.open = false;
+    pub(crate) fn end_attempt(&mut self, ran: Ran) {
+        self.in_progress = false;
         self.ran = self.ran.max(ran);
     }
 
     /// Whether the request ran, as far as can be told: never `No` if any attempt may have run.
     pub(crate) fn ran(&self) -> Ran {
-        if self.open {
+        if self.in_progress {
             return self.ran.max(Ran::Unknown);
         }
         self.ran
     }
 
     /// A fault made truthful over all attempts.
-    pub(crate) fn truthful(&self, fault: Fault) -> Fault {
+    pub(crate) fn raise_ran(&self, fault: Fault) -> Fault {
         match self.ran() {
             Ran::No => fault,
             _ => fault.after_unknown(),
--- a/crates/entry/src/request/job.rs
+++ b/crates/entry/src/request/job.rs
@@ -5,31 +5,31 @@
 use pumicecleat_types::{CallerId, Millis, RequestId};
 use pumicecleat_upstream::ChatBody;
 
-use super::Resolved;
+use super::ResolvedTarget;
 
 /// What a caller asked, the same in every attempt.
 pub(crate) struct Job {
-    pub(crate) request: RequestId,
+    pub(crate) request_id: RequestId,
     pub(crate) caller: CallerId,
-    pub(crate) resolved: Resolved,
+    pub(crate) resolved: ResolvedTarget,
     /// When the request's head came.
-    pub(crate) arrived: Millis,
+    pub(crate) received_at: Millis,
     pub(crate) deadline: Millis,
     /// Higher first.
     pub(crate) priority: u8,
     /// Answer token by token.
     pub(crate) stream: bool,
     /// Tokens the answer may have; 1 for a plain service.
-    pub(crate) tokens: u32,
-    pub(crate) key: Option<String>,
-    pub(crate) repeat: Repeat,
-    pub(crate) content: Content,
+    pub(crate) max_tokens: u32,
+    pub(crate) idempotency_key: Option<String>,
+    pub(crate) retry_mode: RetryMode,
+    pub(crate) body: RequestBody,
     /// Prompt, of a chat.
     pub(crate) prompt: Option<PromptAffinity>,
 }
 
 /// Body of a request.
-pub(crate) enum Content {
+pub(crate) enum RequestBody {
     /// Of a chat request.
     Chat(Box<ChatBody>),
     /// Of a call of a plain service.
@@ -38,23 +38,23 @@
 
 /// Whether an attempt that may have run can be followed by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Repeat {
+pub(crate) enum RetryMode {
     /// Idempotent.
-    Freely,
+    Idempotent,
     /// Once, as the sides settle by the key what took effect.
-    ByKey,
+    OnceByKey,
     /// Never.
     Never,
 }
 
 impl Job {
     /// Engine name asked for, if a model is.
-    pub(crate) fn engine(&self) -> Option<&str> {
-        self.resolved.engine.as_deref()
+    pub(crate) fn engine_name(&self) -> Option<&str> {
+        self.resolved.engine_name.as_deref()
     }
 
     /// Time left at `now`.
-    pub(crate) fn left(&self, now: Millis) -> Millis {
+    pub(crate) fn time_left(&self, now: Millis) -> Millis {
         self.deadline.since(now)
     }
 
@@ -65,23 +65,24 @@
 
     /// Key of the part of the pool's keys that the request's is in, if there are several: calls of
     /// one part go to the same side where they can, so that few sides read it.
-    pub(crate) fn home(&self) -> Option<u64> {
-        let parts = self.resolved.parts;
-        if parts == 1 || self.repeat != Repeat::ByKey {
+    pub(crate) fn affinity_key(&self) -> Option<u64> {
+        let key_parts = self.resolved.key_parts;
+        if key_parts == 1 || self.retry_mode != RetryMode::OnceByKey {
             return None;
         }
         // A text that is no key is refused by the side, whichever it is.
-        let key = Key::parse(&self.caller, self.key.as_deref()?).ok()?;
-        Some(part_key(&self.resolved.pool, key.part(parts)))
+        let key = Key::parse(&self.caller, self.idempotency_key.as_deref()?).ok()?;
+        Some(part_key(&self.resolved.pool, key.part(key_parts)))
     }
 
     /// Body for the upstream.
-    pub(crate) fn body(&self) -> Vec<u8> {
-        match &self.content {
-            Content::Chat(chat) => {
-                chat.render(self.engine().unwrap_or_default(), self.engine_priority())
-            }
-            Content::Plain(bytes) => bytes.clone(),
+    pub(crate) fn upstream_body(&self) -> Vec<u8> {
+        match &self.body {
+            RequestBody::Chat(chat) => chat.render(
+                self.engine_name().unwrap_or_default(),
+                self.engine_priority(),
+            ),
+            RequestBody::Plain(bytes) => bytes.clone(),
         }
     }
 }
--- a/crates/entry/src/request/mod.rs
+++ b/crates/entry/src/request/mod.rs
@@ -18,11 +18,11 @@
 mod settle;
 mod whole;
 
-pub(crate) use attempt::{AnswerHead, Attempt, Part, lost};
+pub(crate) use attempt::{Attempt, BodyPart, ResponseHead, lost_failure};
 pub(crate) use exchange::Exchange;
 pub(crate) use failure::Failure;
 pub(crate) use history::History;
-pub(crate) use job::{Content, Job, Repeat};
-pub(crate) use prompt::read_prompt;
-pub(crate) use resolve::{Resolved, ServiceRoute, resolve_model, resolve_service};
-pub(crate) use whole::{Answer, answer_failure};
+pub(crate) use job::{Job, RequestBody, RetryMode};
+pub(crate) use prompt::prompt_affinity;
+pub(crate) use resolve::{ResolvedTarget, ServiceRoute, resolve_model, resolve_service};
+pub(crate) use whole::{BufferedResponse, response_failure};
--- a/crates/entry/src/request/outgoing.rs
+++ b/crates/entry/src/request/outgoing.rs
@@ -9,42 +9,42 @@
 use crate::directory::Destination;
 
 /// Path of the exchange.
-const PATH: &str = "/peer/v1/run";
+const RUN_PATH: &str = "/peer/v1/run";
 
 /// An attempt to send.
-pub(crate) struct Outgoing<'a> {
+pub(crate) struct OutgoingAttempt<'a> {
     pub(crate) job: &'a Job,
     pub(crate) destination: Destination,
-    pub(crate) number: u32,
-    pub(crate) left: Millis,
+    pub(crate) attempt_number: u32,
+    pub(crate) time_left: Millis,
     pub(crate) body: Vec<u8>,
 }
 
-impl Outgoing<'_> {
+impl OutgoingAttempt<'_> {
     /// Request for the side.
     pub(super) fn into_request(self) -> http::Request<Bytes> {
         let job = self.job;
         let message = RunRequest {
             head: RunHead {
-                request: job.request.clone(),
-                attempt: self.number,
+                request: job.request_id.clone(),
+                attempt: self.attempt_number,
                 pool: job.resolved.pool.clone(),
                 revision: job.resolved.revision,
                 caller: job.caller.clone(),
                 target: job.resolved.target.clone(),
-                left_ms: self.left.0,
+                left_ms: self.time_left.0,
                 priority: job.priority,
                 stream: job.stream,
-                tokens: job.tokens,
-                key: job.key.clone(),
+                tokens: job.max_tokens,
+                key: job.idempotency_key.clone(),
             },
             body: self.body,
         };
         let mut request = http::Request::new(Bytes::from(encode(&message)));
         *request.method_mut() = Method::POST;
-        *request.uri_mut() = http::Uri::from_static(PATH);
-        let kind = HeaderValue::from_static("application/msgpack");
-        request.headers_mut().insert(CONTENT_TYPE, kind);
+        *request.uri_mut() = http::Uri::from_static(RUN_PATH);
+        let content_type = HeaderValue::from_static("application/msgpack");
+        request.headers_mut().insert(CONTENT_TYPE, content_type);
         request
     }
 }
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -12,25 +12,25 @@
 
 /// Target of a request under one revision.
 #[derive(Clone, Debug)]
-pub(crate) struct Resolved {
+pub(crate) struct ResolvedTarget {
     pub(crate) target: Target,
     pub(crate) pool: PoolId,
     pub(crate) pool_ix: PoolIx,
     pub(crate) lora_ix: Option<LoraIx>,
     /// Engine name, for a model.
-    pub(crate) engine: Option<String>,
+    pub(crate) engine_name: Option<String>,
     /// Parts of the keys of the pool's calls.
-    pub(crate) parts: u32,
+    pub(crate) key_parts: u32,
     pub(crate) revision: u64,
     /// Seed of prefix hashes: an engine's cache differs by base model, adapter and version.
     pub(crate) prefix_seed: u64,
 }
 
-impl Resolved {
+impl ResolvedTarget {
     /// Name for logs.
-    pub(crate) fn name(&self) -> &str {
+    pub(crate) fn log_name(&self) -> &str {
         match &self.target {
-            Target::Model(_) => self.engine.as_deref().unwrap_or_default(),
+            Target::Model(_) => self.engine_name.as_deref().unwrap_or_default(),
             Target::Service(service) => service.service.as_str(),
         }
     }
@@ -38,8 +38,8 @@
 
 /// Route of a plain service, as declared.
 pub(crate) struct ServiceRoute {
-    pub(crate) resolved: Resolved,
-    pub(crate) key: KeyRule,
+    pub(crate) resolved: ResolvedTarget,
+    pub(crate) key_rule: KeyRule,
     pub(crate) idempotent: bool,
 }
 
@@ -48,12 +48,12 @@
     shared: &Shared,
     caller: &CallerId,
     model: &str,
-) -> Result<Resolved, Fault> {
+) -> Result<ResolvedTarget, Fault> {
     let found = shared
         .current
         .with(|config| find_model(config, caller, model));
-    let Some(Asked { target, pools }) = found else {
-        return Err(unknown_model(model));
+    let Some(ModelMatch { target, pools }) = found else {
+        return Err(model_not_found(model));
     };
     let Some(pool) = shared.directory.borrow_mut().best_pool(pools) else {
         let message = format!("no pool runs the base model of {model:?}");
@@ -65,12 +65,12 @@
         version: target.version.clone(),
     };
     let mut directory = shared.directory.borrow_mut();
-    Ok(Resolved {
+    Ok(ResolvedTarget {
         pool_ix: directory.pool(&pool),
         lora_ix: Some(directory.lora(&lora)),
-        engine: Some(lora.engine_name()),
+        engine_name: Some(lora.engine_name()),
         prefix_seed: lora_key(&lora),
-        parts: 1,
+        key_parts: 1,
         revision: shared.current.revision(),
         target: Target::Model(target),
         pool,
@@ -78,18 +78,18 @@
 }
 
 /// The same answer for what does not exist and what the caller may not reach.
-fn unknown_model(model: &str) -> Fault {
+fn model_not_found(model: &str) -> Fault {
     let message = format!("model {model:?} does not exist or is not open to this caller");
     Fault::bad(404, "model_not_found", message)
 }
 
 /// What a name means, and the pools that may run it.
-struct Asked {
+struct ModelMatch {
     target: ModelTarget,
     pools: Vec<PoolId>,
 }
 
-fn find_model(config: &Config, caller: &CallerId, model: &str) -> Option<Asked> {
+fn find_model(config: &Config, caller: &CallerId, model: &str) -> Option<ModelMatch> {
     let (name, version) = match model.rsplit_once('@') {
         Some((name, version)) => (name, Some(version)),
         None => (model, None),
@@ -104,7 +104,7 @@
         adapter: id.clone(),
         version: version.clone(),
     };
-    Some(Asked {
+    Some(ModelMatch {
         target: model_target(config, &lora)?,
         pools: find_pools(config, &adapter.base),
     })
@@ -119,8 +119,8 @@
     })
 }
 
-fn find_version<'a>(adapter: &'a Adapter, asked: Option<&str>) -> Option<&'a VersionId> {
-    let name = match asked {
+fn find_version<'a>(adapter: &'a Adapter, requested: Option<&str>) -> Option<&'a VersionId> {
+    let name = match requested {
         Some(name) => name,
         None => adapter.default.as_ref()?.as_str(),
     };
@@ -153,30 +153,30 @@
         headers,
         idempotent: found.idempotent,
     });
-    let resolved = Resolved {
+    let resolved = ResolvedTarget {
         target,
         pool_ix: shared.directory.borrow_mut().pool(&found.pool),
         pool: found.pool,
         lora_ix: None,
-        engine: None,
+        engine_name: None,
         prefix_seed: 0,
-        parts: found.parts,
+        key_parts: found.key_parts,
         revision: shared.current.revision(),
     };
     Ok(ServiceRoute {
         resolved,
-        key: found.key,
+        key_rule: found.key_rule,
         idempotent: found.idempotent,
     })
 }
 
-struct Found {
+struct RouteMatch {
     service: pumicecleat_types::ServiceId,
     pool: PoolId,
-    parts: u32,
+    key_parts: u32,
     idempotent: bool,
-    key: KeyRule,
-    length: usize,
+    key_rule: KeyRule,
+    prefix_len: usize,
 }
 
 /// Longest matching prefix over all services, so that each path has one meaning for all callers.
@@ -185,19 +185,19 @@
     caller: &CallerId,
     method: &str,
     path: &str,
-) -> Result<Found, Fault> {
+) -> Result<RouteMatch, Fault> {
     let matches = config.services.iter().filter_map(|(id, service)| {
         let route = service.route(method, path)?;
-        Some(Found {
+        Some(RouteMatch {
             service: id.clone(),
             pool: service.pool.clone(),
-            parts: config.pools.get(&service.pool).map_or(1, Pool::parts),
+            key_parts: config.pools.get(&service.pool).map_or(1, Pool::parts),
             idempotent: route.idempotent,
-            key: route.key,
-            length: route.prefix.len(),
+            key_rule: route.key,
+            prefix_len: route.prefix.len(),
         })
     });
-    let Some(found) = matches.max_by_key(|f| f.length) else {
+    let Some(found) = matches.max_by_key(|f| f.prefix_len) else {
         return Err(Fault::bad(404, "route_not_found", "no such route"));
     };
     let caller = config.callers.get(caller);
--- a/crates/entry/src/request/sent.rs
+++ b/crates/entry/src/request/sent.rs
@@ -9,14 +9,14 @@
 use crate::shared::Shared;
 
 /// Counts an attempt with the router until it ends.
-pub(super) struct SentGuard {
+pub(super) struct AttemptGuard {
     shared: Rc<Shared>,
     up: UpstreamIx,
     lora: Option<LoraIx>,
     pub(super) outcome: Option<AttemptOutcome>,
 }
 
-impl SentGuard {
+impl AttemptGuard {
     pub(super) fn new(shared: &Rc<Shared>, up: UpstreamIx, lora: Option<LoraIx>) -> Self {
         let now = shared.timer.now();
         shared.directory.borrow_mut().sent(up, lora, now);
@@ -35,12 +35,12 @@
     }
 }
 
-impl Drop for SentGuard {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let now = self.shared.timer.now();
         // An attempt given up tells nothing of its upstream; this reason only ends it.
-        let given_up = AttemptOutcome::Refused(Reason::Deadline, None);
-        let outcome = self.outcome.unwrap_or(given_up);
+        let abandoned = AttemptOutcome::Refused(Reason::Deadline, None);
+        let outcome = self.outcome.unwrap_or(abandoned);
         let mut directory = self.shared.directory.borrow_mut();
         directory.ended(self.up, self.lora, outcome, now);
     }
--- a/crates/entry/src/request/settle.rs
+++ b/crates/entry/src/request/settle.rs
@@ -9,75 +9,77 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{Millis, Ran, Reason, Target};
 
-use super::{Exchange, Failure, Repeat, Resolved, resolve_model, resolve_service};
+use super::{Exchange, Failure, ResolvedTarget, RetryMode, resolve_model, resolve_service};
 use crate::config::refresh;
 use crate::fault::{Fault, RETRY};
 
 /// Attempts of one request at most.
-const ATTEMPTS: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 impl Exchange {
     /// Takes a failed attempt in.
     ///
     /// # Errors
     /// The fault for the caller, if nothing follows.
-    pub(crate) async fn settle(&mut self, failure: Failure) -> Result<(), Fault> {
-        self.note_failure(&failure);
-        let fault = failure.fault();
-        if !self.may_follow(&failure) {
-            let earlier = self.history.last.take();
-            let told = match failure {
-                Failure::Nowhere { .. } | Failure::Late { .. } => earlier.unwrap_or(fault),
+    pub(crate) async fn handle_failure(&mut self, failure: Failure) -> Result<(), Fault> {
+        self.record_failure(&failure);
+        let fault = failure.to_fault();
+        if !self.may_retry(&failure) {
+            let earlier_fault = self.history.last_fault.take();
+            let final_fault = match failure {
+                Failure::NoUpstream { .. } | Failure::DeadlineUnreachable { .. } => {
+                    earlier_fault.unwrap_or(fault)
+                }
                 _ => fault,
             };
-            self.note_unknown();
-            return Err(self.history.truthful(told));
+            self.log_unknown_outcome();
+            return Err(self.history.raise_ran(final_fault));
         }
-        self.history.last = Some(fault);
-        self.note_retry(&failure);
+        self.history.last_fault = Some(fault);
+        self.record_retry(&failure);
         if is_stale(&failure) {
-            self.resolve_anew().await?;
+            self.refresh_target().await?;
         }
         Ok(())
     }
 
     /// Counts and logs a failed attempt, whatever follows.
-    pub(crate) fn note_failure(&mut self, failure: &Failure) {
-        self.history.end(failure.ran());
+    pub(crate) fn record_failure(&mut self, failure: &Failure) {
+        self.history.end_attempt(failure.ran());
         if let Failure::Refused(_) = failure {
             self.shared.meters.refused(failure.cause());
         }
         if let Failure::Lost(loss) = failure
             && loss.stalled
         {
-            let waited = self.timer().now().since(self.job.arrived);
-            let upstream = field("upstream", self.upstream());
-            let fields = [upstream, field("wait_ms", waited.0)];
+            let elapsed = self.timer().now().since(self.job.received_at);
+            let upstream = field("upstream", self.last_upstream());
+            let fields = [upstream, field("wait_ms", elapsed.0)];
             self.shared.log.emit(&events::SIDE_STALLED, &fields);
         }
-        let Failure::Mismatch { asked, answered } = failure else {
+        let Failure::Mismatch { expected, found } = failure else {
             return;
         };
         self.shared.meters.mismatch();
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("attempt", self.history.attempts),
-            field("upstream", self.upstream()),
-            field("asked", asked),
-            field("answered", answered),
+            field("upstream", self.last_upstream()),
+            field("asked", expected),
+            field("answered", found),
         ];
         self.shared.log.emit(&events::ANSWER_MISMATCH, &fields);
     }
 
-    fn may_follow(&mut self, failure: &Failure) -> bool {
-        let open = !failure.is_final()
-            && self.left() > Millis(0)
-            && self.history.attempts < ATTEMPTS
-            && self.is_repeatable(failure);
-        open && self.is_within_budget(failure)
+    fn may_retry(&mut self, failure: &Failure) -> bool {
+        let allowed = !failure.is_final()
+            && self.time_left() > Millis(0)
+            && self.history.attempts < MAX_ATTEMPTS
+            && self.may_rerun(failure);
+        allowed && self.try_spend_budget(failure)
     }
 
-    fn is_within_budget(&self, failure: &Failure) -> bool {
+    fn try_spend_budget(&self, failure: &Failure) -> bool {
         let budget = match failure {
             Failure::Lost(_) | Failure::Mismatch { .. } => &self.shared.losses,
             _ => &self.shared.budget,
@@ -85,61 +87,64 @@
         budget.borrow_mut().try_retry()
     }
 
-    fn is_repeatable(&mut self, failure: &Failure) -> bool {
+    fn may_rerun(&mut self, failure: &Failure) -> bool {
         if failure.ran() == Ran::No {
             return true;
         }
-        match self.job.repeat {
-            Repeat::Freely => true,
-            Repeat::ByKey => !mem::replace(&mut self.history.keyed, true),
-            Repeat::Never => false,
+        match self.job.retry_mode {
+            RetryMode::Idempotent => true,
+            RetryMode::OnceByKey => !mem::replace(&mut self.history.key_retry_used, true),
+            RetryMode::Never => false,
         }
     }
 
-    fn note_retry(&self, failure: &Failure) {
+    fn record_retry(&self, failure: &Failure) {
         self.shared.meters.retried(failure.cause());
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("attempt", self.history.attempts),
-            field("upstream", self.upstream()),
+            field("upstream", self.last_upstream()),
             field("reason", failure.cause()),
         ];
         self.shared.log.emit(&events::ATTEMPT_RETRIED, &fields);
     }
 
-    fn note_unknown(&self) {
-        if self.job.repeat == Repeat::Freely || self.history.ran() == Ran::No {
+    fn log_unknown_outcome(&self) {
+        if self.job.retry_mode == RetryMode::Idempotent || self.history.ran() == Ran::No {
             return;
         }
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("caller", &self.job.caller),
-            field("key", self.job.key.as_deref().unwrap_or_default()),
-            field("upstream", self.upstream()),
+            field(
+                "key",
+                self.job.idempotency_key.as_deref().unwrap_or_default(),
+            ),
+            field("upstream", self.last_upstream()),
         ];
         self.shared.log.emit(&events::OUTCOME_UNKNOWN, &fields);
     }
 
     /// Finds the target again under the newest configuration. The same side is asked once more, as
     /// it may have been the one behind.
-    async fn resolve_anew(&mut self) -> Result<(), Fault> {
+    async fn refresh_target(&mut self) -> Result<(), Fault> {
         refresh(&self.shared).await;
-        if !mem::replace(&mut self.history.stale, true) {
+        if !mem::replace(&mut self.history.same_side_retry_used, true) {
             self.history.tried.pop();
         }
-        match self.resolved_anew() {
+        match self.resolve_again() {
             Ok(resolved) => self.job.resolved = resolved,
-            Err(fault) => return Err(self.history.truthful(fault)),
+            Err(fault) => return Err(self.history.raise_ran(fault)),
         }
         Ok(())
     }
 
-    fn resolved_anew(&self) -> Result<Resolved, Fault> {
+    fn resolve_again(&self) -> Result<ResolvedTarget, Fault> {
         let (shared, caller) = (&self.shared, &self.job.caller);
         let service = match &self.job.resolved.target {
             Target::Model(_) => {
-                let engine = self.job.engine().unwrap_or_default();
-                return resolve_model(shared, caller, engine);
+                let engine_name = self.job.engine_name().unwrap_or_default();
+                return resolve_model(shared, caller, engine_name);
             }
             Target::Service(service) => service,
         };
--- a/crates/entry/src/request/whole.rs
+++ b/crates/entry/src/request/whole.rs
@@ -4,19 +4,19 @@
 use pumicecleat_upstream::{AnswerError, AnswerFault, Whole, check_whole};
 use serde::Deserialize;
 
-use super::attempt::{Part, lost};
-use super::{AnswerHead, Attempt, Exchange, Failure};
+use super::attempt::{BodyPart, lost_failure};
+use super::{Attempt, Exchange, Failure, ResponseHead};
 use crate::fault::Fault;
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct BufferedResponse {
     pub(crate) status: u16,
     pub(crate) headers: Vec<HeaderField>,
     pub(crate) body: Vec<u8>,
 }
 
-impl Answer {
+impl BufferedResponse {
     fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
@@ -25,12 +25,12 @@
 /// An engine's error.
 #[derive(Deserialize)]
 struct EngineError {
-    error: Option<EngineWords>,
+    error: Option<EngineErrorDetail>,
     message: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct EngineWords {
+struct EngineErrorDetail {
     message: Option<String>,
 }
 
@@ -39,52 +39,55 @@
     ///
     /// # Errors
     /// The fault for the caller.
-    pub(crate) async fn whole(&mut self) -> Result<Answer, Fault> {
+    pub(crate) async fn buffered_response(&mut self) -> Result<BufferedResponse, Fault> {
         let timer = self.timer().clone();
         let work = timer
-            .within(self.patience(), Box::pin(self.try_whole()))
+            .within(self.timeout(), Box::pin(self.try_buffered()))
             .await;
         let Ok(result) = work else {
-            return Err(self.late());
+            return Err(self.deadline_fault());
         };
         result
     }
 
-    async fn try_whole(&mut self) -> Result<Answer, Fault> {
+    async fn try_buffered(&mut self) -> Result<BufferedResponse, Fault> {
         loop {
-            match self.one_whole().await {
-                Ok(answer) => return self.accept(answer),
-                Err(failure) => Box::pin(self.settle(failure)).await?,
+            match self.attempt_buffered().await {
+                Ok(response) => return self.accept_response(response),
+                Err(failure) => Box::pin(self.handle_failure(failure)).await?,
             }
         }
     }
 
-    async fn one_whole(&mut self) -> Result<Answer, Failure> {
-        let left = self.left();
-        let (attempt, head) = self.attempt(self.job.body(), left).await?;
-        self.collect(attempt, head).await
+    async fn attempt_buffered(&mut self) -> Result<BufferedResponse, Failure> {
+        let time_left = self.time_left();
+        let (attempt, head) = self
+            .send_attempt(self.job.upstream_body(), time_left)
+            .await?;
+        self.read_response(attempt, head).await
     }
 
     /// Reads an answer to its end.
-    pub(crate) async fn collect(
+    pub(crate) async fn read_response(
         &mut self,
         mut attempt: Attempt,
-        head: AnswerHead,
-    ) -> Result<Answer, Failure> {
+        head: ResponseHead,
+    ) -> Result<BufferedResponse, Failure> {
         let body = match self.read_body(&mut attempt).await {
             Ok(body) => body,
             Err(failure) => return Err(attempt.fail(failure)),
         };
-        match self.check(&attempt, &head, &body) {
-            Ok(Some(whole)) => self.note_usage(whole.usage),
+        match self.check_response(&attempt, &head, &body) {
+            Ok(Some(whole)) => self.record_usage(whole.usage),
             Ok(None) => {}
             Err(failure) => return Err(attempt.fail(failure)),
         }
         attempt.finish(&self.shared).await;
         // An engine that can't take a body ran nothing.
-        let refused = head.is_error() && self.job.engine().is_some();
-        self.history.end(if refused { Ran::No } else { Ran::Yes });
-        Ok(Answer {
+        let refused = head.is_error() && self.job.engine_name().is_some();
+        self.history
+            .end_attempt(if refused { Ran::No } else { Ran::Yes });
+        Ok(BufferedResponse {
             status: head.status,
             headers: head.headers,
             body,
@@ -96,65 +99,68 @@
         loop {
             let part = attempt.next_part();
             match part.await? {
-                Part::End(load) => {
-                    attempt.learn(&self.shared, load);
+                BodyPart::End(load) => {
+                    attempt.update_load(&self.shared, load);
                     return Ok(body);
                 }
-                Part::Data(bytes) if body.is_empty() => body = bytes,
-                Part::Data(bytes) => body.extend_from_slice(&bytes),
+                BodyPart::Data(bytes) if body.is_empty() => body = bytes,
+                BodyPart::Data(bytes) => body.extend_from_slice(&bytes),
             }
             let limit = self.shared.options.answer;
             if body.len() > limit {
                 let error = format!("peer {}: over {limit} bytes", attempt.destination.address);
-                return Err(lost(Ran::Yes, "read answer", error));
+                return Err(lost_failure(Ran::Yes, "read answer", error));
             }
         }
     }
 
     /// What a model's answer tells of itself; `None` for others and for errors.
-    fn check(
+    fn check_response(
         &self,
         attempt: &Attempt,
-        head: &AnswerHead,
+        head: &ResponseHead,
         body: &[u8],
     ) -> Result<Option<Whole>, Failure> {
-        let Some(engine) = self.job.engine() else {
+        let Some(engine_name) = self.job.engine_name() else {
             return Ok(None);
         };
         if head.is_error() {
             return Ok(None);
         }
-        let expect = attempt.expect(&self.job, engine);
+        let expect = attempt.expected_response(&self.job, engine_name);
         let checked = check_whole(expect, body);
-        checked.map(Some).map_err(|e| answer_failure(&e))
+        checked.map(Some).map_err(|e| response_failure(&e))
     }
 
     /// An engine's word on a body that it can't take becomes a fault; all else is passed on.
-    pub(crate) fn accept(&self, answer: Answer) -> Result<Answer, Fault> {
-        if self.job.engine().is_none() || answer.is_success() {
-            return Ok(answer);
+    pub(crate) fn accept_response(
+        &self,
+        response: BufferedResponse,
+    ) -> Result<BufferedResponse, Fault> {
+        if self.job.engine_name().is_none() || response.is_success() {
+            return Ok(response);
         }
-        let message = engine_words(&answer.body);
+        let message = engine_error_message(&response.body);
         let message = message.unwrap_or_else(|| "the engine can't take this body".to_owned());
-        let fault = Fault::bad(answer.status, "engine_refused", message);
-        Err(self.history.truthful(fault))
+        let fault = Fault::bad(response.status, "engine_refused", message);
+        Err(self.history.raise_ran(fault))
     }
 }
 
 /// Failure of an attempt whose answer is wrong.
-pub(crate) fn answer_failure(error: &AnswerError) -> Failure {
+pub(crate) fn response_failure(error: &AnswerError) -> Failure {
     match &error.source {
         AnswerFault::Model { expected, found } | AnswerFault::Crossed { expected, found } => {
             Failure::Mismatch {
-                asked: expected.clone(),
-                answered: found.clone(),
+                expected: expected.clone(),
+                found: found.clone(),
             }
         }
-        _ => lost(Ran::Unknown, "check answer", error.to_string()),
+        _ => lost_failure(Ran::Unknown, "check answer", error.to_string()),
     }
 }
 
-fn engine_words(body: &[u8]) -> Option<String> {
+fn engine_error_message(body: &[u8]) -> Option<String> {
     let error: EngineError = serde_json::from_slice(body).ok()?;
     error.error.and_then(|e| e.message).or(error.message)
 }
--- a/crates/entry/src/stream/mod.rs
+++ b/crates/entry/src/stream/mod.rs
@@ -10,4 +10,4 @@
 mod resume;
 mod splice;
 
-pub(crate) use open::{Opened, open};
+pub(crate) use open::{StreamStart, open_stream};
--- a/crates/entry/src/stream/open.rs
+++ b/crates/entry/src/stream/open.rs
@@ -2,66 +2,66 @@
 
 use pumicecleat_types::Ran;
 
-use super::feed::{Fed, Feed};
+use super::feed::{EventBatch, EventReader};
 use super::relay::Relay;
 use crate::fault::Fault;
-use crate::request::{Answer, Exchange, Failure};
+use crate::request::{BufferedResponse, Exchange, Failure};
 
 /// What a streamed request comes to before anything is sent to its caller.
-pub(crate) enum Opened {
+pub(crate) enum StreamStart {
     /// Bytes are there.
     Stream(Box<Relay>),
     /// The upstream answered by something else than a stream.
-    Whole(Answer, Exchange),
+    Buffered(BufferedResponse, Exchange),
     /// Nothing follows.
     Fault(Fault, Exchange),
 }
 
 /// One attempt's beginning.
-enum Begun {
-    Fed(Box<Feed>, Fed),
-    Whole(Answer),
+enum FirstResponse {
+    Events(Box<EventReader>, EventBatch),
+    Buffered(BufferedResponse),
 }
 
 /// Tries until the first bytes are there, within the deadline.
-pub(crate) async fn open(mut exchange: Exchange) -> Opened {
+pub(crate) async fn open_stream(mut exchange: Exchange) -> StreamStart {
     let timer = exchange.timer().clone();
-    let work = timer.within(exchange.patience(), Box::pin(try_open(&mut exchange)));
+    let work = timer.within(exchange.timeout(), Box::pin(try_open(&mut exchange)));
     match work.await {
-        Ok(Ok(Begun::Fed(feed, first))) => {
-            exchange.history.end(Ran::Yes);
-            Opened::Stream(Box::new(Relay::new(exchange, *feed, first)))
+        Ok(Ok(FirstResponse::Events(reader, first))) => {
+            exchange.history.end_attempt(Ran::Yes);
+            StreamStart::Stream(Box::new(Relay::new(exchange, *reader, first)))
         }
-        Ok(Ok(Begun::Whole(answer))) => match exchange.accept(answer) {
-            Ok(answer) => Opened::Whole(answer, exchange),
-            Err(fault) => Opened::Fault(fault, exchange),
+        Ok(Ok(FirstResponse::Buffered(response))) => match exchange.accept_response(response) {
+            Ok(response) => StreamStart::Buffered(response, exchange),
+            Err(fault) => StreamStart::Fault(fault, exchange),
         },
-        Ok(Err(fault)) => Opened::Fault(fault, exchange),
-        Err(_) => Opened::Fault(exchange.late(), exchange),
+        Ok(Err(fault)) => StreamStart::Fault(fault, exchange),
+        Err(_) => StreamStart::Fault(exchange.deadline_fault(), exchange),
     }
 }
 
-async fn try_open(exchange: &mut Exchange) -> Result<Begun, Fault> {
+async fn try_open(exchange: &mut Exchange) -> Result<FirstResponse, Fault> {
     loop {
-        match one_open(exchange).await {
-            Ok(begun) => return Ok(begun),
-            Err(failure) => Box::pin(exchange.settle(failure)).await?,
+        match attempt_open(exchange).await {
+            Ok(response) => return Ok(response),
+            Err(failure) => Box::pin(exchange.handle_failure(failure)).await?,
         }
     }
 }
 
-async fn one_open(exchange: &mut Exchange) -> Result<Begun, Failure> {
-    let left = exchange.left();
-    let body = exchange.job.body();
+async fn attempt_open(exchange: &mut Exchange) -> Result<FirstResponse, Failure> {
+    let time_left = exchange.time_left();
+    let body = exchange.job.upstream_body();
     // Boxed, as are the parts after it, so that a waiting request holds room for one of them only.
-    let (attempt, head) = Box::pin(exchange.attempt(body, left)).await?;
+    let (attempt, head) = Box::pin(exchange.send_attempt(body, time_left)).await?;
     if head.is_error() {
-        let answer = Box::pin(exchange.collect(attempt, head)).await?;
-        return Ok(Begun::Whole(answer));
+        let response = Box::pin(exchange.read_response(attempt, head)).await?;
+        return Ok(FirstResponse::Buffered(response));
     }
-    let mut feed = Feed::new(attempt, &exchange.job);
-    match Box::pin(feed.next(&exchange.shared)).await {
-        Ok(first) => Ok(Begun::Fed(Box::new(feed), first)),
-        Err(failure) => Err(feed.fail(failure)),
+    let mut reader = EventReader::new(attempt, &exchange.job);
+    match Box::pin(reader.next(&exchange.shared)).await {
+        Ok(first) => Ok(FirstResponse::Events(Box::new(reader), first)),
+        Err(failure) => Err(reader.fail(failure)),
     }
 }
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -10,61 +10,61 @@
 use pumicecleat_types::Ran;
 use pumicecleat_upstream::{Chunk, Progress};
 
-use super::feed::{Fed, Feed};
+use super::feed::{EventBatch, EventReader};
 use super::splice::Splice;
 use crate::fault::Fault;
 use crate::request::{Exchange, Failure};
 
 /// Time for the error event to leave before the connection closes.
-const ERROR_SPAN: Duration = Duration::from_millis(20);
+const ERROR_FLUSH_DELAY: Duration = Duration::from_millis(20);
 
 /// A stream under way.
 pub(crate) struct Relay {
     pub(super) exchange: Exchange,
     /// Attempt under way.
-    pub(super) feed: Option<Feed>,
+    pub(super) reader: Option<EventReader>,
     /// What was passed on.
     pub(super) progress: Progress,
     /// First event passed on, which later attempts' events are fitted to.
-    pub(super) first: Vec<u8>,
+    pub(super) first_event: Vec<u8>,
     /// Fits the events of a second attempt.
     pub(super) splice: Option<Splice>,
     /// A finish reason was passed on.
     pub(super) finished: bool,
     /// Streams gone on with so far.
-    pub(super) resumes: u32,
+    pub(super) resume_count: u32,
     /// Bytes to pass on before all else.
-    ready: Option<Bytes>,
-    stage: Stage,
+    pending: Option<Bytes>,
+    state: RelayState,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum RelayState {
     Open,
     /// Nothing follows.
-    Whole,
+    Complete,
     /// Nothing follows, and the connection closes without its last chunk.
     Broken,
 }
 
 impl Relay {
     /// Stream that has come to its first events.
-    pub(super) fn new(exchange: Exchange, feed: Feed, first: Fed) -> Self {
+    pub(super) fn new(exchange: Exchange, reader: EventReader, first_batch: EventBatch) -> Self {
         exchange.shared.meters.stream_opened();
-        exchange.note_first();
+        exchange.record_first_byte();
         let mut relay = Self {
             exchange,
-            feed: Some(feed),
+            reader: Some(reader),
             progress: Progress::default(),
-            first: Vec::new(),
+            first_event: Vec::new(),
             splice: None,
             finished: false,
-            resumes: 0,
-            ready: None,
-            stage: Stage::Open,
+            resume_count: 0,
+            pending: None,
+            state: RelayState::Open,
         };
-        if let Fed::Chunks(chunks) = first {
-            relay.ready = relay.pass(chunks);
+        if let EventBatch::Chunks(chunks) = first_batch {
+            relay.pending = relay.forward(chunks);
         }
         relay
     }
@@ -76,19 +76,19 @@
 
     /// The body.
     pub(crate) fn into_body(self: Box<Self>) -> Body {
-        Body::Stream(Box::pin(unfold(self, Self::pull)))
+        Body::Stream(Box::pin(unfold(self, Self::next_bytes)))
     }
 
-    async fn pull(mut self: Box<Self>) -> Option<(Result<Bytes, BodyError>, Box<Self>)> {
+    async fn next_bytes(mut self: Box<Self>) -> Option<(Result<Bytes, BodyError>, Box<Self>)> {
         loop {
-            if let Some(bytes) = self.ready.take() {
+            if let Some(bytes) = self.pending.take() {
                 return Some((Ok(bytes), self));
             }
-            match self.stage {
-                Stage::Open => self.step().await,
-                Stage::Whole => return None,
-                Stage::Broken => {
-                    self.exchange.timer().sleep(ERROR_SPAN).await;
+            match self.state {
+                RelayState::Open => self.advance().await,
+                RelayState::Complete => return None,
+                RelayState::Broken => {
+                    self.exchange.timer().sleep(ERROR_FLUSH_DELAY).await;
                     let detail = "no whole answer".to_owned();
                     return Some((Err(BodyError::Broken { detail }), self));
                 }
@@ -96,73 +96,73 @@
         }
     }
 
-    async fn step(&mut self) {
-        let Some(feed) = &mut self.feed else {
-            return self.stage = Stage::Broken;
+    async fn advance(&mut self) {
+        let Some(reader) = &mut self.reader else {
+            return self.state = RelayState::Broken;
         };
-        match feed.next(&self.exchange.shared).await {
-            Ok(Fed::Chunks(chunks)) => self.ready = self.pass(chunks),
+        match reader.next(&self.exchange.shared).await {
+            Ok(EventBatch::Chunks(chunks)) => self.pending = self.forward(chunks),
             // Boxed, as each open stream would hold room for them.
-            Ok(Fed::End(done)) => Box::pin(self.end(done)).await,
+            Ok(EventBatch::End(end_event)) => Box::pin(self.complete(end_event)).await,
             Err(failure) => Box::pin(self.recover(failure)).await,
         }
     }
 
-    async fn end(&mut self, done: Vec<u8>) {
-        if let Some(feed) = self.feed.take() {
-            self.note_usage(&feed);
-            feed.finish(&self.exchange.shared).await;
+    async fn complete(&mut self, end_event: Vec<u8>) {
+        if let Some(reader) = self.reader.take() {
+            self.record_usage(&reader);
+            reader.finish(&self.exchange.shared).await;
         }
-        self.exchange.history.end(Ran::Yes);
-        self.exchange.note_whole();
-        self.ready = Some(done.into());
-        self.stage = Stage::Whole;
+        self.exchange.history.end_attempt(Ran::Yes);
+        self.exchange.record_completion();
+        self.pending = Some(end_event.into());
+        self.state = RelayState::Complete;
     }
 
     /// Counts of an answer that was gone on with are of its last part only.
-    fn note_usage(&self, feed: &Feed) {
-        if self.resumes == 0 {
-            self.exchange.note_usage(feed.usage);
+    fn record_usage(&self, reader: &EventReader) {
+        if self.resume_count == 0 {
+            self.exchange.record_usage(reader.usage);
         }
     }
 
     async fn recover(&mut self, failure: Failure) {
-        let failure = match self.feed.take() {
-            Some(feed) => feed.fail(failure),
+        let failure = match self.reader.take() {
+            Some(reader) => reader.fail(failure),
             None => failure,
         };
-        self.exchange.note_failure(&failure);
+        self.exchange.record_failure(&failure);
         if let Err(error) = self.resume(&failure).await {
-            self.cut(&error);
+            self.end_broken(&error);
         }
     }
 
     /// Ends the stream visibly broken.
-    fn cut(&mut self, error: &str) {
+    fn end_broken(&mut self, error: &str) {
         let fault = Fault {
             code: "stream_broken",
             ran: Ran::Yes,
             ..Fault::unknown("the answer broke off and can't be gone on with")
         };
-        self.exchange.note_cut(&fault, error);
+        self.exchange.record_broken_stream(&fault, error);
         let mut event = b"data: ".to_vec();
         event.extend_from_slice(&fault.body());
         event.extend_from_slice(b"\n\n");
-        self.ready = Some(event.into());
-        self.stage = Stage::Broken;
+        self.pending = Some(event.into());
+        self.state = RelayState::Broken;
     }
 
     /// Bytes of checked events for the caller; `None` if none is left to pass on.
-    pub(super) fn pass(&mut self, chunks: Vec<Chunk>) -> Option<Bytes> {
+    pub(super) fn forward(&mut self, chunks: Vec<Chunk>) -> Option<Bytes> {
         let mut out: Vec<u8> = Vec::new();
         for mut chunk in chunks {
             if let Some(splice) = &mut self.splice
-                && !splice.fit(&mut chunk)
+                && !splice.rewrite(&mut chunk)
             {
                 continue;
             }
-            if self.first.is_empty() {
-                self.first.clone_from(&chunk.raw);
+            if self.first_event.is_empty() {
+                self.first_event.clone_from(&chunk.raw);
             }
             self.finished |= chunk.finish.is_some();
             self.progress.add(&chunk);
--- a/crates/entry/src/stream/resume.rs
+++ b/crates/entry/src/stream/resume.rs
@@ -5,16 +5,16 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{Millis, Ran};
 
-use super::feed::Feed;
+use super::feed::EventReader;
 use super::relay::Relay;
 use super::splice::Splice;
-use crate::request::{Content, Failure};
+use crate::request::{Failure, RequestBody};
 
 /// Attempts to go on with one stream, over its whole life.
-const RESUMES: u32 = 4;
+const MAX_RESUMES: u32 = 4;
 
 /// Least time that a resumed attempt is given: a stream may outlast its deadline once it flows.
-const LEAST: Millis = Millis(5_000);
+const MIN_RESUME_TIME: Millis = Millis(5_000);
 
 impl Relay {
     /// Goes on at another upstream.
@@ -26,59 +26,59 @@
         if self.finished {
             return Err(format!("{cause}; all text was passed on"));
         }
-        let left = self.exchange.left().max(LEAST);
+        let time_left = self.exchange.time_left().max(MIN_RESUME_TIME);
         let timer = self.exchange.timer().clone();
-        let work = self.try_resume(&cause, left);
-        let result = timer.within(Duration::from_millis(left.0), work).await;
+        let work = self.try_resume(&cause, time_left);
+        let result = timer.within(Duration::from_millis(time_left.0), work).await;
         result.unwrap_or_else(|_| Err(format!("{cause}; no upstream went on in time")))
     }
 
-    async fn try_resume(&mut self, cause: &str, left: Millis) -> Result<(), String> {
-        let from = self.exchange.upstream().to_owned();
-        while self.resumes < RESUMES {
-            self.resumes += 1;
-            let body = self.resumed_body().map_err(|e| format!("{cause}; {e}"))?;
-            match self.exchange.attempt(body, left).await {
+    async fn try_resume(&mut self, cause: &str, time_left: Millis) -> Result<(), String> {
+        let from = self.exchange.last_upstream().to_owned();
+        while self.resume_count < MAX_RESUMES {
+            self.resume_count += 1;
+            let body = self.resume_body().map_err(|e| format!("{cause}; {e}"))?;
+            match self.exchange.send_attempt(body, time_left).await {
                 Ok((attempt, head)) if !head.is_error() => {
-                    self.feed = Some(Feed::new(attempt, &self.exchange.job));
-                    self.splice = Some(Splice::new(&self.first, &self.progress));
-                    self.exchange.history.end(Ran::Yes);
-                    self.note_resumed(&from);
+                    self.reader = Some(EventReader::new(attempt, &self.exchange.job));
+                    self.splice = Some(Splice::new(&self.first_event, &self.progress));
+                    self.exchange.history.end_attempt(Ran::Yes);
+                    self.record_resume(&from);
                     return Ok(());
                 }
                 Ok((_, head)) => {
-                    self.exchange.history.end(Ran::Yes);
+                    self.exchange.history.end_attempt(Ran::Yes);
                     return Err(format!("{cause}; engine status {}", head.status));
                 }
                 Err(failure) => {
-                    self.exchange.note_failure(&failure);
+                    self.exchange.record_failure(&failure);
                     if failure.is_final() {
                         return Err(format!("{cause}; {}", describe(&failure)));
                     }
                 }
             }
         }
-        Err(format!("{cause}; gone on with {RESUMES} times already"))
+        Err(format!("{cause}; gone on with {MAX_RESUMES} times already"))
     }
 
-    fn resumed_body(&self) -> Result<Vec<u8>, String> {
+    fn resume_body(&self) -> Result<Vec<u8>, String> {
         let job = &self.exchange.job;
-        let Content::Chat(chat) = &job.content else {
+        let RequestBody::Chat(chat) = &job.body else {
             return Err("no chat request".to_owned());
         };
-        let engine = job.engine().unwrap_or_default();
-        let rendered = chat.render_resumed(engine, job.engine_priority(), &self.progress);
+        let engine_name = job.engine_name().unwrap_or_default();
+        let rendered = chat.render_resumed(engine_name, job.engine_priority(), &self.progress);
         rendered.map_err(|barrier| barrier.to_string())
     }
 
-    fn note_resumed(&self, from: &str) {
+    fn record_resume(&self, from: &str) {
         let exchange = &self.exchange;
         exchange.shared.meters.resumed();
         let fields = [
-            field("request", &exchange.job.request),
+            field("request", &exchange.job.request_id),
             field("attempt", exchange.history.attempts),
             field("from", from),
-            field("upstream", exchange.upstream()),
+            field("upstream", exchange.last_upstream()),
             field("tokens", self.progress.tokens),
         ];
         exchange.shared.log.emit(&events::REQUEST_RESUMED, &fields);
--- a/crates/entry/src/stream/splice.rs
+++ b/crates/entry/src/stream/splice.rs
@@ -10,41 +10,41 @@
 #[derive(Debug)]
 pub(super) struct Splice {
     /// Fields of the first answer that hold for all.
-    same: Map<String, Value>,
+    shared_fields: Map<String, Value>,
     /// Tokens passed on before.
-    tokens: u64,
+    earlier_tokens: u64,
 }
 
 /// Fields that are the same in all events of one answer.
-const SAME: [&str; 3] = ["id", "created", "system_fingerprint"];
+const SHARED_FIELDS: [&str; 3] = ["id", "created", "system_fingerprint"];
 
 impl Splice {
     /// Fits events to an answer that began by `first` and came as far as `progress`.
-    pub(super) fn new(first: &[u8], progress: &Progress) -> Self {
-        let event = read_event(first).unwrap_or_default();
-        let same = event
+    pub(super) fn new(first_event: &[u8], progress: &Progress) -> Self {
+        let event = read_event(first_event).unwrap_or_default();
+        let shared_fields = event
             .into_iter()
-            .filter(|(name, _)| SAME.contains(&name.as_str()));
+            .filter(|(name, _)| SHARED_FIELDS.contains(&name.as_str()));
         Self {
-            same: same.collect(),
-            tokens: progress.tokens,
+            shared_fields: shared_fields.collect(),
+            earlier_tokens: progress.tokens,
         }
     }
 
     /// Fits an event; false if nothing of it is left to pass on.
-    pub(super) fn fit(&mut self, chunk: &mut Chunk) -> bool {
+    pub(super) fn rewrite(&mut self, chunk: &mut Chunk) -> bool {
         let Some(mut event) = read_event(&chunk.raw) else {
             return true;
         };
-        for (name, value) in &self.same {
+        for (name, value) in &self.shared_fields {
             event.insert(name.clone(), value.clone());
         }
-        self.add_tokens(&mut event);
+        self.adjust_usage(&mut event);
         if let Some(usage) = &mut chunk.usage {
-            usage.completion += self.tokens;
+            usage.completion += self.earlier_tokens;
         }
-        let was_role = drop_role(&mut event);
-        if was_role && is_idle(&event, chunk) {
+        let had_role = remove_role(&mut event);
+        if had_role && is_empty_event(&event, chunk) {
             return false;
         }
         chunk.raw = write_event(&event);
@@ -52,15 +52,15 @@
     }
 
     /// The prompt of a resumed attempt holds the text before; its tokens belong to the answer.
-    fn add_tokens(&self, event: &mut Map<String, Value>) {
+    fn adjust_usage(&self, event: &mut Map<String, Value>) {
         let Some(Value::Object(usage)) = event.get_mut("usage") else {
             return;
         };
         let count = |usage: &Map<String, Value>, name| usage.get(name).and_then(Value::as_u64);
         let prompt = count(usage, "prompt_tokens").unwrap_or(0);
         let answer = count(usage, "completion_tokens").unwrap_or(0);
-        let prompt = prompt.saturating_sub(self.tokens);
-        let answer = answer + self.tokens;
+        let prompt = prompt.saturating_sub(self.earlier_tokens);
+        let answer = answer + self.earlier_tokens;
         usage.insert("prompt_tokens".to_owned(), json!(prompt));
         usage.insert("completion_tokens".to_owned(), json!(answer));
         usage.insert("total_tokens".to_owned(), json!(prompt + answer));
@@ -68,7 +68,7 @@
 }
 
 /// Takes the opening role out; tells whether there was one.
-fn drop_role(event: &mut Map<String, Value>) -> bool {
+fn remove_role(event: &mut Map<String, Value>) -> bool {
     let choice = event.get_mut("choices").and_then(|c| c.get_mut(0));
     let delta = choice.and_then(|c| c.get_mut("delta"));
     let delta = delta.and_then(Value::as_object_mut);
@@ -76,7 +76,7 @@
 }
 
 /// Whether an event without its role says nothing.
-fn is_idle(event: &Map<String, Value>, chunk: &Chunk) -> bool {
+fn is_empty_event(event: &Map<String, Value>, chunk: &Chunk) -> bool {
     let usage = event.get("usage").is_some_and(|u| !u.is_null());
     chunk.content.is_empty() && chunk.finish.is_none() && !chunk.extra && !usage
 }
