--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one side.
+//! A single attempt to run a request at a side.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,28 +15,29 @@
 use crate::directory::Destination;
 use crate::shared::Shared;
 
-/// Time for a side to take a connection and answer its head, which it does at once.
+/// Time limit for the connection to a side and its response head, which a side sends at once.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two looks at whether a side still reports.
+/// Interval between checks whether a side still reports.
 const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Looks in a row that must find reports overdue: after a pause of this process one does.
+/// Number of consecutive checks that must find the reports overdue. After a pause of this process,
+/// a single check may find them overdue.
 const MAX_OVERDUE_CHECKS: u32 = 2;
 
-/// Time for the proper end of a body that has shown its last frame.
+/// Time limit for the end of a body after its last frame.
 const BODY_END_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// First status of an error.
+/// Lowest status of an error.
 const MIN_ERROR_STATUS: u16 = 400;
 
-/// First status of an upstream's own fault.
+/// Lowest status of a server error.
 const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
-/// Status by which an engine denies a model.
+/// Status of an engine that does not have the model.
 const MODEL_NOT_FOUND_STATUS: u16 = 404;
 
-/// An attempt under way. Dropping it resets its HTTP/2 stream, and the side cancels it.
+/// An attempt in progress. Dropping it resets its HTTP/2 stream, upon which the side cancels it.
 pub(crate) struct Attempt {
     pub(crate) destination: Destination,
     frames: FrameReader,
@@ -44,7 +45,7 @@
     guard: AttemptGuard,
 }
 
-/// Start of an answer.
+/// Status and headers of a response.
 #[derive(Clone, Debug)]
 pub(crate) struct ResponseHead {
     pub(crate) status: u16,
@@ -52,20 +53,20 @@
 }
 
 impl ResponseHead {
-    /// Whether the upstream answers by an error.
+    /// Whether the upstream returned an error.
     pub(crate) fn is_error(&self) -> bool {
         self.status >= MIN_ERROR_STATUS
     }
 }
 
-/// What follows the start of an answer.
+/// Item that follows the head of a response.
 pub(crate) enum BodyPart {
     Data(Vec<u8>),
     End(Option<LoadFigures>),
 }
 
 impl Attempt {
-    /// Sends an attempt and waits for the start of its answer.
+    /// Sends an attempt and waits for the head of its response.
     pub(crate) async fn open(
         shared: &Rc<Shared>,
         outgoing: OutgoingAttempt<'_>,
@@ -76,7 +77,7 @@
         let destination = outgoing.destination.clone();
         let request = outgoing.into_request();
         let address = &destination.address;
-        // Boxed, as it is large and ends long before the answer's start may come.
+        // Boxed because the future is large and completes long before the response head may arrive.
         let response = Box::pin(shared.runs.send(address, request, HEAD_TIMEOUT)).await;
         let response = match response {
             Ok(response) => response,
@@ -99,12 +100,12 @@
         }
     }
 
-    /// Next part of the answer, if it comes in the time that a stalled upstream is given.
+    /// Returns the next part of the body. Fails if nothing arrives within the stall timeout.
     pub(crate) async fn next_part(&mut self) -> Result<BodyPart, Failure> {
         let next = self.stall.within(self.frames.next()).await;
         let Ok(next) = next else {
             let span = self.stall.span();
-            let error = format!("peer {}: silent for {span:?}", self.destination.address);
+            let error = format!("peer {}: no data for {span:?}", self.destination.address);
             return Err(stalled_failure("read answer", error));
         };
         match self.require_frame(next)? {
@@ -112,13 +113,13 @@
             Frame::End { load } => Ok(BodyPart::End(load)),
             Frame::Broken { ran, step, detail } => Err(self.broken_failure(ran, &step, &detail)),
             Frame::Head { .. } | Frame::Refused(_) => {
-                let error = format!("peer {}: frame out of place", self.destination.address);
+                let error = format!("peer {}: unexpected frame", self.destination.address);
                 Err(lost_failure(Ran::Unknown, "read answer", error))
             }
         }
     }
 
-    /// What an answer to this attempt must say of itself.
+    /// Values that a response to this attempt must contain.
     pub(crate) fn expected_response<'a>(
         &'a self,
         job: &'a Job,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Takes in load figures that came with the answer.
+    /// Applies the load figures that the response carried.
     pub(crate) fn update_load(&self, shared: &Shared, load: Option<LoadFigures>) {
         if let Some(load) = load {
             let now = shared.timer.now();
@@ -140,9 +141,9 @@
         }
     }
 
-    /// Ends an attempt that was answered whole, and keeps its connection.
+    /// Ends an attempt whose response is complete, and keeps its connection.
     pub(crate) async fn finish(mut self, shared: &Shared) {
-        // A side that is slow to end its body only loses the connection.
+        // If the side ends its body too late, only the connection is lost.
         let _ = shared
             .timer
             .within(BODY_END_TIMEOUT, self.frames.next())
@@ -150,7 +151,7 @@
         self.guard.outcome = Some(AttemptOutcome::Completed);
     }
 
-    /// Ends an attempt that failed.
+    /// Ends a failed attempt.
     pub(crate) fn fail(mut self, failure: Failure) -> Failure {
         self.guard.outcome = Some(failure.outcome());
         failure
@@ -182,13 +183,17 @@
             Frame::Refused(refusal) => Err(Failure::Refused(refusal)),
             Frame::Broken { ran, step, detail } => Err(self.broken_failure(ran, &step, &detail)),
             Frame::Data { .. } | Frame::End { .. } => {
-                let error = format!("peer {}: no head", self.destination.address);
+                let error = format!(
+                    "peer {}: first frame is not a head",
+                    self.destination.address
+                );
                 Err(lost_failure(Ran::Unknown, "read head", error))
             }
         }
     }
 
-    /// First frame; the side may hold it back while the request waits, as long as it reports.
+    /// Waits for the first frame. The side may delay it while the request is queued, as long as it
+    /// sends its reports.
     async fn first_frame(&mut self, shared: &Shared) -> Result<Frame, Failure> {
         let mut overdue_checks = 0;
         while overdue_checks < MAX_OVERDUE_CHECKS {
@@ -233,7 +238,7 @@
         match next {
             Ok(Some(frame)) => Ok(frame),
             Ok(None) => {
-                let error = format!("peer {address}: frames end without End");
+                let error = format!("peer {address}: frames end without an end frame");
                 Err(lost_failure(Ran::Unknown, "read answer", error))
             }
             Err(e) => {
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -1,4 +1,4 @@
-//! A request with its history, and the next attempt of it.
+//! A request with its history, and the sending of its next attempt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 use crate::meters::End;
 use crate::shared::Shared;
 
-/// Time beyond the deadline for a side's own word on it.
+/// Time after the deadline in which the side can still report what became of the request.
 const DEADLINE_GRACE: Millis = Millis(250);
 
-/// One request from its head to the end of its answer.
+/// A request from its head to the end of its response.
 pub(crate) struct Exchange {
     pub(crate) shared: Rc<Shared>,
     pub(crate) job: Job,
     pub(crate) history: History,
-    /// How it ended, once it has.
+    /// Whether the end has been recorded.
     ended: bool,
-    /// Keeps the process from stopping.
+    /// Delays the stop of the process until the exchange ends.
     _guard: DrainGuard,
 }
 
@@ -58,12 +58,12 @@
         self.job.time_left(self.timer().now())
     }
 
-    /// Time after which the entry itself gives up.
+    /// Time after which the entry stops waiting for the sides.
     pub(crate) fn timeout(&self) -> Duration {
         Duration::from_millis((self.time_left() + DEADLINE_GRACE).0)
     }
 
-    /// Sends the next attempt with `body` and waits for the start of its answer.
+    /// Sends the next attempt with `body` and waits for the head of its response.
     pub(crate) async fn send_attempt(
         &mut self,
         body: Vec<u8>,
@@ -78,7 +78,7 @@
             time_left,
             body,
         };
-        // Boxed, as it is large and only lives until the answer starts.
+        // Boxed because the future is large and only needed until the response starts.
         Box::pin(Attempt::open(&self.shared, outgoing)).await
     }
 
@@ -104,17 +104,17 @@
         }
     }
 
-    /// Counts the tokens of a whole answer, if its engine tells.
+    /// Counts the tokens of a complete response, if the engine reports them.
     pub(crate) fn record_usage(&self, usage: Option<Usage>) {
         if let Some(usage) = usage {
             self.shared.meters.prompt(&usage);
         }
     }
 
-    /// Fault at the entry's own time limit.
+    /// Fault returned when the time limit of the entry expires.
     pub(crate) fn deadline_fault(&self) -> Fault {
         let ran = self.history.ran();
-        let message = "no whole answer before the deadline";
+        let message = "no complete response before the deadline";
         Fault {
             status: 504,
             ran,
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Notes that the first bytes of the answer are there.
+    /// Records the arrival of the first bytes of the response.
     pub(crate) fn record_first_byte(&self) {
         let elapsed = self.timer().now().since(self.job.received_at);
         self.shared.meters.first(elapsed);
     }
 
-    /// Notes that the answer is whole.
+    /// Records that the response is complete.
     pub(crate) fn record_completion(&mut self) {
         let elapsed = self.record_end(End::Whole, "");
         let fields = [
@@ -142,7 +142,7 @@
         self.shared.log.emit(&events::REQUEST_DONE, &fields);
     }
 
-    /// Notes the fault that answers the request.
+    /// Records the fault that is returned to the caller.
     pub(crate) fn record_fault(&mut self, fault: &Fault) {
         self.record_end(End::Fault, fault.code);
         if fault.ran != Ran::No {
@@ -159,7 +159,7 @@
         self.shared.log.emit(&events::REQUEST_REFUSED, &fields);
     }
 
-    /// Notes that the stream ends visibly broken.
+    /// Records that the stream ended with an error.
     pub(crate) fn record_broken_stream(&mut self, fault: &Fault, error: &str) {
         self.record_end(End::Broken, fault.code);
         self.log_broken("stream", fault.ran, error);
--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -1,40 +1,40 @@
-//! How an attempt failed.
+//! Classification of failed attempts.
 
 use pumicecleat_policy::AttemptOutcome;
 use pumicecleat_types::{Millis, Ran, Reason, Refusal};
 
 use crate::fault::{Fault, RETRY, reason_code};
 
-/// How an attempt failed, or why there was none.
+/// Reason why an attempt failed or could not be sent.
 #[derive(Clone, Debug)]
 pub(crate) enum Failure {
-    /// No upstream may get work.
+    /// No upstream is available.
     NoUpstream { retry_after: Millis },
-    /// Every upstream is too late.
+    /// No upstream can meet the deadline.
     DeadlineUnreachable { retry_after: Millis },
-    /// The side refused: not run.
+    /// The side refused the attempt.
     Refused(Refusal),
-    /// No whole answer came.
+    /// The response was not received completely.
     Lost(Loss),
-    /// Answer of another request, adapter or version.
+    /// The response belongs to another request, adapter or version.
     Mismatch { expected: String, found: String },
 }
 
-/// An attempt without a whole answer.
+/// Details of an attempt without a complete response.
 #[derive(Clone, Debug)]
 pub(crate) struct Loss {
-    /// Whether it ran.
+    /// Whether the request ran.
     pub(crate) ran: Ran,
-    /// Nothing came in time, where a connection stood.
+    /// Whether a time limit expired, as opposed to an error of the connection or the response.
     pub(crate) stalled: bool,
-    /// Step at which it failed.
+    /// Step that failed.
     pub(crate) step: String,
-    /// Detail for people, with the peer.
+    /// Human-readable detail that names the peer.
     pub(crate) error: String,
 }
 
 impl Failure {
-    /// Whether the attempt ran.
+    /// Whether the request ran in this attempt.
     pub(crate) fn ran(&self) -> Ran {
         match self {
             Self::NoUpstream { .. } | Self::DeadlineUnreachable { .. } => Ran::No,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Stable word for the cause.
+    /// Stable name of the cause in logs and metrics.
     pub(crate) fn cause(&self) -> &'static str {
         match self {
             Self::NoUpstream { .. } => "no_upstream",
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What the router learns.
+    /// Outcome that is reported to the router.
     pub(crate) fn outcome(&self) -> AttemptOutcome {
         match self {
             Self::Refused(refusal) => AttemptOutcome::Refused(refusal.reason, refusal.load),
@@ -65,11 +65,11 @@
         }
     }
 
-    /// What the caller is told if nothing follows.
+    /// Fault for the caller if the request is not retried.
     pub(crate) fn to_fault(&self) -> Fault {
         match self {
             Self::NoUpstream { retry_after } => {
-                Fault::later("no_upstream", "no upstream may take work", *retry_after)
+                Fault::later("no_upstream", "no upstream is available", *retry_after)
             }
             Self::DeadlineUnreachable { retry_after } => Fault {
                 status: 429,
@@ -81,11 +81,13 @@
             },
             Self::Refused(refusal) => Fault::of_refusal(refusal),
             Self::Lost(loss) => Self::loss_fault(loss),
-            Self::Mismatch { .. } => Fault::unknown("the upstream answered another request"),
+            Self::Mismatch { .. } => {
+                Fault::unknown("the upstream's response does not match the request")
+            }
         }
     }
 
-    /// Whether no other side would say otherwise.
+    /// Whether a retry is pointless because it would fail in the same way at every other side.
     pub(crate) fn is_final(&self) -> bool {
         match self {
             Self::NoUpstream { .. } | Self::DeadlineUnreachable { .. } => true,
@@ -100,7 +102,10 @@
         }
         Fault {
             ran: loss.ran,
-            ..Fault::unknown(format!("the upstream's answer broke off: {}", loss.step))
+            ..Fault::unknown(format!(
+                "the upstream's response was interrupted: {}",
+                loss.step
+            ))
         }
     }
 }
--- a/crates/entry/src/request/history.rs
+++ b/crates/entry/src/request/history.rs
@@ -1,27 +1,28 @@
-//! What became of a request so far.
+//! State of a request over its attempts.
 
 use pumicecleat_policy::UpstreamIx;
 use pumicecleat_types::{Ran, VmId};
 
 use crate::fault::Fault;
 
-/// What became of a request so far, over all its attempts.
+/// State of a request over its attempts.
 pub(crate) struct History {
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub(crate) attempts: u32,
-    /// Upstreams not to be chosen again.
+    /// Upstreams that are excluded from the choice.
     pub(crate) tried: Vec<UpstreamIx>,
     /// Upstream of the last attempt.
     pub(crate) last_upstream: Option<VmId>,
-    /// Whether an attempt that has ended ran.
+    /// Whether the request ran in any attempt that has ended.
     ran: Ran,
-    /// An attempt is under way.
+    /// Whether an attempt is in progress.
     in_progress: bool,
-    /// The one more attempt that a key allows was made.
-    pub(crate) key_retry_used: bool,
-    /// The one more attempt at the same side after differing configurations was made.
-    pub(crate) same_side_retry_used: bool,
-    /// Fault of the last attempt that failed.
+    /// Whether the single retry that an idempotency key allows has been used.
+    pub(crate) key_retried: bool,
+    /// Whether the single retry at a side that refused because of differing configurations has been
+    /// used.
+    pub(crate) side_retried: bool,
+    /// Fault of the last failed attempt.
     pub(crate) last_fault: Option<Fault>,
 }
 
@@ -33,13 +34,13 @@
             last_upstream: None,
             ran: Ran::No,
             in_progress: false,
-            key_retry_used: false,
-            same_side_retry_used: false,
+            key_retried: false,
+            side_retried: false,
             last_fault: None,
         }
     }
 
-    /// Starts another attempt and gives its number.
+    /// Starts another attempt and returns its number.
     pub(crate) fn start_attempt(&mut self, up: UpstreamIx, vm: &VmId) -> u32 {
         self.attempts += 1;
         self.tried.push(up);
@@ -48,13 +49,13 @@
         self.attempts
     }
 
-    /// Ends the attempt under way.
+    /// Ends the attempt in progress.
     pub(crate) fn end_attempt(&mut self, ran: Ran) {
         self.in_progress = false;
         self.ran = self.ran.max(ran);
     }
 
-    /// Whether the request ran, as far as can be told: never `No` if any attempt may have run.
+    /// Whether the request ran, as far as is known. Never `No` if it may have run in any attempt.
     pub(crate) fn ran(&self) -> Ran {
         if self.in_progress {
             return self.ran.max(Ran::Unknown);
@@ -62,7 +63,7 @@
         self.ran
     }
 
-    /// A fault made truthful over all attempts.
+    /// Returns `fault`, corrected if the request may have run in an earlier attempt.
     pub(crate) fn raise_ran(&self, fault: Fault) -> Fault {
         match self.ran() {
             Ran::No => fault,
--- a/crates/entry/src/request/job.rs
+++ b/crates/entry/src/request/job.rs
@@ -1,4 +1,4 @@
-//! What a caller asked.
+//! Content of a request.
 
 use pumicecleat_ledger::Key;
 use pumicecleat_policy::{PromptAffinity, part_key};
@@ -7,48 +7,48 @@
 
 use super::ResolvedTarget;
 
-/// What a caller asked, the same in every attempt.
+/// Content of a request, which is the same in every attempt.
 pub(crate) struct Job {
     pub(crate) request_id: RequestId,
     pub(crate) caller: CallerId,
     pub(crate) resolved: ResolvedTarget,
-    /// When the request's head came.
+    /// Time at which the head of the request arrived.
     pub(crate) received_at: Millis,
     pub(crate) deadline: Millis,
-    /// Higher first.
+    /// Requests of higher priority are served first.
     pub(crate) priority: u8,
-    /// Answer token by token.
+    /// Whether the response is streamed.
     pub(crate) stream: bool,
-    /// Tokens the answer may have; 1 for a plain service.
+    /// Maximum number of tokens in the response; 1 for a plain service.
     pub(crate) max_tokens: u32,
     pub(crate) idempotency_key: Option<String>,
     pub(crate) retry_mode: RetryMode,
     pub(crate) body: RequestBody,
-    /// Prompt, of a chat.
+    /// Affinity of the prompt of a chat request.
     pub(crate) prompt: Option<PromptAffinity>,
 }
 
 /// Body of a request.
 pub(crate) enum RequestBody {
-    /// Of a chat request.
+    /// Body of a chat request.
     Chat(Box<ChatBody>),
-    /// Of a call of a plain service.
+    /// Body of a call of a plain service.
     Plain(Vec<u8>),
 }
 
-/// Whether an attempt that may have run can be followed by another.
+/// Whether a request may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryMode {
-    /// Idempotent.
+    /// Always, because the request is idempotent.
     Idempotent,
-    /// Once, as the sides settle by the key what took effect.
+    /// Once, because the sides use the idempotency key to determine which attempt took effect.
     OnceByKey,
     /// Never.
     Never,
 }
 
 impl Job {
-    /// Engine name asked for, if a model is.
+    /// Requested model by its name at the engine; `None` for a plain service.
     pub(crate) fn engine_name(&self) -> Option<&str> {
         self.resolved.engine_name.as_deref()
     }
@@ -58,24 +58,25 @@
         self.deadline.since(now)
     }
 
-    /// Priority in the engines' terms: lower first.
+    /// Priority for the engine, where lower values are served first.
     pub(crate) fn engine_priority(&self) -> i32 {
         -i32::from(self.priority)
     }
 
-    /// Key of the part of the pool's keys that the request's is in, if there are several: calls of
-    /// one part go to the same side where they can, so that few sides read it.
+    /// Key by which sides are ranked for this request: that of the part to which its idempotency
+    /// key belongs, if the keys of the pool have several parts. Calls of one part go to the same
+    /// side where possible, so that few sides read that part.
     pub(crate) fn affinity_key(&self) -> Option<u64> {
         let key_parts = self.resolved.key_parts;
         if key_parts == 1 || self.retry_mode != RetryMode::OnceByKey {
             return None;
         }
-        // A text that is no key is refused by the side, whichever it is.
+        // Every side refuses an invalid key, so the choice does not matter.
         let key = Key::parse(&self.caller, self.idempotency_key.as_deref()?).ok()?;
         Some(part_key(&self.resolved.pool, key.part(key_parts)))
     }
 
-    /// Body for the upstream.
+    /// Body that is sent to the upstream.
     pub(crate) fn upstream_body(&self) -> Vec<u8> {
         match &self.body {
             RequestBody::Chat(chat) => chat.render(
--- a/crates/entry/src/request/mod.rs
+++ b/crates/entry/src/request/mod.rs
@@ -1,10 +1,11 @@
-//! One request: attempts at sides until one is answered whole, or a truthful fault.
+//! Processing of one request: attempts are sent to sides until one returns a complete response or
+//! no further attempt is allowed.
 //!
-//! `job` is what the caller asked, `history` what became of it so far, `resolve` finds its target in
-//! the configuration. `attempt` makes one attempt and reads its frames: `outgoing` is what it sends,
-//! `sent` counts it with the router, `prompt` reads what the choice heeds of its prompt. `failure`
-//! tells how one failed, `settle` decides what follows,
-//! `whole` collects an answer that is not streamed.
+//! `job` holds the request, `history` the state of its attempts, and `resolve` looks up its target
+//! in the configuration. `attempt` sends one attempt and reads its frames: `outgoing` builds the
+//! message, `sent` reports the attempt to the router, and `prompt` computes the prompt's affinity
+//! for the choice of upstream. `failure` classifies failed attempts, `settle` decides whether to
+//! retry, and `whole` reads responses that are not streamed.
 
 mod attempt;
 mod exchange;
--- a/crates/entry/src/request/outgoing.rs
+++ b/crates/entry/src/request/outgoing.rs
@@ -1,4 +1,4 @@
-//! An attempt as it is sent.
+//! Message that sends an attempt to a side.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -8,7 +8,7 @@
 use super::Job;
 use crate::directory::Destination;
 
-/// Path of the exchange.
+/// Path at the side that runs a request.
 const RUN_PATH: &str = "/peer/v1/run";
 
 /// An attempt to send.
@@ -21,7 +21,7 @@
 }
 
 impl OutgoingAttempt<'_> {
-    /// Request for the side.
+    /// Builds the request to the side.
     pub(super) fn into_request(self) -> http::Request<Bytes> {
         let job = self.job;
         let message = RunRequest {
--- a/crates/entry/src/request/prompt.rs
+++ b/crates/entry/src/request/prompt.rs
@@ -1,12 +1,13 @@
-//! A chat's prompt as the choice of upstream sees it.
+//! Prompt affinity of chat requests, by which upstreams are chosen.
 
 use pumicecleat_policy::PromptAffinity;
 use pumicecleat_upstream::ChatBody;
 
-/// Bytes of text to a token, about; in scripts that take more, it only weighs the prompt more.
+/// Approximate number of bytes per token. In scripts with more bytes per token, the number of
+/// tokens is overestimated, which only gives the prompt a higher weight.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Prompt of a chat whose engine's cache is told apart by `seed`.
+/// Prompt affinity of a chat request. `seed` distinguishes the prefix caches of engines.
 pub(crate) fn prompt_affinity(chat: &ChatBody, seed: u64) -> PromptAffinity {
     let thread = chat.thread(seed);
     let earlier_tokens = thread.earlier / BYTES_PER_TOKEN;
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -1,4 +1,4 @@
-//! What a name means under the configuration in force.
+//! Lookup of model names and routes in the configuration in force.
 
 use pumicecleat_config::model::{Adapter, Config, KeyRule, Pool, PoolKind};
 use pumicecleat_policy::{LoraIx, PoolIx, lora_key};
@@ -10,19 +10,20 @@
 use crate::fault::{Fault, RETRY};
 use crate::shared::Shared;
 
-/// Target of a request under one revision.
+/// Target of a request under one revision of the configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct ResolvedTarget {
     pub(crate) target: Target,
     pub(crate) pool: PoolId,
     pub(crate) pool_ix: PoolIx,
     pub(crate) lora_ix: Option<LoraIx>,
-    /// Engine name, for a model.
+    /// Name of the model at the engine; `None` for a plain service.
     pub(crate) engine_name: Option<String>,
-    /// Parts of the keys of the pool's calls.
+    /// Number of parts into which the pool's idempotency keys are divided.
     pub(crate) key_parts: u32,
     pub(crate) revision: u64,
-    /// Seed of prefix hashes: an engine's cache differs by base model, adapter and version.
+    /// Seed of prefix hashes. An engine's prefix cache is separate for each base model, adapter and
+    /// version.
     pub(crate) prefix_seed: u64,
 }
 
@@ -36,14 +37,14 @@
     }
 }
 
-/// Route of a plain service, as declared.
+/// Declared route of a plain service.
 pub(crate) struct ServiceRoute {
     pub(crate) resolved: ResolvedTarget,
     pub(crate) key_rule: KeyRule,
     pub(crate) idempotent: bool,
 }
 
-/// Finds the adapter and version that `model` names, if `caller` may reach it.
+/// Looks up the adapter and version named by `model`, if `caller` may use them.
 pub(crate) fn resolve_model(
     shared: &Shared,
     caller: &CallerId,
@@ -77,13 +78,13 @@
     })
 }
 
-/// The same answer for what does not exist and what the caller may not reach.
+/// Fault for a model that does not exist or that the caller may not use; both get the same message.
 fn model_not_found(model: &str) -> Fault {
-    let message = format!("model {model:?} does not exist or is not open to this caller");
+    let message = format!("model {model:?} does not exist or is not available to this caller");
     Fault::bad(404, "model_not_found", message)
 }
 
-/// What a name means, and the pools that may run it.
+/// Model that a name denotes, and the pools that can run it.
 struct ModelMatch {
     target: ModelTarget,
     pools: Vec<PoolId>,
@@ -135,7 +136,7 @@
     pools.map(|(id, _)| id.clone()).collect()
 }
 
-/// Finds the declared route of a call, if `caller` may reach its service.
+/// Looks up the declared route of a call, if `caller` may call its service.
 pub(crate) fn resolve_service(
     shared: &Shared,
     caller: &CallerId,
@@ -179,7 +180,8 @@
     prefix_len: usize,
 }
 
-/// Longest matching prefix over all services, so that each path has one meaning for all callers.
+/// Selects the longest matching prefix over all services, so that a path has the same meaning for
+/// every caller.
 fn find_route(
     config: &Config,
     caller: &CallerId,
--- a/crates/entry/src/request/sent.rs
+++ b/crates/entry/src/request/sent.rs
@@ -1,4 +1,4 @@
-//! Attempts as the router counts them: from the send to the end, however it comes.
+//! Reports the start and the end of each attempt to the router, also if the attempt is dropped.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use super::Failure;
 use crate::shared::Shared;
 
-/// Counts an attempt with the router until it ends.
+/// Registers an attempt with the router until it ends.
 pub(super) struct AttemptGuard {
     shared: Rc<Shared>,
     up: UpstreamIx,
@@ -38,7 +38,8 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let now = self.shared.timer.now();
-        // An attempt given up tells nothing of its upstream; this reason only ends it.
+        // An abandoned attempt gives no information about its upstream. The router only counts the
+        // attempt as ended for this reason.
         let abandoned = AttemptOutcome::Refused(Reason::Deadline, None);
         let outcome = self.outcome.unwrap_or(abandoned);
         let mut directory = self.shared.directory.borrow_mut();
--- a/crates/entry/src/request/settle.rs
+++ b/crates/entry/src/request/settle.rs
@@ -1,8 +1,9 @@
-//! What follows a failed attempt: another one, or the fault that the caller gets.
+//! Handling of failed attempts: a retry, or the fault for the caller.
 //!
-//! An attempt that did not run may always be followed by another. One that may have run is followed
-//! only if the request is idempotent, or once with its key, by which the sides settle what took
-//! effect. No fault says "not run" once an attempt may have run.
+//! After an attempt that did not run, a retry is always safe. After one that may have run, the
+//! request is retried only if it is idempotent, or once with its idempotency key, which the sides
+//! use to determine which attempt took effect. Once an attempt may have run, no fault says that
+//! the request did not run.
 
 use std::mem;
 
@@ -13,14 +14,14 @@
 use crate::config::refresh;
 use crate::fault::{Fault, RETRY};
 
-/// Attempts of one request at most.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 5;
 
 impl Exchange {
-    /// Takes a failed attempt in.
+    /// Records a failed attempt and prepares a retry.
     ///
     /// # Errors
-    /// The fault for the caller, if nothing follows.
+    /// The fault for the caller, if the request is not retried.
     pub(crate) async fn handle_failure(&mut self, failure: Failure) -> Result<(), Fault> {
         self.record_failure(&failure);
         let fault = failure.to_fault();
@@ -43,7 +44,7 @@
         Ok(())
     }
 
-    /// Counts and logs a failed attempt, whatever follows.
+    /// Counts and logs a failed attempt.
     pub(crate) fn record_failure(&mut self, failure: &Failure) {
         self.history.end_attempt(failure.ran());
         if let Failure::Refused(_) = failure {
@@ -93,7 +94,7 @@
         }
         match self.job.retry_mode {
             RetryMode::Idempotent => true,
-            RetryMode::OnceByKey => !mem::replace(&mut self.history.key_retry_used, true),
+            RetryMode::OnceByKey => !mem::replace(&mut self.history.key_retried, true),
             RetryMode::Never => false,
         }
     }
@@ -125,11 +126,11 @@
         self.shared.log.emit(&events::OUTCOME_UNKNOWN, &fields);
     }
 
-    /// Finds the target again under the newest configuration. The same side is asked once more, as
-    /// it may have been the one behind.
+    /// Resolves the target again under the latest configuration. The same side may be chosen once
+    /// more, because its configuration may have been the outdated one.
     async fn refresh_target(&mut self) -> Result<(), Fault> {
         refresh(&self.shared).await;
-        if !mem::replace(&mut self.history.same_side_retry_used, true) {
+        if !mem::replace(&mut self.history.side_retried, true) {
             self.history.tried.pop();
         }
         match self.resolve_again() {
--- a/crates/entry/src/request/whole.rs
+++ b/crates/entry/src/request/whole.rs
@@ -1,4 +1,4 @@
-//! Answers that are not streamed: committed only when whole.
+//! Responses that are not streamed. They are returned to the caller only once complete.
 
 use pumicecleat_types::{HeaderField, Ran};
 use pumicecleat_upstream::{AnswerError, AnswerFault, Whole, check_whole};
@@ -8,7 +8,7 @@
 use super::{Attempt, Exchange, Failure, ResponseHead};
 use crate::fault::Fault;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub(crate) struct BufferedResponse {
     pub(crate) status: u16,
@@ -22,7 +22,7 @@
     }
 }
 
-/// An engine's error.
+/// Error body of an engine.
 #[derive(Deserialize)]
 struct EngineError {
     error: Option<EngineErrorDetail>,
@@ -35,7 +35,7 @@
 }
 
 impl Exchange {
-    /// Whole answer within the deadline.
+    /// Returns the complete response, within the deadline.
     ///
     /// # Errors
     /// The fault for the caller.
@@ -67,7 +67,7 @@
         self.read_response(attempt, head).await
     }
 
-    /// Reads an answer to its end.
+    /// Reads a response to its end.
     pub(crate) async fn read_response(
         &mut self,
         mut attempt: Attempt,
@@ -83,7 +83,7 @@
             Err(failure) => return Err(attempt.fail(failure)),
         }
         attempt.finish(&self.shared).await;
-        // An engine that can't take a body ran nothing.
+        // An engine that rejects the body does not run the request.
         let refused = head.is_error() && self.job.engine_name().is_some();
         self.history
             .end_attempt(if refused { Ran::No } else { Ran::Yes });
@@ -108,13 +108,17 @@
             }
             let limit = self.shared.options.answer;
             if body.len() > limit {
-                let error = format!("peer {}: over {limit} bytes", attempt.destination.address);
+                let error = format!(
+                    "peer {}: response exceeds {limit} bytes",
+                    attempt.destination.address
+                );
                 return Err(lost_failure(Ran::Yes, "read answer", error));
             }
         }
     }
 
-    /// What a model's answer tells of itself; `None` for others and for errors.
+    /// Checks the response of a model and returns its metadata; `None` for plain services and for
+    /// errors.
     fn check_response(
         &self,
         attempt: &Attempt,
@@ -132,7 +136,8 @@
         checked.map(Some).map_err(|e| response_failure(&e))
     }
 
-    /// An engine's word on a body that it can't take becomes a fault; all else is passed on.
+    /// Turns the error of an engine that rejects the body into a fault. Other responses are
+    /// returned unchanged.
     pub(crate) fn accept_response(
         &self,
         response: BufferedResponse,
@@ -141,13 +146,13 @@
             return Ok(response);
         }
         let message = engine_error_message(&response.body);
-        let message = message.unwrap_or_else(|| "the engine can't take this body".to_owned());
+        let message = message.unwrap_or_else(|| "the engine rejected the request body".to_owned());
         let fault = Fault::bad(response.status, "engine_refused", message);
         Err(self.history.raise_ran(fault))
     }
 }
 
-/// Failure of an attempt whose answer is wrong.
+/// Failure of an attempt whose response did not pass the checks.
 pub(crate) fn response_failure(error: &AnswerError) -> Failure {
     match &error.source {
         AnswerFault::Model { expected, found } | AnswerFault::Crossed { expected, found } => {
