--- a/crates/entry/src/stream/feed.rs
+++ b/crates/entry/src/stream/feed.rs
@@ -1,4 +1,4 @@
-//! Checked events of one attempt.
+//! Reads and checks the events of one attempt.
 
 use pumicecleat_types::Ran;
 use pumicecleat_upstream::{AnswerError, Chunk, StreamCheck, StreamEvent, Usage};
@@ -6,31 +6,32 @@
 use crate::request::{Attempt, BodyPart, Failure, Job, lost_failure, response_failure};
 use crate::shared::Shared;
 
-/// Longest event, bytes.
+/// Maximum size of an event in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Checked events of one attempt.
+/// Reader of the checked events of one attempt.
 pub(super) struct EventReader {
     attempt: Attempt,
-    /// Tokens as the engine told last.
+    /// Token counts that the engine reported last.
     pub(super) usage: Option<Usage>,
     check: StreamCheck,
-    /// Events were given: what follows waits for its turn.
+    /// Whether events have been returned. Later reads wait for their turn.
     started: bool,
-    /// Bytes of the event that ends the stream, held back until the side says that it is whole.
+    /// Bytes of the event that ends the stream, held back until the side confirms that the response
+    /// is complete.
     end_event: Option<Vec<u8>>,
 }
 
-/// What a feed gives next.
+/// Result of a read.
 pub(super) enum EventBatch {
-    /// Parts of the answer.
+    /// Chunks of the response.
     Chunks(Vec<Chunk>),
-    /// Proper end, with the bytes of its event.
+    /// End of a complete response, with the bytes of the event that ends the stream.
     End(Vec<u8>),
 }
 
 impl EventReader {
-    /// Feed of an attempt whose answer must be to `job`.
+    /// Creates a reader for an attempt of `job`.
     pub(super) fn new(attempt: Attempt, job: &Job) -> Self {
         let expect = attempt.expected_response(job, job.engine_name().unwrap_or_default());
         Self {
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Next checked events; nothing of a frame with a wrong one is given.
+    /// Reads the next checked events. If an event of a frame is invalid, none of its events are
+    /// returned.
     pub(super) async fn next(&mut self, shared: &Shared) -> Result<EventBatch, Failure> {
         loop {
             match self.attempt.next_part().await? {
@@ -65,12 +67,12 @@
         }
     }
 
-    /// Ends an attempt that was answered whole.
+    /// Ends an attempt whose response is complete.
     pub(super) async fn finish(self, shared: &Shared) {
         self.attempt.finish(shared).await;
     }
 
-    /// Ends an attempt that failed.
+    /// Ends a failed attempt.
     pub(super) fn fail(self, failure: Failure) -> Failure {
         self.attempt.fail(failure)
     }
--- a/crates/entry/src/stream/mod.rs
+++ b/crates/entry/src/stream/mod.rs
@@ -1,8 +1,10 @@
-//! Streamed answers: the first checked bytes commit, a break is mended at another upstream.
+//! Streamed responses. The reply to the caller starts with the first checked bytes; an interrupted
+//! stream is resumed at another upstream.
 //!
-//! `open` tries until the first bytes of an answer are there, `feed` reads and checks one attempt's
-//! events, `relay` is the body that the caller pulls, `resume` goes on at another upstream, and
-//! `splice` fits a second answer's events to the first's.
+//! `open` makes attempts until the first bytes of a response arrive, `feed` reads and checks the
+//! events of one attempt, `relay` is the body that the caller's connection polls, `resume`
+//! continues an interrupted stream at another upstream, and `splice` rewrites the events of a
+//! resumed response to match those already sent.
 
 mod feed;
 mod open;
--- a/crates/entry/src/stream/open.rs
+++ b/crates/entry/src/stream/open.rs
@@ -1,4 +1,4 @@
-//! Attempts until the first bytes of a stream are there.
+//! Makes attempts until the first bytes of a stream arrive.
 
 use pumicecleat_types::Ran;
 
@@ -7,23 +7,23 @@
 use crate::fault::Fault;
 use crate::request::{BufferedResponse, Exchange, Failure};
 
-/// What a streamed request comes to before anything is sent to its caller.
+/// Result of a streamed request before anything is sent to the caller.
 pub(crate) enum StreamStart {
-    /// Bytes are there.
+    /// The first bytes have arrived.
     Stream(Box<Relay>),
-    /// The upstream answered by something else than a stream.
+    /// The upstream returned a response that is not a stream.
     Buffered(BufferedResponse, Exchange),
-    /// Nothing follows.
+    /// The request failed.
     Fault(Fault, Exchange),
 }
 
-/// One attempt's beginning.
+/// First result of one attempt.
 enum FirstResponse {
     Events(Box<EventReader>, EventBatch),
     Buffered(BufferedResponse),
 }
 
-/// Tries until the first bytes are there, within the deadline.
+/// Makes attempts until the first bytes arrive, within the deadline.
 pub(crate) async fn open_stream(mut exchange: Exchange) -> StreamStart {
     let timer = exchange.timer().clone();
     let work = timer.within(exchange.timeout(), Box::pin(try_open(&mut exchange)));
@@ -53,7 +53,7 @@
 async fn attempt_open(exchange: &mut Exchange) -> Result<FirstResponse, Failure> {
     let time_left = exchange.time_left();
     let body = exchange.job.upstream_body();
-    // Boxed, as are the parts after it, so that a waiting request holds room for one of them only.
+    // This future and those below are boxed, so that a waiting request holds space for only one.
     let (attempt, head) = Box::pin(exchange.send_attempt(body, time_left)).await?;
     if head.is_error() {
         let response = Box::pin(exchange.read_response(attempt, head)).await?;
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -1,6 +1,7 @@
-//! The body of a streamed answer, pulled by the caller's connection.
+//! Body of a streamed response, polled by the caller's connection.
 //!
-//! Dropping it, as happens when the caller goes away, drops the attempt, and the side cancels.
+//! Dropping the body, as happens when the caller disconnects, drops the attempt, upon which the
+//! side cancels it.
 
 use std::time::Duration;
 
@@ -15,25 +16,25 @@
 use crate::fault::Fault;
 use crate::request::{Exchange, Failure};
 
-/// Time for the error event to leave before the connection closes.
+/// Time for the error event to be sent before the connection closes.
 const ERROR_FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// A stream under way.
+/// A stream in progress.
 pub(crate) struct Relay {
     pub(super) exchange: Exchange,
-    /// Attempt under way.
+    /// Reader of the attempt in progress.
     pub(super) reader: Option<EventReader>,
-    /// What was passed on.
+    /// Progress of the response, as far as forwarded.
     pub(super) progress: Progress,
-    /// First event passed on, which later attempts' events are fitted to.
+    /// First forwarded event, to which the events of later attempts are matched.
     pub(super) first_event: Vec<u8>,
-    /// Fits the events of a second attempt.
+    /// Rewrites the events of a resumed response.
     pub(super) splice: Option<Splice>,
-    /// A finish reason was passed on.
+    /// Whether a finish reason was forwarded.
     pub(super) finished: bool,
-    /// Streams gone on with so far.
+    /// Number of attempts to resume the stream.
     pub(super) resume_count: u32,
-    /// Bytes to pass on before all else.
+    /// Bytes to send next.
     pending: Option<Bytes>,
     state: RelayState,
 }
@@ -41,14 +42,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RelayState {
     Open,
-    /// Nothing follows.
+    /// The response is complete.
     Complete,
-    /// Nothing follows, and the connection closes without its last chunk.
+    /// The response is incomplete, and the connection closes without the last chunk.
     Broken,
 }
 
 impl Relay {
-    /// Stream that has come to its first events.
+    /// Creates the relay of a stream from its first events.
     pub(super) fn new(exchange: Exchange, reader: EventReader, first_batch: EventBatch) -> Self {
         exchange.shared.meters.stream_opened();
         exchange.record_first_byte();
@@ -69,12 +70,12 @@
         relay
     }
 
-    /// The request.
+    /// Exchange to which the stream belongs.
     pub(crate) fn exchange(&self) -> &Exchange {
         &self.exchange
     }
 
-    /// The body.
+    /// Converts the relay into the body of the reply.
     pub(crate) fn into_body(self: Box<Self>) -> Body {
         Body::Stream(Box::pin(unfold(self, Self::next_bytes)))
     }
@@ -89,7 +90,7 @@
                 RelayState::Complete => return None,
                 RelayState::Broken => {
                     self.exchange.timer().sleep(ERROR_FLUSH_DELAY).await;
-                    let detail = "no whole answer".to_owned();
+                    let detail = "response is incomplete".to_owned();
                     return Some((Err(BodyError::Broken { detail }), self));
                 }
             }
@@ -102,7 +103,7 @@
         };
         match reader.next(&self.exchange.shared).await {
             Ok(EventBatch::Chunks(chunks)) => self.pending = self.forward(chunks),
-            // Boxed, as each open stream would hold room for them.
+            // Boxed because each open stream would otherwise reserve space for these futures.
             Ok(EventBatch::End(end_event)) => Box::pin(self.complete(end_event)).await,
             Err(failure) => Box::pin(self.recover(failure)).await,
         }
@@ -119,7 +120,7 @@
         self.state = RelayState::Complete;
     }
 
-    /// Counts of an answer that was gone on with are of its last part only.
+    /// Records the token counts, except of a resumed response: they cover only its last part.
     fn record_usage(&self, reader: &EventReader) {
         if self.resume_count == 0 {
             self.exchange.record_usage(reader.usage);
@@ -137,12 +138,12 @@
         }
     }
 
-    /// Ends the stream visibly broken.
+    /// Ends the stream with an error event.
     fn end_broken(&mut self, error: &str) {
         let fault = Fault {
             code: "stream_broken",
             ran: Ran::Yes,
-            ..Fault::unknown("the answer broke off and can't be gone on with")
+            ..Fault::unknown("the response was interrupted and cannot be resumed")
         };
         self.exchange.record_broken_stream(&fault, error);
         let mut event = b"data: ".to_vec();
@@ -152,7 +153,7 @@
         self.state = RelayState::Broken;
     }
 
-    /// Bytes of checked events for the caller; `None` if none is left to pass on.
+    /// Bytes of checked events to send to the caller; `None` if there are none.
     pub(super) fn forward(&mut self, chunks: Vec<Chunk>) -> Option<Bytes> {
         let mut out: Vec<u8> = Vec::new();
         for mut chunk in chunks {
--- a/crates/entry/src/stream/resume.rs
+++ b/crates/entry/src/stream/resume.rs
@@ -1,4 +1,4 @@
-//! Going on with a broken stream at another upstream.
+//! Resumes an interrupted stream at another upstream.
 
 use std::time::Duration;
 
@@ -10,27 +10,27 @@
 use super::splice::Splice;
 use crate::request::{Failure, RequestBody};
 
-/// Attempts to go on with one stream, over its whole life.
+/// Maximum number of attempts to resume one stream, over its whole lifetime.
 const MAX_RESUMES: u32 = 4;
 
-/// Least time that a resumed attempt is given: a stream may outlast its deadline once it flows.
+/// Minimum time limit of a resumed attempt. A stream that has started may outlast its deadline.
 const MIN_RESUME_TIME: Millis = Millis(5_000);
 
 impl Relay {
-    /// Goes on at another upstream.
+    /// Resumes the stream at another upstream.
     ///
     /// # Errors
-    /// Why it can't, for the log.
+    /// The reason why it cannot be resumed, for the log.
     pub(super) async fn resume(&mut self, failure: &Failure) -> Result<(), String> {
         let cause = describe(failure);
         if self.finished {
-            return Err(format!("{cause}; all text was passed on"));
+            return Err(format!("{cause}; the text was already complete"));
         }
         let time_left = self.exchange.time_left().max(MIN_RESUME_TIME);
         let timer = self.exchange.timer().clone();
         let work = self.try_resume(&cause, time_left);
         let result = timer.within(Duration::from_millis(time_left.0), work).await;
-        result.unwrap_or_else(|_| Err(format!("{cause}; no upstream went on in time")))
+        result.unwrap_or_else(|_| Err(format!("{cause}; no upstream resumed the stream in time")))
     }
 
     async fn try_resume(&mut self, cause: &str, time_left: Millis) -> Result<(), String> {
@@ -58,13 +58,15 @@
                 }
             }
         }
-        Err(format!("{cause}; gone on with {MAX_RESUMES} times already"))
+        Err(format!(
+            "{cause}; gave up after {MAX_RESUMES} attempts to resume"
+        ))
     }
 
     fn resume_body(&self) -> Result<Vec<u8>, String> {
         let job = &self.exchange.job;
         let RequestBody::Chat(chat) = &job.body else {
-            return Err("no chat request".to_owned());
+            return Err("not a chat request".to_owned());
         };
         let engine_name = job.engine_name().unwrap_or_default();
         let rendered = chat.render_resumed(engine_name, job.engine_priority(), &self.progress);
--- a/crates/entry/src/stream/splice.rs
+++ b/crates/entry/src/stream/splice.rs
@@ -1,25 +1,25 @@
-//! Fitting the events of a resumed answer to those already passed on.
+//! Rewrites the events of a resumed response to match those already forwarded.
 //!
-//! The caller sees one answer: one id, one creation time, one opening role, and one count of tokens
-//! over all attempts. Only resumed streams pay for reading and writing their events anew.
+//! The caller sees a single response: one id, one creation time, one opening role, and one token
+//! count over all attempts. Only the events of resumed streams are parsed and serialized again.
 
 use pumicecleat_upstream::{Chunk, Progress};
 use serde_json::{Map, Value, json};
 
-/// Fits events to a first answer.
+/// Matches events to the response of the first attempt.
 #[derive(Debug)]
 pub(super) struct Splice {
-    /// Fields of the first answer that hold for all.
+    /// Fields of the first response that all events carry.
     shared_fields: Map<String, Value>,
-    /// Tokens passed on before.
+    /// Number of tokens forwarded before.
     earlier_tokens: u64,
 }
 
-/// Fields that are the same in all events of one answer.
+/// Fields that have the same value in all events of a response.
 const SHARED_FIELDS: [&str; 3] = ["id", "created", "system_fingerprint"];
 
 impl Splice {
-    /// Fits events to an answer that began by `first` and came as far as `progress`.
+    /// Matches events to a response that began with `first_event` and advanced to `progress`.
     pub(super) fn new(first_event: &[u8], progress: &Progress) -> Self {
         let event = read_event(first_event).unwrap_or_default();
         let shared_fields = event
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Fits an event; false if nothing of it is left to pass on.
+    /// Rewrites an event. Returns false if nothing of it remains to be forwarded.
     pub(super) fn rewrite(&mut self, chunk: &mut Chunk) -> bool {
         let Some(mut event) = read_event(&chunk.raw) else {
             return true;
@@ -51,7 +51,8 @@
         true
     }
 
-    /// The prompt of a resumed attempt holds the text before; its tokens belong to the answer.
+    /// Moves the tokens of the earlier text from the prompt to the completion, because the prompt
+    /// of a resumed attempt contains that text.
     fn adjust_usage(&self, event: &mut Map<String, Value>) {
         let Some(Value::Object(usage)) = event.get_mut("usage") else {
             return;
@@ -67,7 +68,7 @@
     }
 }
 
-/// Takes the opening role out; tells whether there was one.
+/// Removes the opening role. Returns whether there was one.
 fn remove_role(event: &mut Map<String, Value>) -> bool {
     let choice = event.get_mut("choices").and_then(|c| c.get_mut(0));
     let delta = choice.and_then(|c| c.get_mut("delta"));
@@ -75,7 +76,7 @@
     delta.is_some_and(|d| d.remove("role").is_some())
 }
 
-/// Whether an event without its role says nothing.
+/// Whether an event is empty without its role.
 fn is_empty_event(event: &Map<String, Value>, chunk: &Chunk) -> bool {
     let usage = event.get("usage").is_some_and(|u| !u.is_null());
     chunk.content.is_empty() && chunk.finish.is_none() && !chunk.extra && !usage
@@ -90,7 +91,7 @@
 
 fn write_event(event: &Map<String, Value>) -> Vec<u8> {
     let mut raw = b"data: ".to_vec();
-    // A map of JSON values always encodes.
+    // Serializing a map of JSON values does not fail.
     let data = serde_json::to_vec(event).unwrap_or_default();
     raw.extend_from_slice(&data);
     raw.extend_from_slice(b"\n\n");
