--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken at all, and whose it is.
+//! Admission of requests and authentication of callers.
 
 use http::header::AUTHORIZATION;
 use pumicecleat_net::Incoming;
@@ -7,10 +7,10 @@
 use crate::fault::{Fault, RETRY};
 use crate::shared::Shared;
 
-/// Scheme of the header.
+/// Authentication scheme in the `Authorization` header.
 const BEARER_PREFIX: &str = "bearer ";
 
-/// Refuses new work of a process that stops or has no configuration.
+/// Refuses new requests while the process stops or is not ready, such as without a configuration.
 pub(super) fn check_accepting(shared: &Shared) -> Result<(), Fault> {
     if shared.stop.is_asked() {
         return Err(Fault::later("stopping", "this entry is stopping", RETRY));
@@ -21,10 +21,10 @@
     Ok(())
 }
 
-/// Caller of a request.
+/// Authenticates the caller of a request.
 pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, Fault> {
     let caller = bearer_key(incoming).and_then(|key| shared.current.caller(key));
-    caller.ok_or_else(|| Fault::bad(401, "invalid_api_key", "no known key in Authorization"))
+    caller.ok_or_else(|| Fault::bad(401, "invalid_api_key", "no known API key in Authorization"))
 }
 
 fn bearer_key(incoming: &Incoming) -> Option<&str> {
--- a/crates/entry/src/caller/chat.rs
+++ b/crates/entry/src/caller/chat.rs
@@ -17,24 +17,24 @@
 use crate::shared::Shared;
 use crate::stream::{StreamStart, open_stream};
 
-/// Tokens expected where a body sets no limit.
+/// Expected number of tokens if the body sets no limit.
 const DEFAULT_MAX_TOKENS: u32 = 512;
 
-/// Fields of a body that limit its answer.
+/// Fields of the body that limit the length of the response.
 #[derive(Default, Deserialize)]
 struct TokenLimit {
     max_tokens: Option<u32>,
     max_completion_tokens: Option<u32>,
 }
 
-/// Answers a chat request.
+/// Handles a chat request.
 pub(super) async fn handle(shared: &Rc<Shared>, mut call: CallerRequest) -> Result<Reply, Fault> {
     let bytes = read_body(shared, &mut call).await?;
     let chat = parse_chat(&bytes)?;
     let mut job = make_job(shared, &call, chat)?;
     job.max_tokens = read_max_tokens(&bytes);
     let stream = job.stream;
-    // Its headers hold the connection's first read buffer.
+    // The request headers keep the connection's first read buffer alive.
     drop(call.incoming);
     let mut exchange = Exchange::new(shared, job, call.guard);
     if stream {
@@ -83,7 +83,7 @@
     })
 }
 
-/// Most tokens that a checked body allows.
+/// Maximum number of tokens that a checked body allows.
 fn read_max_tokens(bytes: &[u8]) -> u32 {
     let limit = serde_json::from_slice::<TokenLimit>(bytes).unwrap_or_default();
     let max_tokens = limit.max_completion_tokens.or(limit.max_tokens);
@@ -106,7 +106,7 @@
     reply
 }
 
-/// Reply by an answer's whole body, or by a fault.
+/// Reply with a complete response or a fault.
 fn buffered_reply(mut exchange: Exchange, result: Result<BufferedResponse, Fault>) -> Reply {
     let mut reply = match result {
         Ok(response) => {
--- a/crates/entry/src/caller/headers.rs
+++ b/crates/entry/src/caller/headers.rs
@@ -1,4 +1,4 @@
-//! What a request's head says beside its target.
+//! Request and response headers.
 
 use http::HeaderMap;
 use http::header::{HeaderName, HeaderValue};
@@ -8,20 +8,20 @@
 use crate::request::Exchange;
 use crate::shared::Shared;
 
-/// Header with the time that the caller gives its request, milliseconds.
+/// Header with the time limit of the request in milliseconds.
 pub(super) const X_DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 
-/// Header with the priority, higher first.
+/// Header with the priority; requests of higher priority are served first.
 pub(super) const X_PRIORITY: HeaderName = HeaderName::from_static("x-priority");
 
-/// Header with the key of a call that may not be repeated.
+/// Header with the idempotency key of a call that must not take effect twice.
 pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 const X_ADAPTER: HeaderName = HeaderName::from_static("x-adapter");
 const X_VERSION: HeaderName = HeaderName::from_static("x-version");
 const X_ATTEMPTS: HeaderName = HeaderName::from_static("x-attempts");
 
-/// Headers that are this hop's own and not passed on, in either direction.
+/// Headers that apply to this hop only and are not forwarded in either direction.
 const NOT_FORWARDED: [&str; 17] = [
     "authorization",
     "connection",
@@ -42,7 +42,7 @@
     "x-request-id",
 ];
 
-/// Time that a request is given: what its caller asks, up to the declared maximum.
+/// Time limit of a request: the one that the caller requests, up to the configured maximum.
 pub(super) fn read_deadline(shared: &Shared, headers: &HeaderMap) -> Result<Millis, Fault> {
     let limits = shared.current.with(|config| config.limits);
     let Some(value) = headers.get(X_DEADLINE_MS) else {
@@ -51,13 +51,13 @@
     match read_number::<u64>(value) {
         Some(ms) if ms > 0 => Ok(Millis(ms.min(limits.longest_ms))),
         _ => {
-            let message = "X-Deadline-Ms is not a number of milliseconds from 1";
+            let message = "X-Deadline-Ms is not a positive number of milliseconds";
             Err(Fault::bad(400, "bad_deadline", message))
         }
     }
 }
 
-/// Priority that a caller asks, if it may.
+/// Priority that the caller requests, if it is permitted.
 pub(super) fn read_priority(
     shared: &Shared,
     caller: &CallerId,
@@ -80,7 +80,7 @@
     Ok(requested)
 }
 
-/// Idempotency key, if the caller gives one.
+/// Idempotency key, if the request has one.
 pub(super) fn read_key(headers: &HeaderMap) -> Result<Option<String>, Fault> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
@@ -88,13 +88,13 @@
     };
     let text = value.to_str().ok().filter(|_| values.next().is_none());
     let Some(text) = text else {
-        let message = "Idempotency-Key is not one line of ASCII";
+        let message = "Idempotency-Key is not a single header of ASCII text";
         return Err(Fault::bad(400, "key_invalid", message));
     };
     Ok(Some(text.to_owned()))
 }
 
-/// Headers that an upstream gets to see.
+/// Request headers that are forwarded to the upstream.
 pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     let forwarded = headers
         .iter()
@@ -109,7 +109,7 @@
         .collect()
 }
 
-/// Puts an upstream's headers into an answer.
+/// Adds the forwarded headers of the upstream to a reply.
 pub(super) fn insert_forwarded(headers: &mut HeaderMap, fields: &[HeaderField]) {
     for field in fields.iter().filter(|f| is_forwarded(&f.name)) {
         let name = HeaderName::from_bytes(field.name.as_bytes());
@@ -120,7 +120,7 @@
     }
 }
 
-/// Names what ran, and how many attempts it took.
+/// Adds headers that name the adapter and version and the number of attempts.
 pub(super) fn insert_attempt_headers(headers: &mut HeaderMap, exchange: &Exchange) {
     headers.insert(X_ATTEMPTS, HeaderValue::from(exchange.history.attempts));
     let Some((adapter, version)) = exchange.job.engine_name().and_then(|e| e.rsplit_once('@'))
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -1,7 +1,8 @@
-//! What callers ask of this entry.
+//! Requests of callers.
 //!
-//! `admit` refuses what can't be taken at all, `headers` reads what a request's head says, `chat`
-//! and `service` make a job of it, `models` lists what a caller may reach, `seen` notes refusals.
+//! `admit` refuses requests that the entry cannot accept, `headers` parses the request headers,
+//! `chat` and `service` create jobs from requests, `models` lists the models available to a caller,
+//! and `seen` logs refusals.
 
 mod admit;
 mod chat;
@@ -28,7 +29,7 @@
 use crate::fault::Fault;
 use crate::shared::Shared;
 
-/// Header with the request's id.
+/// Header with the id of the request.
 const X_REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 /// Path of chat requests.
@@ -37,12 +38,12 @@
 /// Path of the list of models.
 const MODELS_PATH: &str = "/v1/models";
 
-/// Handler of the callers' listener.
+/// Handler of the listener for callers.
 pub(crate) struct CallerHandler {
     shared: Rc<Shared>,
 }
 
-/// A request whose caller is known.
+/// A request with an authenticated caller.
 struct CallerRequest {
     request_id: RequestId,
     caller: CallerId,
@@ -96,7 +97,7 @@
 ) -> Result<Reply, Fault> {
     admit::check_accepting(shared)?;
     let guard = shared.drain.enter(&info.request_id);
-    // Boxed, as each waiting request would hold room for it.
+    // Boxed because each waiting request would otherwise reserve space for this future.
     Box::pin(ensure_fresh(shared)).await;
     let caller = admit::identify(shared, &incoming)?;
     info.caller = Some(caller.clone());
@@ -111,14 +112,16 @@
     match (call.incoming.method(), path) {
         (&Method::POST, CHAT_PATH) => Box::pin(chat::handle(shared, call)).await,
         (&Method::GET, MODELS_PATH) => Ok(models::reply(shared, &call.caller)),
-        (_, CHAT_PATH | MODELS_PATH) => {
-            Err(Fault::bad(405, "method_not_allowed", "no such method here"))
-        }
+        (_, CHAT_PATH | MODELS_PATH) => Err(Fault::bad(
+            405,
+            "method_not_allowed",
+            "method not allowed for this path",
+        )),
         _ => Box::pin(service::handle(shared, call)).await,
     }
 }
 
-/// Whole body of a request.
+/// Reads the body of a request.
 async fn read_body(shared: &Shared, call: &mut CallerRequest) -> Result<Vec<u8>, Fault> {
     let limit = shared.current.with(|config| config.limits.body);
     let span = shared.options.body_span;
--- a/crates/entry/src/caller/models.rs
+++ b/crates/entry/src/caller/models.rs
@@ -1,4 +1,4 @@
-//! The models that a caller may reach.
+//! List of the models available to a caller.
 
 use pumicecleat_config::model::{Adapter, Config};
 use pumicecleat_net::{Reply, json_reply};
@@ -22,7 +22,7 @@
     parent: String,
 }
 
-/// Lists every version that a caller may reach, and each adapter that has a default one.
+/// Lists every adapter version available to a caller, and each adapter that has a default version.
 pub(super) fn reply(shared: &Shared, caller: &CallerId) -> Reply {
     let data = shared.current.with(|config| list_models(config, caller));
     let object = "list";
--- a/crates/entry/src/caller/seen.rs
+++ b/crates/entry/src/caller/seen.rs
@@ -1,4 +1,4 @@
-//! What is known of a request before it becomes one, and how its refusal is noted.
+//! Data of an incoming request for the log, and the logging of its refusal.
 
 use std::net::SocketAddr;
 
@@ -9,18 +9,18 @@
 use crate::meters::End;
 use crate::shared::Shared;
 
-/// What is known of a request so far.
+/// Data of a request that has not become a job yet.
 pub(super) struct RequestInfo {
     pub(super) request_id: RequestId,
     pub(super) peer: SocketAddr,
     pub(super) path: String,
     pub(super) received_at: Millis,
-    /// Caller, once its key is known.
+    /// Caller, once authenticated.
     pub(super) caller: Option<CallerId>,
 }
 
 impl RequestInfo {
-    /// Counts and logs a refusal before any attempt.
+    /// Counts and logs a refusal before the first attempt.
     pub(super) fn record_refusal(&self, shared: &Shared, fault: &Fault) {
         let elapsed = shared.timer.now().since(self.received_at);
         shared.meters.ended(End::Fault, fault.code, elapsed);
--- a/crates/entry/src/caller/service.rs
+++ b/crates/entry/src/caller/service.rs
@@ -18,7 +18,7 @@
 };
 use crate::shared::Shared;
 
-/// Answers a call of a plain service.
+/// Handles a call of a plain service.
 pub(super) async fn handle(shared: &Rc<Shared>, mut call: CallerRequest) -> Result<Reply, Fault> {
     let job = make_job(shared, &call)?;
     let body = read_body(shared, &mut call).await?;
@@ -26,7 +26,7 @@
         body: RequestBody::Plain(body),
         ..job
     };
-    // Its headers hold the connection's first read buffer.
+    // The request headers keep the connection's first read buffer alive.
     drop(call.incoming);
     let mut exchange = Exchange::new(shared, job, call.guard);
     let result = exchange.buffered_response().await;
@@ -68,13 +68,14 @@
         (false, Some(_), _) => Ok(RetryMode::OnceByKey),
         (false, None, KeyRule::Optional) => Ok(RetryMode::Never),
         (false, None, KeyRule::Required) => {
-            let message = "this route wants an Idempotency-Key";
+            let message = "this route requires an Idempotency-Key";
             Err(Fault::bad(400, "key_required", message))
         }
     }
 }
 
-/// A key on an idempotent route is the service's own matter: sides need not record it.
+/// Forwards the idempotency key of an idempotent route to the service as a header; sides need not
+/// record it.
 fn forward_key(job: &mut Job) {
     let Some(value) = job.idempotency_key.take() else {
         return;
