--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -1,54 +1,54 @@
-//! How an attempt failed.
+//! Classification of failed attempts.
 
 use pumicecleat_policy::AttemptOutcome;
 use pumicecleat_types::{Millis, Ran, Reason, Refusal};
 
 use crate::fault::{Fault, RETRY, reason_code};
 
-/// How an attempt failed, or why there was none.
+/// Reason why an attempt failed or could not be sent.
 #[derive(Clone, Debug)]
 pub(crate) enum Failure {
-    /// No upstream may get work.
-    Nowhere { retry: Millis },
-    /// Every upstream is too late.
-    Late { retry: Millis },
-    /// The side refused: not run.
+    /// No upstream is available.
+    NoUpstream { retry_after: Millis },
+    /// No upstream can meet the deadline.
+    DeadlineUnreachable { retry_after: Millis },
+    /// The side refused the attempt.
     Refused(Refusal),
-    /// No whole answer came.
+    /// The response was not received completely.
     Lost(Loss),
-    /// Answer of another request, adapter or version.
-    Mismatch { asked: String, answered: String },
+    /// The response belongs to another request, adapter or version.
+    Mismatch { expected: String, found: String },
 }
 
-/// An attempt without a whole answer.
+/// Details of an attempt without a complete response.
 #[derive(Clone, Debug)]
 pub(crate) struct Loss {
-    /// Whether it ran.
+    /// Whether the request ran.
     pub(crate) ran: Ran,
-    /// Nothing came in time, where a connection stood.
+    /// Whether a time limit expired, as opposed to an error of the connection or the response.
     pub(crate) stalled: bool,
-    /// Step at which it failed.
+    /// Step that failed.
     pub(crate) step: String,
-    /// Detail for people, with the peer.
+    /// Human-readable detail that names the peer.
     pub(crate) error: String,
 }
 
 impl Failure {
-    /// Whether the attempt ran.
+    /// Whether the request ran in this attempt.
     pub(crate) fn ran(&self) -> Ran {
         match self {
-            Self::Nowhere { .. } | Self::Late { .. } => Ran::No,
+            Self::NoUpstream { .. } | Self::DeadlineUnreachable { .. } => Ran::No,
             Self::Refused(refusal) => Fault::of_refusal(refusal).ran,
             Self::Lost(loss) => loss.ran,
             Self::Mismatch { .. } => Ran::Unknown,
         }
     }
 
-    /// Stable word for the cause.
+    /// Stable name of the cause in logs and metrics.
     pub(crate) fn cause(&self) -> &'static str {
         match self {
-            Self::Nowhere { .. } => "no_upstream",
-            Self::Late { .. } => "overloaded",
+            Self::NoUpstream { .. } => "no_upstream",
+            Self::DeadlineUnreachable { .. } => "overloaded",
             Self::Refused(refusal) => reason_code(refusal.reason),
             Self::Lost(loss) if loss.stalled => "stalled",
             Self::Lost(_) => "lost",
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What the router learns.
+    /// Outcome that is reported to the router.
     pub(crate) fn outcome(&self) -> AttemptOutcome {
         match self {
             Self::Refused(refusal) => AttemptOutcome::Refused(refusal.reason, refusal.load),
@@ -65,43 +65,52 @@
         }
     }
 
-    /// What the caller is told if nothing follows.
-    pub(crate) fn fault(&self) -> Fault {
+    /// Fault for the caller if the request is not retried.
+    pub(crate) fn to_fault(&self) -> Fault {
         match self {
-            Self::Nowhere { retry } => {
-                Fault::later("no_upstream", "no upstream may take work", *retry)
+            Self::NoUpstream { retry_after } => {
+                Fault::later("no_upstream", "no upstream is available", *retry_after)
             }
-            Self::Late { retry } => Fault {
+            Self::DeadlineUnreachable { retry_after } => Fault {
                 status: 429,
-                ..Fault::later("overloaded", "no upstream can meet the deadline", *retry)
+                ..Fault::later(
+                    "overloaded",
+                    "no upstream can meet the deadline",
+                    *retry_after,
+                )
             },
             Self::Refused(refusal) => Fault::of_refusal(refusal),
-            Self::Lost(loss) => Self::lost(loss),
-            Self::Mismatch { .. } => Fault::unknown("the upstream answered another request"),
+            Self::Lost(loss) => Self::loss_fault(loss),
+            Self::Mismatch { .. } => {
+                Fault::unknown("the upstream's response does not match the request")
+            }
         }
     }
 
-    /// Whether no other side would say otherwise.
+    /// Whether a retry is pointless because it would fail in the same way at every other side.
     pub(crate) fn is_final(&self) -> bool {
         match self {
-            Self::Nowhere { .. } | Self::Late { .. } => true,
-            Self::Refused(refusal) => is_final(refusal.reason),
+            Self::NoUpstream { .. } | Self::DeadlineUnreachable { .. } => true,
+            Self::Refused(refusal) => is_final_reason(refusal.reason),
             Self::Lost(_) | Self::Mismatch { .. } => false,
         }
     }
 
-    fn lost(loss: &Loss) -> Fault {
+    fn loss_fault(loss: &Loss) -> Fault {
         if loss.ran == Ran::No {
             return Fault::later("upstream_unreachable", &loss.step, RETRY);
         }
         Fault {
             ran: loss.ran,
-            ..Fault::unknown(format!("the upstream's answer broke off: {}", loss.step))
+            ..Fault::unknown(format!(
+                "the upstream's response was interrupted: {}",
+                loss.step
+            ))
         }
     }
 }
 
-fn is_final(reason: Reason) -> bool {
+fn is_final_reason(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::KeyReused
--- a/crates/entry/src/request/job.rs
+++ b/crates/entry/src/request/job.rs
@@ -1,87 +1,89 @@
-//! What a caller asked.
+//! Content of a request.
 
 use pumicecleat_ledger::Key;
 use pumicecleat_policy::{PromptAffinity, part_key};
 use pumicecleat_types::{CallerId, Millis, RequestId};
 use pumicecleat_upstream::ChatBody;
 
-use super::Resolved;
+use super::ResolvedTarget;
 
-/// What a caller asked, the same in every attempt.
+/// Content of a request, which is the same in every attempt.
 pub(crate) struct Job {
-    pub(crate) request: RequestId,
+    pub(crate) request_id: RequestId,
     pub(crate) caller: CallerId,
-    pub(crate) resolved: Resolved,
-    /// When the request's head came.
-    pub(crate) arrived: Millis,
+    pub(crate) resolved: ResolvedTarget,
+    /// Time at which the head of the request arrived.
+    pub(crate) received_at: Millis,
     pub(crate) deadline: Millis,
-    /// Higher first.
+    /// Requests of higher priority are served first.
     pub(crate) priority: u8,
-    /// Answer token by token.
+    /// Whether the response is streamed.
     pub(crate) stream: bool,
-    /// Tokens the answer may have; 1 for a plain service.
-    pub(crate) tokens: u32,
-    pub(crate) key: Option<String>,
-    pub(crate) repeat: Repeat,
-    pub(crate) content: Content,
-    /// Prompt, of a chat.
+    /// Maximum number of tokens in the response; 1 for a plain service.
+    pub(crate) max_tokens: u32,
+    pub(crate) idempotency_key: Option<String>,
+    pub(crate) retry_mode: RetryMode,
+    pub(crate) body: RequestBody,
+    /// Affinity of the prompt of a chat request.
     pub(crate) prompt: Option<PromptAffinity>,
 }
 
 /// Body of a request.
-pub(crate) enum Content {
-    /// Of a chat request.
+pub(crate) enum RequestBody {
+    /// Body of a chat request.
     Chat(Box<ChatBody>),
-    /// Of a call of a plain service.
+    /// Body of a call of a plain service.
     Plain(Vec<u8>),
 }
 
-/// Whether an attempt that may have run can be followed by another.
+/// Whether a request may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Repeat {
-    /// Idempotent.
-    Freely,
-    /// Once, as the sides settle by the key what took effect.
-    ByKey,
+pub(crate) enum RetryMode {
+    /// Always, because the request is idempotent.
+    Idempotent,
+    /// Once, because the sides use the idempotency key to determine which attempt took effect.
+    OnceByKey,
     /// Never.
     Never,
 }
 
 impl Job {
-    /// Engine name asked for, if a model is.
-    pub(crate) fn engine(&self) -> Option<&str> {
-        self.resolved.engine.as_deref()
+    /// Requested model by its name at the engine; `None` for a plain service.
+    pub(crate) fn engine_name(&self) -> Option<&str> {
+        self.resolved.engine_name.as_deref()
     }
 
     /// Time left at `now`.
-    pub(crate) fn left(&self, now: Millis) -> Millis {
+    pub(crate) fn time_left(&self, now: Millis) -> Millis {
         self.deadline.since(now)
     }
 
-    /// Priority in the engines' terms: lower first.
+    /// Priority for the engine, where lower values are served first.
     pub(crate) fn engine_priority(&self) -> i32 {
         -i32::from(self.priority)
     }
 
-    /// Key of the part of the pool's keys that the request's is in, if there are several: calls of
-    /// one part go to the same side where they can, so that few sides read it.
-    pub(crate) fn home(&self) -> Option<u64> {
-        let parts = self.resolved.parts;
-        if parts == 1 || self.repeat != Repeat::ByKey {
+    /// Key by which sides are ranked for this request: that of the part to which its idempotency
+    /// key belongs, if the keys of the pool have several parts. Calls of one part go to the same
+    /// side where possible, so that few sides read that part.
+    pub(crate) fn affinity_key(&self) -> Option<u64> {
+        let key_parts = self.resolved.key_parts;
+        if key_parts == 1 || self.retry_mode != RetryMode::OnceByKey {
             return None;
         }
-        // A text that is no key is refused by the side, whichever it is.
-        let key = Key::parse(&self.caller, self.key.as_deref()?).ok()?;
-        Some(part_key(&self.resolved.pool, key.part(parts)))
+        // Every side refuses an invalid key, so the choice does not matter.
+        let key = Key::parse(&self.caller, self.idempotency_key.as_deref()?).ok()?;
+        Some(part_key(&self.resolved.pool, key.part(key_parts)))
     }
 
-    /// Body for the upstream.
-    pub(crate) fn body(&self) -> Vec<u8> {
-        match &self.content {
-            Content::Chat(chat) => {
-                chat.render(self.engine().unwrap_or_default(), self.engine_priority())
-            }
-            Content::Plain(bytes) => bytes.clone(),
+    /// Body that is sent to the upstream.
+    pub(crate) fn upstream_body(&self) -> Vec<u8> {
+        match &self.body {
+            RequestBody::Chat(chat) => chat.render(
+                self.engine_name().unwrap_or_default(),
+                self.engine_priority(),
+            ),
+            RequestBody::Plain(bytes) => bytes.clone(),
         }
     }
 }
--- a/crates/entry/src/request/prompt.rs
+++ b/crates/entry/src/request/prompt.rs
@@ -1,17 +1,18 @@
-//! A chat's prompt as the choice of upstream sees it.
+//! Prompt affinity of chat requests, by which upstreams are chosen.
 
 use pumicecleat_policy::PromptAffinity;
 use pumicecleat_upstream::ChatBody;
 
-/// Bytes of text to a token, about; in scripts that take more, it only weighs the prompt more.
-const TOKEN: u64 = 4;
+/// Approximate number of bytes per token. In scripts with more bytes per token, the number of
+/// tokens is overestimated, which only gives the prompt a higher weight.
+const BYTES_PER_TOKEN: u64 = 4;
 
-/// Prompt of a chat whose engine's cache is told apart by `seed`.
-pub(crate) fn read_prompt(chat: &ChatBody, seed: u64) -> PromptAffinity {
+/// Prompt affinity of a chat request. `seed` distinguishes the prefix caches of engines.
+pub(crate) fn prompt_affinity(chat: &ChatBody, seed: u64) -> PromptAffinity {
     let thread = chat.thread(seed);
-    let earlier = thread.earlier / TOKEN;
+    let earlier_tokens = thread.earlier / BYTES_PER_TOKEN;
     PromptAffinity {
         conversation_hash: thread.root,
-        earlier_tokens: u32::try_from(earlier).unwrap_or(u32::MAX),
+        earlier_tokens: u32::try_from(earlier_tokens).unwrap_or(u32::MAX),
     }
 }
--- a/crates/entry/src/request/settle.rs
+++ b/crates/entry/src/request/settle.rs
@@ -1,83 +1,86 @@
-//! What follows a failed attempt: another one, or the fault that the caller gets.
+//! Handling of failed attempts: a retry, or the fault for the caller.
 //!
-//! An attempt that did not run may always be followed by another. One that may have run is followed
-//! only if the request is idempotent, or once with its key, by which the sides settle what took
-//! effect. No fault says "not run" once an attempt may have run.
+//! After an attempt that did not run, a retry is always safe. After one that may have run, the
+//! request is retried only if it is idempotent, or once with its idempotency key, which the sides
+//! use to determine which attempt took effect. Once an attempt may have run, no fault says that
+//! the request did not run.
 
 use std::mem;
 
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{Millis, Ran, Reason, Target};
 
-use super::{Exchange, Failure, Repeat, Resolved, resolve_model, resolve_service};
+use super::{Exchange, Failure, ResolvedTarget, RetryMode, resolve_model, resolve_service};
 use crate::config::refresh;
 use crate::fault::{Fault, RETRY};
 
-/// Attempts of one request at most.
-const ATTEMPTS: u32 = 5;
+/// Maximum number of attempts of one request.
+const MAX_ATTEMPTS: u32 = 5;
 
 impl Exchange {
-    /// Takes a failed attempt in.
+    /// Records a failed attempt and prepares a retry.
     ///
     /// # Errors
-    /// The fault for the caller, if nothing follows.
-    pub(crate) async fn settle(&mut self, failure: Failure) -> Result<(), Fault> {
-        self.note_failure(&failure);
-        let fault = failure.fault();
-        if !self.may_follow(&failure) {
-            let earlier = self.history.last.take();
-            let told = match failure {
-                Failure::Nowhere { .. } | Failure::Late { .. } => earlier.unwrap_or(fault),
+    /// The fault for the caller, if the request is not retried.
+    pub(crate) async fn handle_failure(&mut self, failure: Failure) -> Result<(), Fault> {
+        self.record_failure(&failure);
+        let fault = failure.to_fault();
+        if !self.may_retry(&failure) {
+            let earlier_fault = self.history.last_fault.take();
+            let final_fault = match failure {
+                Failure::NoUpstream { .. } | Failure::DeadlineUnreachable { .. } => {
+                    earlier_fault.unwrap_or(fault)
+                }
                 _ => fault,
             };
-            self.note_unknown();
-            return Err(self.history.truthful(told));
+            self.log_unknown_outcome();
+            return Err(self.history.raise_ran(final_fault));
         }
-        self.history.last = Some(fault);
-        self.note_retry(&failure);
+        self.history.last_fault = Some(fault);
+        self.record_retry(&failure);
         if is_stale(&failure) {
-            self.resolve_anew().await?;
+            self.refresh_target().await?;
         }
         Ok(())
     }
 
-    /// Counts and logs a failed attempt, whatever follows.
-    pub(crate) fn note_failure(&mut self, failure: &Failure) {
-        self.history.end(failure.ran());
+    /// Counts and logs a failed attempt.
+    pub(crate) fn record_failure(&mut self, failure: &Failure) {
+        self.history.end_attempt(failure.ran());
         if let Failure::Refused(_) = failure {
             self.shared.meters.refused(failure.cause());
         }
         if let Failure::Lost(loss) = failure
             && loss.stalled
         {
-            let waited = self.timer().now().since(self.job.arrived);
-            let upstream = field("upstream", self.upstream());
-            let fields = [upstream, field("wait_ms", waited.0)];
+            let elapsed = self.timer().now().since(self.job.received_at);
+            let upstream = field("upstream", self.last_upstream());
+            let fields = [upstream, field("wait_ms", elapsed.0)];
             self.shared.log.emit(&events::SIDE_STALLED, &fields);
         }
-        let Failure::Mismatch { asked, answered } = failure else {
+        let Failure::Mismatch { expected, found } = failure else {
             return;
         };
         self.shared.meters.mismatch();
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("attempt", self.history.attempts),
-            field("upstream", self.upstream()),
-            field("asked", asked),
-            field("answered", answered),
+            field("upstream", self.last_upstream()),
+            field("asked", expected),
+            field("answered", found),
         ];
         self.shared.log.emit(&events::ANSWER_MISMATCH, &fields);
     }
 
-    fn may_follow(&mut self, failure: &Failure) -> bool {
-        let open = !failure.is_final()
-            && self.left() > Millis(0)
-            && self.history.attempts < ATTEMPTS
-            && self.is_repeatable(failure);
-        open && self.is_within_budget(failure)
+    fn may_retry(&mut self, failure: &Failure) -> bool {
+        let allowed = !failure.is_final()
+            && self.time_left() > Millis(0)
+            && self.history.attempts < MAX_ATTEMPTS
+            && self.may_rerun(failure);
+        allowed && self.try_spend_budget(failure)
     }
 
-    fn is_within_budget(&self, failure: &Failure) -> bool {
+    fn try_spend_budget(&self, failure: &Failure) -> bool {
         let budget = match failure {
             Failure::Lost(_) | Failure::Mismatch { .. } => &self.shared.losses,
             _ => &self.shared.budget,
@@ -85,61 +88,64 @@
         budget.borrow_mut().try_retry()
     }
 
-    fn is_repeatable(&mut self, failure: &Failure) -> bool {
+    fn may_rerun(&mut self, failure: &Failure) -> bool {
         if failure.ran() == Ran::No {
             return true;
         }
-        match self.job.repeat {
-            Repeat::Freely => true,
-            Repeat::ByKey => !mem::replace(&mut self.history.keyed, true),
-            Repeat::Never => false,
+        match self.job.retry_mode {
+            RetryMode::Idempotent => true,
+            RetryMode::OnceByKey => !mem::replace(&mut self.history.key_retried, true),
+            RetryMode::Never => false,
         }
     }
 
-    fn note_retry(&self, failure: &Failure) {
+    fn record_retry(&self, failure: &Failure) {
         self.shared.meters.retried(failure.cause());
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("attempt", self.history.attempts),
-            field("upstream", self.upstream()),
+            field("upstream", self.last_upstream()),
             field("reason", failure.cause()),
         ];
         self.shared.log.emit(&events::ATTEMPT_RETRIED, &fields);
     }
 
-    fn note_unknown(&self) {
-        if self.job.repeat == Repeat::Freely || self.history.ran() == Ran::No {
+    fn log_unknown_outcome(&self) {
+        if self.job.retry_mode == RetryMode::Idempotent || self.history.ran() == Ran::No {
             return;
         }
         let fields = [
-            field("request", &self.job.request),
+            field("request", &self.job.request_id),
             field("caller", &self.job.caller),
-            field("key", self.job.key.as_deref().unwrap_or_default()),
-            field("upstream", self.upstream()),
+            field(
+                "key",
+                self.job.idempotency_key.as_deref().unwrap_or_default(),
+            ),
+            field("upstream", self.last_upstream()),
         ];
         self.shared.log.emit(&events::OUTCOME_UNKNOWN, &fields);
     }
 
-    /// Finds the target again under the newest configuration. The same side is asked once more, as
-    /// it may have been the one behind.
-    async fn resolve_anew(&mut self) -> Result<(), Fault> {
+    /// Resolves the target again under the latest configuration. The same side may be chosen once
+    /// more, because its configuration may have been the outdated one.
+    async fn refresh_target(&mut self) -> Result<(), Fault> {
         refresh(&self.shared).await;
-        if !mem::replace(&mut self.history.stale, true) {
+        if !mem::replace(&mut self.history.side_retried, true) {
             self.history.tried.pop();
         }
-        match self.resolved_anew() {
+        match self.resolve_again() {
             Ok(resolved) => self.job.resolved = resolved,
-            Err(fault) => return Err(self.history.truthful(fault)),
+            Err(fault) => return Err(self.history.raise_ran(fault)),
         }
         Ok(())
     }
 
-    fn resolved_anew(&self) -> Result<Resolved, Fault> {
+    fn resolve_again(&self) -> Result<ResolvedTarget, Fault> {
         let (shared, caller) = (&self.shared, &self.job.caller);
         let service = match &self.job.resolved.target {
             Target::Model(_) => {
-                let engine = self.job.engine().unwrap_or_default();
-                return resolve_model(shared, caller, engine);
+                let engine_name = self.job.engine_name().unwrap_or_default();
+                return resolve_model(shared, caller, engine_name);
             }
             Target::Service(service) => service,
         };
--- a/crates/entry/src/stream/feed.rs
+++ b/crates/entry/src/stream/feed.rs
@@ -1,76 +1,78 @@
-//! Checked events of one attempt.
+//! Reads and checks the events of one attempt.
 
 use pumicecleat_types::Ran;
 use pumicecleat_upstream::{AnswerError, Chunk, StreamCheck, StreamEvent, Usage};
 
-use crate::request::{Attempt, Failure, Job, Part, answer_failure, lost};
+use crate::request::{Attempt, BodyPart, Failure, Job, lost_failure, response_failure};
 use crate::shared::Shared;
 
-/// Longest event, bytes.
-const EVENT_LIMIT: usize = 1 << 20;
+/// Maximum size of an event in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Checked events of one attempt.
-pub(super) struct Feed {
+/// Reader of the checked events of one attempt.
+pub(super) struct EventReader {
     attempt: Attempt,
-    /// Tokens as the engine told last.
+    /// Token counts that the engine reported last.
     pub(super) usage: Option<Usage>,
     check: StreamCheck,
-    /// Events were given: what follows waits for its turn.
-    begun: bool,
-    /// Bytes of the event that ends the stream, held back until the side says that it is whole.
-    done: Option<Vec<u8>>,
+    /// Whether events have been returned. Later reads wait for their turn.
+    started: bool,
+    /// Bytes of the event that ends the stream, held back until the side confirms that the response
+    /// is complete.
+    end_event: Option<Vec<u8>>,
 }
 
-/// What a feed gives next.
-pub(super) enum Fed {
-    /// Parts of the answer.
+/// Result of a read.
+pub(super) enum EventBatch {
+    /// Chunks of the response.
     Chunks(Vec<Chunk>),
-    /// Proper end, with the bytes of its event.
+    /// End of a complete response, with the bytes of the event that ends the stream.
     End(Vec<u8>),
 }
 
-impl Feed {
-    /// Feed of an attempt whose answer must be to `job`.
+impl EventReader {
+    /// Creates a reader for an attempt of `job`.
     pub(super) fn new(attempt: Attempt, job: &Job) -> Self {
-        let expect = attempt.expect(job, job.engine().unwrap_or_default());
+        let expect = attempt.expected_response(job, job.engine_name().unwrap_or_default());
         Self {
-            check: StreamCheck::new(expect, EVENT_LIMIT),
+            check: StreamCheck::new(expect, MAX_EVENT_BYTES),
             attempt,
             usage: None,
-            begun: false,
-            done: None,
+            started: false,
+            end_event: None,
         }
     }
 
-    /// Next checked events; nothing of a frame with a wrong one is given.
-    pub(super) async fn next(&mut self, shared: &Shared) -> Result<Fed, Failure> {
+    /// Reads the next checked events. If an event of a frame is invalid, none of its events are
+    /// returned.
+    pub(super) async fn next(&mut self, shared: &Shared) -> Result<EventBatch, Failure> {
         loop {
             match self.attempt.next_part().await? {
-                Part::Data(bytes) => {
-                    if self.begun {
+                BodyPart::Data(bytes) => {
+                    if self.started {
                         shared.turns.place().await;
                     }
                     self.check.push(&bytes);
-                    let chunks = self.scan().map_err(|e| answer_failure(&e))?;
+                    let chunks = self.scan().map_err(|e| response_failure(&e))?;
                     if !chunks.is_empty() {
-                        self.begun = true;
-                        return Ok(Fed::Chunks(chunks));
+                        self.started = true;
+                        return Ok(EventBatch::Chunks(chunks));
                     }
                 }
-                Part::End(load) => {
-                    self.attempt.learn(shared, load);
+                BodyPart::End(load) => {
+                    self.attempt.update_load(shared, load);
                     return self.end();
                 }
             }
         }
     }
 
-    /// Ends an attempt that was answered whole.
+    /// Ends an attempt whose response is complete.
     pub(super) async fn finish(self, shared: &Shared) {
         self.attempt.finish(shared).await;
     }
 
-    /// Ends an attempt that failed.
+    /// Ends a failed attempt.
     pub(super) fn fail(self, failure: Failure) -> Failure {
         self.attempt.fail(failure)
     }
@@ -83,16 +85,16 @@
                     self.usage = chunk.usage.or(self.usage);
                     chunks.push(chunk);
                 }
-                StreamEvent::Done { raw } => self.done = Some(raw),
+                StreamEvent::Done { raw } => self.end_event = Some(raw),
             }
         }
         Ok(chunks)
     }
 
-    fn end(&mut self) -> Result<Fed, Failure> {
+    fn end(&mut self) -> Result<EventBatch, Failure> {
         if let Err(e) = self.check.finish() {
-            return Err(lost(Ran::Yes, "check stream", e.to_string()));
+            return Err(lost_failure(Ran::Yes, "check stream", e.to_string()));
         }
-        Ok(Fed::End(self.done.take().unwrap_or_default()))
+        Ok(EventBatch::End(self.end_event.take().unwrap_or_default()))
     }
 }
