--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! `admit` refuses requests that the entry cannot accept, `headers` parses the request headers,
 //! `chat` and `service` create jobs from requests, `models` lists the models available to a caller,
-//! and `seen` logs refusals.
+//! and `request_info` logs refusals.
 
 mod admit;
 mod chat;
 mod headers;
 mod models;
-mod seen;
+mod request_info;
 mod service;
 
 use std::future::Future;
@@ -23,7 +23,7 @@
 use pumicecleat_types::{CallerId, Millis, RequestId};
 use uuid::Uuid;
 
-use seen::RequestInfo;
+use request_info::RequestInfo;
 
 use crate::config::ensure_fresh;
 use crate::fault::Fault;
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -8,9 +8,9 @@
 use pumicecleat_types::{Frame, HeaderField, LoadFigures, Ran};
 use pumicecleat_upstream::Expect;
 
+use super::attempt_guard::AttemptGuard;
 use super::failure::Loss;
 use super::outgoing::OutgoingAttempt;
-use super::sent::AttemptGuard;
 use super::{Failure, Job};
 use crate::directory::Destination;
 use crate::shared::Shared;
--- a/crates/entry/src/stream/open.rs
+++ b/crates/entry/src/stream/open.rs
@@ -2,7 +2,7 @@
 
 use pumicecleat_types::Ran;
 
-use super::feed::{EventBatch, EventReader};
+use super::event_reader::{EventBatch, EventReader};
 use super::relay::Relay;
 use crate::fault::Fault;
 use crate::request::{BufferedResponse, Exchange, Failure};
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -11,7 +11,7 @@
 use pumicecleat_types::Ran;
 use pumicecleat_upstream::{Chunk, Progress};
 
-use super::feed::{EventBatch, EventReader};
+use super::event_reader::{EventBatch, EventReader};
 use super::splice::Splice;
 use crate::fault::Fault;
 use crate::request::{Exchange, Failure};
--- a/crates/entry/src/stream/resume.rs
+++ b/crates/entry/src/stream/resume.rs
@@ -5,7 +5,7 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{Millis, Ran};
 
-use super::feed::EventReader;
+use super::event_reader::EventReader;
 use super::relay::Relay;
 use super::splice::Splice;
 use crate::request::{Failure, RequestBody};
