--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -12,7 +12,7 @@
     NoUpstream { retry_after: Millis },
     /// No upstream can meet the deadline.
     DeadlineUnreachable { retry_after: Millis },
-    /// The side refused the attempt.
+    /// The side refused the attempt, which did not run.
     Refused(Refusal),
     /// The response was not received completely.
     Lost(Loss),
--- a/crates/entry/src/stream/splice.rs
+++ b/crates/entry/src/stream/splice.rs
@@ -59,12 +59,12 @@
         };
         let count = |usage: &Map<String, Value>, name| usage.get(name).and_then(Value::as_u64);
         let prompt = count(usage, "prompt_tokens").unwrap_or(0);
-        let answer = count(usage, "completion_tokens").unwrap_or(0);
+        let completion = count(usage, "completion_tokens").unwrap_or(0);
         let prompt = prompt.saturating_sub(self.earlier_tokens);
-        let answer = answer + self.earlier_tokens;
+        let completion = completion + self.earlier_tokens;
         usage.insert("prompt_tokens".to_owned(), json!(prompt));
-        usage.insert("completion_tokens".to_owned(), json!(answer));
-        usage.insert("total_tokens".to_owned(), json!(prompt + answer));
+        usage.insert("completion_tokens".to_owned(), json!(completion));
+        usage.insert("total_tokens".to_owned(), json!(prompt + completion));
     }
 }
 
