--- a/crates/side/src/config.rs
+++ b/crates/side/src/config.rs
@@ -11,7 +11,7 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{ConfigAsk, ConfigReply, LogRecord, Lora, Millis, PoolId};
 
-use crate::state::{CONFIG, State};
+use crate::state::{CONFIG_CONDITION, State};
 
 const PATH: &str = "/peer/v1/config";
 const SPAN: Duration = Duration::from_secs(3);
@@ -54,16 +54,16 @@
     }
 
     /// Notes a revision that an entry told of.
-    pub(crate) fn hear(&self, revision: u64) {
+    pub(crate) fn observe_revision(&self, revision: u64) {
         self.told.set(self.told.get().max(revision));
-        if self.is_behind() {
+        if self.is_stale() {
             // A full channel holds the same message already.
             let _ = self.wake.sender.try_send(());
         }
     }
 
     /// Whether an entry told of a newer revision than the one in force.
-    pub(crate) fn is_behind(&self) -> bool {
+    pub(crate) fn is_stale(&self) -> bool {
         self.told.get() > self.revision()
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Path of a version's weights.
-    pub(crate) fn path(&self, lora: &Lora) -> Option<String> {
+    pub(crate) fn weights_path(&self, lora: &Lora) -> Option<String> {
         self.with(|c| {
             let adapter = c.adapters.get(&lora.adapter)?;
             if adapter.base != lora.base {
@@ -150,8 +150,8 @@
     /// Asks entries, one after the other, until one has given what is newest there.
     pub(crate) async fn refresh_config(&self) {
         self.config.looked.set(self.timer.now());
-        for entry in self.entries.shuffled() {
-            if self.ask_config(&entry).await && !self.config.is_behind() {
+        for entry in self.entries.rotated() {
+            if self.ask_config(&entry).await && !self.config.is_stale() {
                 return;
             }
         }
@@ -163,7 +163,7 @@
         };
         let before = self.config.revision();
         let reply = post::<_, ConfigReply>(&self.client, entry, PATH, &ask, SPAN).await;
-        self.entries.note(entry, reply.is_ok());
+        self.entries.record_reply(entry, reply.is_ok());
         let Ok(reply) = reply else {
             return false;
         };
@@ -210,11 +210,11 @@
             .revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
         match self.config.pool(self.pool()) {
-            Some(_) => self.readiness.hold(CONFIG),
+            Some(_) => self.readiness.hold(CONFIG_CONDITION),
             None => self
                 .readiness
-                .fail(CONFIG, "it does not declare this side's pool"),
+                .fail(CONFIG_CONDITION, "it does not declare this side's pool"),
         }
-        self.retune();
+        self.apply_options();
     }
 }
--- a/crates/side/src/dump.rs
+++ b/crates/side/src/dump.rs
@@ -44,7 +44,7 @@
 impl State {
     pub(crate) fn dump(&self) -> SideDump {
         let common = &self.settings.common;
-        let work = self.work();
+        let work = self.backend();
         let keys = work.as_ref().and_then(|w| match &w.upstream {
             Upstream::Service(_, keys) => Some(keys.dump()),
             Upstream::Model(_) => None,
--- a/crates/side/src/entries.rs
+++ b/crates/side/src/entries.rs
@@ -52,7 +52,7 @@
     }
 
     /// Notes whether an entry answered.
-    pub(crate) fn note(&self, entry: &str, answered: bool) {
+    pub(crate) fn record_reply(&self, entry: &str, answered: bool) {
         let mut silent = self.silent.borrow_mut();
         if answered {
             silent.remove(entry);
@@ -62,7 +62,7 @@
     }
 
     /// Addresses, from another one on each time; those that did not answer last come last.
-    pub(crate) fn shuffled(&self) -> Vec<String> {
+    pub(crate) fn rotated(&self) -> Vec<String> {
         let mut all: Vec<String> = self.all().into_iter().collect();
         if !all.is_empty() {
             let turn = self.turn.get();
@@ -136,7 +136,7 @@
 
     /// The sides of one service share what the log takes of appends.
     fn share_log(&self, list: &VmList) {
-        if let Some(Upstream::Service(_, keys)) = self.work().map(|w| w.upstream) {
+        if let Some(Upstream::Service(_, keys)) = self.backend().map(|w| w.upstream) {
             let sides = list
                 .vms
                 .iter()
--- a/crates/side/src/keys/claim.rs
+++ b/crates/side/src/keys/claim.rs
@@ -11,7 +11,7 @@
 
 use super::KeyCall;
 use super::part::{Part, step_reason};
-use crate::state::wall_clock;
+use crate::state::unix_time;
 
 /// Longest wait for an attempt that runs with the same key.
 const BUSY_SPAN: Millis = Millis(1_000);
@@ -56,7 +56,7 @@
     }
 
     fn admit(&self, call: &KeyCall<'_>, left: Millis) -> Result<Intent, Claim> {
-        let now = wall_clock();
+        let now = unix_time();
         let call = Call {
             key: call.key,
             digest: call.digest,
--- a/crates/side/src/keys/mod.rs
+++ b/crates/side/src/keys/mod.rs
@@ -28,7 +28,7 @@
 use pumicecleat_ops::Log as EventLog;
 use pumicecleat_types::{Millis, Reason, RequestId, ServiceId, VmId};
 
-use crate::state::wall_clock;
+use crate::state::unix_time;
 pub(crate) use claim::Claim;
 pub(crate) use dump::KeysDump;
 pub(crate) use part::Hold;
@@ -195,7 +195,7 @@
         let context = &self.state.context;
         let last = self.state.closed.borrow().get(&at).copied();
         // A clock that was set back must not lead to a name that was used.
-        let incarnation = last.map_or(context.incarnation, |l| wall_clock().0.max(l + 1));
+        let incarnation = last.map_or(context.incarnation, |l| unix_time().0.max(l + 1));
         let part = Part::open(context, self.stream(at), incarnation);
         part.set_interval(self.interval());
         self.state.open.borrow_mut().insert(at, part.clone());
--- a/crates/side/src/keys/part.rs
+++ b/crates/side/src/keys/part.rs
@@ -18,7 +18,7 @@
 use pumicecleat_types::{Millis, Reason, RequestId};
 
 use super::KeyContext;
-use crate::state::wall_clock;
+use crate::state::unix_time;
 
 /// One part of the keys of a service at this side. Clones share it.
 #[derive(Clone)]
@@ -142,7 +142,7 @@
 
     /// Notes that a call goes to the service now.
     pub(crate) fn sent(&self, won: Won) -> Result<Sent, StepError> {
-        self.state.ledger.borrow_mut().sent(won, wall_clock())
+        self.state.ledger.borrow_mut().sent(won, unix_time())
     }
 
     /// Takes back a call that failed before a byte left; `true` if it may be told as not run.
--- a/crates/side/src/keys/reader.rs
+++ b/crates/side/src/keys/reader.rs
@@ -11,7 +11,7 @@
 use pumicecleat_types::{LogRecord, Millis};
 
 use super::part::Part;
-use crate::state::wall_clock;
+use crate::state::unix_time;
 
 const BATCH: u32 = 1_000;
 /// Time that the log may wait for a record: an outage shows no later.
@@ -88,7 +88,7 @@
     }
 
     fn expire(&self) {
-        let due = self.state.ledger.borrow_mut().expire(wall_clock());
+        let due = self.state.ledger.borrow_mut().expire(unix_time());
         self.tell(due);
     }
 
--- a/crates/side/src/lengths.rs
+++ b/crates/side/src/lengths.rs
@@ -11,11 +11,11 @@
 
 /// Running mean of the tokens of whole answers.
 #[derive(Debug)]
-pub(crate) struct Lengths {
+pub(crate) struct AnswerLengths {
     mean: Cell<f64>,
 }
 
-impl Default for Lengths {
+impl Default for AnswerLengths {
     fn default() -> Self {
         Self {
             mean: Cell::new(FIRST),
@@ -23,15 +23,15 @@
     }
 }
 
-impl Lengths {
+impl AnswerLengths {
     /// Notes an answer of `tokens`.
-    pub(crate) fn note(&self, tokens: u32) {
+    pub(crate) fn record(&self, tokens: u32) {
         let mean = self.mean.get();
         self.mean.set(mean + GAIN * (f64::from(tokens) - mean));
     }
 
     /// Tokens to expect of an answer that may have `most`.
-    pub(crate) fn expect(&self, most: u32) -> u32 {
+    pub(crate) fn expected_tokens(&self, most: u32) -> u32 {
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/crates/side/src/metrics.rs
+++ b/crates/side/src/metrics.rs
@@ -9,7 +9,7 @@
 pub(crate) struct SideMetrics {
     pub(crate) registry: Metrics,
     pub(crate) runs: Counter,
-    pub(crate) whole: Counter,
+    pub(crate) completed: Counter,
     pub(crate) refused: Counter,
     pub(crate) broken: Counter,
     pub(crate) cancelled: Counter,
@@ -29,7 +29,7 @@
         let histogram = |name, help| registry.histogram(name, help, &SECONDS);
         Self {
             runs: counter("side_runs", "attempts taken from entries"),
-            whole: counter("side_whole", "attempts answered whole"),
+            completed: counter("side_whole", "attempts answered whole"),
             refused: counter("side_refused", "attempts refused, not run"),
             broken: counter("side_broken", "attempts that broke off"),
             cancelled: counter("side_cancelled", "attempts that the entry gave up"),
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dispatch::{Dispatcher, Order};
-use crate::state::{State, UPSTREAM};
+use crate::state::{State, UPSTREAM_CONDITION};
 
 const BID_PATH: &str = "/peer/v1/load";
 const BID_SPAN: Duration = Duration::from_millis(500);
@@ -87,14 +87,14 @@
     async fn load(&self, lora: &Lora) {
         let name = lora.engine_name();
         let from = self.state.timer.now();
-        let end = match self.state.config.path(lora) {
+        let end = match self.state.config.weights_path(lora) {
             Some(path) => self.order_load(&name, &path).await,
             None => LoadOutcome::Failed,
         };
         let took = self.state.timer.now().since(from);
         self.note_load(&name, end, took);
         self.dispatcher.loaded(lora, end);
-        self.state.reports_due();
+        self.state.request_reports();
     }
 
     async fn order_load(&self, name: &str, path: &str) -> LoadOutcome {
@@ -124,7 +124,7 @@
             self.state.metrics.unloads.inc();
         }
         self.dispatcher.unloaded(lora, gone);
-        self.state.reports_due();
+        self.state.request_reports();
     }
 
     /// Whether the engine itself still runs a request with it: one cut short a moment ago, or one
@@ -183,7 +183,7 @@
             // Another giver of orders has come after this one, which must give none any more.
             self.state
                 .readiness
-                .fail(UPSTREAM, "it takes orders of a newer side");
+                .fail(UPSTREAM_CONDITION, "it takes orders of a newer side");
             self.state.leave("fencing number");
             return;
         }
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -32,7 +32,7 @@
 
 impl Reporters {
     /// Makes a report due at every entry.
-    pub(crate) fn wake(&self) {
+    pub(crate) fn wake_all(&self) {
         for wake in self.wakes.borrow().values() {
             // A full channel holds the same message already.
             let _ = wake.try_send(());
@@ -53,12 +53,12 @@
 
 impl State {
     /// Makes a report due at every entry.
-    pub(crate) fn reports_due(&self) {
-        self.reporters.wake();
+    pub(crate) fn request_reports(&self) {
+        self.reporters.wake_all();
     }
 
     /// Keeps a reporter for each entry; never ends.
-    pub(crate) async fn report(self: Rc<Self>) {
+    pub(crate) async fn run_reporters(self: Rc<Self>) {
         loop {
             let entries = self.entries.all();
             self.reporters
@@ -98,19 +98,19 @@
 
     async fn report_once(&self, entry: &str, told: &mut Told) -> Duration {
         let resident = self
-            .work()
+            .backend()
             .map(|w| w.dispatcher.resident())
             .unwrap_or_default();
         let changed = told.resident.as_ref() != Some(&resident);
         let report = self.build_report(changed.then(|| resident.clone()));
         let reply = post::<_, ReportReply>(&self.client, entry, PATH, &report, SPAN).await;
-        self.entries.note(entry, reply.is_ok());
+        self.entries.record_reply(entry, reply.is_ok());
         let Ok(reply) = reply else {
             told.resident = None;
             return RETRY;
         };
         told.resident = (!reply.whole).then_some(resident);
-        self.config.hear(reply.revision);
+        self.config.observe_revision(reply.revision);
         let ms = if reply.whole { 0 } else { reply.next_ms };
         let pace = ms.clamp(*PACE.start(), *PACE.end());
         self.spread(entry, pace)
@@ -129,7 +129,7 @@
 
     fn build_report(&self, resident: Option<Vec<String>>) -> Report {
         let common = &self.settings.common;
-        let work = self.work();
+        let work = self.backend();
         let dispatcher = work.as_ref().map(|w| &w.dispatcher);
         Report {
             vm: self.vm().clone(),
--- a/crates/side/src/run/gate.rs
+++ b/crates/side/src/run/gate.rs
@@ -5,7 +5,7 @@
 use pumicecleat_types::{Lora, ModelTarget, Reason, Refusal, RunHead, Target};
 
 use super::{RETRY_MS, refusal};
-use crate::state::{State, Work};
+use crate::state::{Backend, State};
 
 /// Longest wait for a configuration that the entry has and this side lacks.
 const REFRESH: Duration = Duration::from_secs(1);
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// The refusal, if it may not.
-    pub(super) async fn gate(&self, head: &RunHead) -> Result<Work, Refusal> {
+    pub(super) async fn gate(&self, head: &RunHead) -> Result<Backend, Refusal> {
         if head.pool != *self.pool() {
             return Err(refusal(
                 Reason::WrongPool,
@@ -35,8 +35,8 @@
                 "this upstream is leaving",
             ));
         }
-        match self.work() {
-            Some(work) if self.is_open() => Ok(work),
+        match self.backend() {
+            Some(work) if self.accepts_work() => Ok(work),
             _ => Err(refusal(
                 Reason::UpstreamDown,
                 RETRY_MS,
@@ -47,7 +47,7 @@
 
     /// The entry decided by a newer revision: it is in force here before the attempt is looked at.
     async fn catch_up(&self, head: &RunHead) {
-        self.config.hear(head.revision);
+        self.config.observe_revision(head.revision);
         if self.config.revision() < head.revision {
             // Behind after all of it, the check of the target has the last word.
             let _ = self.timer.within(REFRESH, self.refresh_config()).await;
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -87,7 +87,7 @@
 
 impl State {
     fn figures(&self) -> Option<pumicecleat_types::LoadFigures> {
-        self.work().map(|w| w.dispatcher.figures())
+        self.backend().map(|w| w.dispatcher.figures())
     }
 
     /// Frame of a refusal, with figures, counted and logged.
--- a/crates/side/src/run/model/mod.rs
+++ b/crates/side/src/run/model/mod.rs
@@ -20,12 +20,12 @@
 
 use super::{Frames, RETRY_MS, refusal};
 use crate::dispatch::{Decision, Demand, Ticket};
-use crate::state::{State, Work};
+use crate::state::{Backend, State};
 
 /// Frames of one attempt.
 pub(super) fn run(
     state: Rc<State>,
-    work: Work,
+    work: Backend,
     engine: Rc<dyn Engine>,
     lora: Lora,
     request: RunRequest,
@@ -51,7 +51,7 @@
 
 struct ModelRun {
     state: Rc<State>,
-    work: Work,
+    work: Backend,
     engine: Rc<dyn Engine>,
     request: RunRequest,
     lora: Lora,
@@ -119,7 +119,7 @@
             claim: self.state.claim_of(head),
             priority: head.priority,
             left: Millis(head.left_ms),
-            tokens: self.state.lengths.expect(head.tokens),
+            tokens: self.state.answer_lengths.expected_tokens(head.tokens),
         };
         let from = self.state.timer.now();
         let submitted = self.work.dispatcher.submit(&demand);
--- a/crates/side/src/run/model/relay.rs
+++ b/crates/side/src/run/model/relay.rs
@@ -68,8 +68,8 @@
             .within(CLOSE_SPAN, relay.answer.next())
             .await;
         relay.ticket.finish(true);
-        self.state.lengths.note(relay.events);
-        self.state.metrics.whole.inc();
+        self.state.answer_lengths.record(relay.events);
+        self.state.metrics.completed.inc();
         let end = Frame::End {
             load: Some(self.work.dispatcher.figures()),
         };
--- a/crates/side/src/run/model/whole.rs
+++ b/crates/side/src/run/model/whole.rs
@@ -41,7 +41,7 @@
             Ok(whole) => self.note_length(whole.usage.map(|u| u.completion)),
             Err(e) => return self.wrong_answer(&e),
         }
-        self.state.metrics.whole.inc();
+        self.state.metrics.completed.inc();
         self.step = Step::Rest(whole_frames(&self.state, &body).into());
         self.head(200, "application/json")
     }
@@ -58,7 +58,7 @@
     fn note_length(&self, tokens: Option<u64>) {
         if let Some(tokens) = tokens {
             let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-            self.state.lengths.note(tokens);
+            self.state.answer_lengths.record(tokens);
         }
     }
 
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -19,7 +19,7 @@
 use super::{Frames, RETRY_MS, refusal, whole_frames};
 use crate::dispatch::{Decision, Demand, Ticket};
 use crate::keys::{Claim, Hold, KeyCall, Keys};
-use crate::state::{State, Work};
+use crate::state::{Backend, State};
 
 /// Longest body that is recorded whole with an outcome, bytes.
 const RECORDED: usize = 16 << 10;
@@ -33,7 +33,7 @@
 /// Frames of one attempt.
 pub(super) fn run(
     state: Rc<State>,
-    work: Work,
+    work: Backend,
     place: Place,
     target: ServiceTarget,
     request: RunRequest,
@@ -78,7 +78,7 @@
 
 struct ServiceRun {
     state: Rc<State>,
-    work: Work,
+    work: Backend,
     place: Place,
     target: ServiceTarget,
     request: RunRequest,
@@ -286,7 +286,7 @@
         body: &[u8],
         replayed: bool,
     ) -> Vec<Frame> {
-        self.state.metrics.whole.inc();
+        self.state.metrics.completed.inc();
         let mut frames = vec![Frame::Head {
             request: self.request.head.request.clone(),
             attempt: self.request.head.attempt,
--- a/crates/side/src/start.rs
+++ b/crates/side/src/start.rs
@@ -23,14 +23,16 @@
 use crate::dump::Dumper;
 use crate::entries::Entries;
 use crate::keys::{KeyContext, Keys};
-use crate::lengths::Lengths;
+use crate::lengths::AnswerLengths;
 use crate::metrics::SideMetrics;
 use crate::orders::OrderRunner;
 use crate::peer::PeerHandler;
 use crate::report::Reporters;
-use crate::state::{CONFIG, STAYING, State, UPSTREAM, Upstream, Work, wall_clock};
-use crate::tune::millis;
-use crate::watch::watch;
+use crate::state::{
+    Backend, CONFIG_CONDITION, STAYING_CONDITION, State, UPSTREAM_CONDITION, Upstream, unix_time,
+};
+use crate::tune::to_millis;
+use crate::watch::watch_upstream;
 
 /// Time that the platform's services and the upstream have for a short answer.
 const ANSWER_SPAN: Duration = Duration::from_secs(2);
@@ -191,11 +193,14 @@
     log: &Log,
 ) -> State {
     let address = settings.advertise.unwrap_or(bound).to_string();
-    let readiness = Readiness::new(&[CONFIG, UPSTREAM, STAYING], log);
-    readiness.hold(STAYING);
+    let readiness = Readiness::new(
+        &[CONFIG_CONDITION, UPSTREAM_CONDITION, STAYING_CONDITION],
+        log,
+    );
+    readiness.hold(STAYING_CONDITION);
     State {
         address,
-        incarnation: wall_clock().0,
+        incarnation: unix_time().0,
         timer: timer.clone(),
         turns,
         client: Client::new_ext(ClientOptions::default(), timer),
@@ -206,10 +211,10 @@
         config: Configuration::default(),
         entries: Entries::new(&settings.entries, settings.common.vm.as_str()),
         reporters: Reporters::default(),
-        lengths: Lengths::default(),
+        answer_lengths: AnswerLengths::default(),
         leaving: Cell::new(false),
         healthy: Cell::new(false),
-        work: RefCell::default(),
+        backend: RefCell::default(),
         settings,
     }
 }
@@ -232,7 +237,7 @@
 
 fn start_tasks(state: &Rc<State>) {
     monoio::spawn(Rc::clone(state).follow_config());
-    monoio::spawn(Rc::clone(state).report());
+    monoio::spawn(Rc::clone(state).run_reporters());
     monoio::spawn(assemble(Rc::clone(state)));
     if !state.settings.vms.is_empty() {
         let peers = Peers::new(&state.settings.vms);
@@ -266,15 +271,15 @@
         }
         PoolKind::Service { parts, .. } => match service(&state, parts) {
             Ok(upstream) => upstream,
-            Err(e) => return state.readiness.fail(CONFIG, &e.to_string()),
+            Err(e) => return state.readiness.fail(CONFIG_CONDITION, &e.to_string()),
         },
     };
-    let work = Work {
+    let work = Backend {
         dispatcher,
         upstream,
     };
-    *state.work.borrow_mut() = Some(work.clone());
-    watch(state, work).await;
+    *state.backend.borrow_mut() = Some(work.clone());
+    watch_upstream(state, work).await;
 }
 
 fn service(state: &State, parts: u32) -> Result<Upstream, LimitError> {
@@ -293,7 +298,7 @@
         vm: state.vm().clone(),
         incarnation: state.incarnation,
         limits: Cell::new(limits),
-        idle: millis(state.settings.key_idle.0),
+        idle: to_millis(state.settings.key_idle.0),
         rate: state.settings.log_rate,
         log,
         events: state.log.clone(),
--- a/crates/side/src/state.rs
+++ b/crates/side/src/state.rs
@@ -14,16 +14,16 @@
 use crate::dispatch::Dispatcher;
 use crate::entries::Entries;
 use crate::keys::Keys;
-use crate::lengths::Lengths;
+use crate::lengths::AnswerLengths;
 use crate::metrics::SideMetrics;
 use crate::report::Reporters;
 
 /// Condition: a configuration is in force that declares the pool.
-pub(crate) const CONFIG: &str = "configuration";
+pub(crate) const CONFIG_CONDITION: &str = "configuration";
 /// Condition: the upstream answers.
-pub(crate) const UPSTREAM: &str = "upstream";
+pub(crate) const UPSTREAM_CONDITION: &str = "upstream";
 /// Condition: this process is not stopping.
-pub(crate) const STAYING: &str = "staying";
+pub(crate) const STAYING_CONDITION: &str = "staying";
 
 /// One side.
 pub(crate) struct State {
@@ -42,15 +42,15 @@
     pub(crate) config: Configuration,
     pub(crate) entries: Entries,
     pub(crate) reporters: Reporters,
-    pub(crate) lengths: Lengths,
+    pub(crate) answer_lengths: AnswerLengths,
     pub(crate) leaving: Cell<bool>,
     pub(crate) healthy: Cell<bool>,
-    pub(crate) work: RefCell<Option<Work>>,
+    pub(crate) backend: RefCell<Option<Backend>>,
 }
 
 /// What a side works with once it knows its pool.
 #[derive(Clone)]
-pub(crate) struct Work {
+pub(crate) struct Backend {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) upstream: Upstream,
 }
@@ -73,17 +73,17 @@
         &self.settings.pool
     }
 
-    pub(crate) fn work(&self) -> Option<Work> {
-        self.work.borrow().clone()
+    pub(crate) fn backend(&self) -> Option<Backend> {
+        self.backend.borrow().clone()
     }
 
     /// Whether new work is taken.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn accepts_work(&self) -> bool {
         !self.leaving.get() && self.healthy.get()
     }
 
     /// Base model of the pool.
-    pub(crate) fn base(&self) -> Option<BaseId> {
+    pub(crate) fn base_model(&self) -> Option<BaseId> {
         match self.config.pool(self.pool())?.kind {
             PoolKind::Model { base, .. } => Some(base),
             PoolKind::Service { .. } => None,
@@ -97,16 +97,16 @@
         }
         let fields = [field("vm", self.vm()), field("source", source)];
         self.log.emit(&events::VM_LEAVING, &fields);
-        self.readiness.fail(STAYING, source);
-        if let Some(work) = self.work() {
+        self.readiness.fail(STAYING_CONDITION, source);
+        if let Some(work) = self.backend() {
             work.dispatcher.close(Reason::Leaving);
         }
-        self.reports_due();
+        self.request_reports();
     }
 }
 
 /// Milliseconds since 1970 by this VM's clock.
-pub(crate) fn wall_clock() -> Millis {
+pub(crate) fn unix_time() -> Millis {
     let since = std::time::SystemTime::UNIX_EPOCH.elapsed();
     let ms = since.map_or(0, |s| s.as_millis());
     Millis(u64::try_from(ms).unwrap_or(u64::MAX))
--- a/crates/side/src/tune.rs
+++ b/crates/side/src/tune.rs
@@ -8,7 +8,7 @@
 use pumicecleat_policy::{ObjectiveWeights, SchedulerOptions};
 use pumicecleat_types::Millis;
 
-use crate::state::{CONFIG, State, Upstream};
+use crate::state::{CONFIG_CONDITION, State, Upstream};
 
 /// Expected time of a call of a plain service until some have been seen, microseconds.
 const FIRST_CALL: u32 = 20_000;
@@ -46,12 +46,12 @@
     pub(crate) fn key_limits(&self) -> Result<Limits, LimitError> {
         let declared = self.config.with(|c| Some(c.limits.window_s)).unwrap_or(0);
         let window = Millis(declared.saturating_mul(1_000));
-        Limits::new(window, AHEAD, millis(self.settings.retention.0))
+        Limits::new(window, AHEAD, to_millis(self.settings.retention.0))
     }
 
     /// Takes in what a new revision sets.
-    pub(crate) fn retune(&self) {
-        let Some(work) = self.work() else {
+    pub(crate) fn apply_options(&self) {
+        let Some(work) = self.backend() else {
             return;
         };
         if let Some(pool) = self.config.pool(self.pool()) {
@@ -69,10 +69,10 @@
     fn refuse_limits(&self, error: &LimitError) {
         let fields = [field("step", "limits of keys"), field("error", error)];
         self.log.emit(&events::INTERNAL, &fields);
-        self.readiness.fail(CONFIG, &error.to_string());
+        self.readiness.fail(CONFIG_CONDITION, &error.to_string());
     }
 }
 
-pub(crate) fn millis(span: Duration) -> Millis {
+pub(crate) fn to_millis(span: Duration) -> Millis {
     Millis(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/side/src/watch.rs
+++ b/crates/side/src/watch.rs
@@ -8,7 +8,7 @@
 use pumicecleat_types::{BaseId, Lora, Millis, Reason};
 use pumicecleat_upstream::{CallError, Engine};
 
-use crate::state::{State, UPSTREAM, Upstream, Work};
+use crate::state::{Backend, State, UPSTREAM_CONDITION, Upstream};
 
 /// Time between two looks.
 const PAUSE: Duration = Duration::from_millis(250);
@@ -35,7 +35,7 @@
 }
 
 /// Watches the upstream; never ends.
-pub(crate) async fn watch(state: Rc<State>, work: Work) {
+pub(crate) async fn watch_upstream(state: Rc<State>, work: Backend) {
     let mut watched = WatchState::default();
     loop {
         let health = match &work.upstream {
@@ -51,7 +51,7 @@
 }
 
 impl State {
-    async fn look(&self, work: &Work, watched: &mut WatchState) {
+    async fn look(&self, work: &Backend, watched: &mut WatchState) {
         watched.failures = 0;
         watched.looks += 1;
         if let Upstream::Model(engine) = &work.upstream {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn miss(&self, work: &Work, watched: &mut WatchState, error: &CallError) {
+    fn miss(&self, work: &Backend, watched: &mut WatchState, error: &CallError) {
         watched.failures += 1;
         if watched.up && watched.failures >= FAILURES {
             watched.up = false;
@@ -82,7 +82,7 @@
         }
     }
 
-    fn set_healthy(&self, work: &Work, healthy: bool) {
+    fn set_healthy(&self, work: &Backend, healthy: bool) {
         self.healthy.set(healthy);
         if healthy {
             let fields = [
@@ -91,21 +91,22 @@
                 field("running", work.dispatcher.figures().running),
             ];
             self.log.emit(&events::UPSTREAM_UP, &fields);
-            self.readiness.hold(UPSTREAM);
+            self.readiness.hold(UPSTREAM_CONDITION);
             if !self.leaving.get() {
                 work.dispatcher.reopen();
             }
         } else {
-            self.readiness.fail(UPSTREAM, "it does not answer");
+            self.readiness
+                .fail(UPSTREAM_CONDITION, "it does not answer");
             work.dispatcher.close(Reason::UpstreamDown);
         }
-        self.reports_due();
+        self.request_reports();
     }
 
     /// Compares what the engine holds with what this side believes.
     async fn compare(
         &self,
-        work: &Work,
+        work: &Backend,
         engine: &dyn Engine,
         watched: &mut WatchState,
     ) -> Result<(), CallError> {
@@ -136,7 +137,7 @@
     /// engine's figures lag, so that all it holds may be in use until they have caught up.
     async fn take_over(
         &self,
-        work: &Work,
+        work: &Backend,
         engine: &dyn Engine,
         shown: &[String],
         watched: &mut WatchState,
@@ -157,7 +158,7 @@
 
     async fn release_ended(
         &self,
-        work: &Work,
+        work: &Backend,
         engine: &dyn Engine,
         watched: &mut WatchState,
     ) -> Result<(), CallError> {
@@ -174,18 +175,18 @@
         Ok(())
     }
 
-    fn restart(&self, work: &Work, shown: &BTreeSet<&str>) {
+    fn restart(&self, work: &Backend, shown: &BTreeSet<&str>) {
         let upstream = &self.settings.upstream;
         self.log
             .emit(&events::UPSTREAM_RESTARTED, &[field("upstream", upstream)]);
         let resident = self.loras(shown.iter().copied());
         work.dispatcher.reset(&resident, &[]);
-        self.reports_due();
+        self.request_reports();
     }
 
     /// Adapters of engine names; others, which this system did not load, are left out.
     fn loras<'a>(&self, names: impl Iterator<Item = &'a str>) -> Vec<Lora> {
-        let Some(base) = self.base() else {
+        let Some(base) = self.base_model() else {
             return Vec::new();
         };
         names.filter_map(|n| scan_name(&base, n)).collect()
