--- a/crates/side/src/config.rs
+++ b/crates/side/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration as heard from entries; a side does not read its log.
+//! The configuration as fetched from entries. A side does not read the configuration log itself.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,37 +13,39 @@
 
 use crate::state::{CONFIG_CONDITION, State};
 
-const PATH: &str = "/peer/v1/config";
-const SPAN: Duration = Duration::from_secs(3);
-/// Time between two looks for a newer revision, where no report told of one.
-const PAUSE: Duration = Duration::from_secs(9);
-/// Shortest time between two looks that reports led to: at many changes a second, each takes several.
-const SPACING: Millis = Millis(3_000);
-const START_PAUSE: Duration = Duration::from_millis(100);
+const CONFIG_PATH: &str = "/peer/v1/config";
+const CONFIG_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval between refreshes if no report's reply announces a newer revision.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(9);
+/// Shortest interval between refreshes triggered by replies to reports, so that with many changes a
+/// second one refresh fetches several of them.
+const MIN_REFRESH_INTERVAL: Millis = Millis(3_000);
+/// Interval between refreshes until a configuration is in force.
+const INITIAL_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Configuration in force at this side.
 #[derive(Debug, Default)]
 pub(crate) struct Configuration {
     fold: RefCell<Option<Fold>>,
-    /// Newest revision that an entry told of.
-    told: Cell<u64>,
-    /// Wakes the look for it.
-    wake: Wake,
-    /// Time of the last look.
-    looked: Cell<Millis>,
+    /// Newest revision that an entry announced.
+    announced: Cell<u64>,
+    /// Triggers a refresh.
+    refresh_signal: RefreshSignal,
+    /// When the last refresh started.
+    last_refresh: Cell<Millis>,
 }
 
-/// Wakes one task.
+/// Wakes the task that follows the configuration.
 #[derive(Debug)]
-struct Wake {
+struct RefreshSignal {
     sender: Sender<()>,
-    due: Receiver<()>,
+    receiver: Receiver<()>,
 }
 
-impl Default for Wake {
+impl Default for RefreshSignal {
     fn default() -> Self {
-        let (sender, due) = async_channel::bounded(1);
-        Self { sender, due }
+        let (sender, receiver) = async_channel::bounded(1);
+        Self { sender, receiver }
     }
 }
 
@@ -53,32 +55,32 @@
         self.fold.borrow().as_ref().map_or(0, Fold::revision)
     }
 
-    /// Notes a revision that an entry told of.
+    /// Records a revision that an entry announced, and triggers a refresh if it is newer.
     pub(crate) fn observe_revision(&self, revision: u64) {
-        self.told.set(self.told.get().max(revision));
+        self.announced.set(self.announced.get().max(revision));
         if self.is_stale() {
-            // A full channel holds the same message already.
-            let _ = self.wake.sender.try_send(());
+            // If the channel is full, a refresh is triggered already.
+            let _ = self.refresh_signal.sender.try_send(());
         }
     }
 
-    /// Whether an entry told of a newer revision than the one in force.
+    /// Whether an entry announced a newer revision than the one in force.
     pub(crate) fn is_stale(&self) -> bool {
-        self.told.get() > self.revision()
+        self.announced.get() > self.revision()
     }
 
-    /// What `read` takes from the configuration in force, if there is one.
+    /// Applies `read` to the configuration in force, if there is one.
     pub(crate) fn with<T>(&self, read: impl FnOnce(&Config) -> Option<T>) -> Option<T> {
         let fold = self.fold.borrow();
         fold.as_ref().and_then(|f| read(f.config()))
     }
 
-    /// Pool as declared.
+    /// Declaration of a pool.
     pub(crate) fn pool(&self, pool: &PoolId) -> Option<Pool> {
         self.with(|c| c.pools.get(pool).cloned())
     }
 
-    /// Path of a version's weights.
+    /// Weights path of an adapter version.
     pub(crate) fn weights_path(&self, lora: &Lora) -> Option<String> {
         self.with(|c| {
             let adapter = c.adapters.get(&lora.adapter)?;
@@ -90,34 +92,35 @@
         })
     }
 
-    /// Offset wanted next, or `None` for a snapshot.
-    fn next(&self) -> Option<u64> {
+    /// Log offset of the next record needed, or `None` if a snapshot is needed.
+    fn next_offset(&self) -> Option<u64> {
         self.fold.borrow().as_ref().map(Fold::next)
     }
 
-    /// Takes a reply in; `false` if the fold has a gap that a snapshot must fill.
-    fn take(&self, reply: &ConfigReply) -> Result<bool, String> {
+    /// Applies a reply. Returns `false` if there is a gap before its records, so that a snapshot is
+    /// needed.
+    fn apply_reply(&self, reply: &ConfigReply) -> Result<bool, String> {
         match reply {
             ConfigReply::NotReady => Ok(true),
-            ConfigReply::Snapshot(bytes) => self.adopt(bytes),
-            ConfigReply::Records(records) => Ok(self.apply(records)),
+            ConfigReply::Snapshot(bytes) => self.adopt_snapshot(bytes),
+            ConfigReply::Records(records) => Ok(self.apply_records(records)),
         }
     }
 
-    fn adopt(&self, bytes: &[u8]) -> Result<bool, String> {
-        let mut held = self.fold.borrow_mut();
-        if let Some(fold) = held.as_mut() {
+    fn adopt_snapshot(&self, bytes: &[u8]) -> Result<bool, String> {
+        let mut slot = self.fold.borrow_mut();
+        if let Some(fold) = slot.as_mut() {
             fold.adopt(bytes).map_err(|e| e.to_string())?;
         } else {
             let fold = Fold::from_snapshot(bytes).map_err(|e| e.to_string())?;
-            *held = Some(fold);
+            *slot = Some(fold);
         }
         Ok(true)
     }
 
-    fn apply(&self, records: &[LogRecord]) -> bool {
-        let mut held = self.fold.borrow_mut();
-        let Some(fold) = held.as_mut() else {
+    fn apply_records(&self, records: &[LogRecord]) -> bool {
+        let mut slot = self.fold.borrow_mut();
+        let Some(fold) = slot.as_mut() else {
             return records.is_empty();
         };
         records.iter().all(|r| fold.apply(r).is_ok())
@@ -125,67 +128,72 @@
 }
 
 impl State {
-    /// Follows the configuration; never ends.
+    /// Keeps the configuration up to date; never returns.
     pub(crate) async fn follow_config(self: Rc<Self>) {
         loop {
             self.refresh_config().await;
-            let pause = if self.config.revision() == 0 {
-                START_PAUSE
+            let interval = if self.config.revision() == 0 {
+                INITIAL_REFRESH_INTERVAL
             } else {
-                PAUSE
+                REFRESH_INTERVAL
             };
-            let _ = self.timer.within(pause, self.config.wake.due.recv()).await;
-            self.space_looks().await;
+            let _ = self
+                .timer
+                .within(interval, self.config.refresh_signal.receiver.recv())
+                .await;
+            self.wait_min_interval().await;
         }
     }
 
-    /// Waits until the last look is far enough back; a side that has no configuration yet doesn't.
-    async fn space_looks(&self) {
+    /// Waits for the minimum interval since the last refresh, unless there is no configuration yet.
+    async fn wait_min_interval(&self) {
         if self.config.revision() > 0 {
-            let due = self.config.looked.get() + SPACING;
+            let due = self.config.last_refresh.get() + MIN_REFRESH_INTERVAL;
             self.timer.sleep_until(due).await;
         }
     }
 
-    /// Asks entries, one after the other, until one has given what is newest there.
+    /// Asks entries in turn until one has answered and the newest announced revision is in force.
     pub(crate) async fn refresh_config(&self) {
-        self.config.looked.set(self.timer.now());
+        self.config.last_refresh.set(self.timer.now());
         for entry in self.entries.rotated() {
-            if self.ask_config(&entry).await && !self.config.is_stale() {
+            if self.request_config(&entry).await && !self.config.is_stale() {
                 return;
             }
         }
     }
 
-    async fn ask_config(&self, entry: &str) -> bool {
+    async fn request_config(&self, entry: &str) -> bool {
         let ask = ConfigAsk {
-            from: self.config.next(),
+            from: self.config.next_offset(),
         };
         let before = self.config.revision();
-        let reply = post::<_, ConfigReply>(&self.client, entry, PATH, &ask, SPAN).await;
+        let reply =
+            post::<_, ConfigReply>(&self.client, entry, CONFIG_PATH, &ask, CONFIG_TIMEOUT).await;
         self.entries.record_reply(entry, reply.is_ok());
         let Ok(reply) = reply else {
             return false;
         };
-        let whole = self.take_config(entry, &reply);
-        if !whole && ask.from.is_some() {
-            return self.ask_snapshot(entry, before).await;
+        let applied = self.apply_config_reply(entry, &reply);
+        if !applied && ask.from.is_some() {
+            return self.request_snapshot(entry, before).await;
         }
-        self.note_revision(before, entry);
-        whole && !matches!(reply, ConfigReply::NotReady)
+        self.handle_revision_change(before, entry);
+        applied && !matches!(reply, ConfigReply::NotReady)
     }
 
-    async fn ask_snapshot(&self, entry: &str, before: u64) -> bool {
+    async fn request_snapshot(&self, entry: &str, before: u64) -> bool {
         let ask = ConfigAsk { from: None };
-        let reply = post::<_, ConfigReply>(&self.client, entry, PATH, &ask, SPAN).await;
-        let whole = reply.is_ok_and(|r| self.take_config(entry, &r));
-        self.note_revision(before, entry);
-        whole
+        let reply =
+            post::<_, ConfigReply>(&self.client, entry, CONFIG_PATH, &ask, CONFIG_TIMEOUT).await;
+        let applied = reply.is_ok_and(|r| self.apply_config_reply(entry, &r));
+        self.handle_revision_change(before, entry);
+        applied
     }
 
-    fn take_config(&self, entry: &str, reply: &ConfigReply) -> bool {
-        match self.config.take(reply) {
-            Ok(whole) => whole,
+    fn apply_config_reply(&self, entry: &str, reply: &ConfigReply) -> bool {
+        match self.config.apply_reply(reply) {
+            Ok(applied) => applied,
             Err(error) => {
                 let fields = [field("peer", entry), field("error", &error)];
                 self.log.emit(&events::PEER_BAD, &fields);
@@ -194,12 +202,12 @@
         }
     }
 
-    fn note_revision(&self, before: u64, source: &str) {
+    fn handle_revision_change(&self, before: u64, source: &str) {
         let revision = self.config.revision();
         if revision == before {
             return;
         }
-        let offset = self.config.next().unwrap_or(0);
+        let offset = self.config.next_offset().unwrap_or(0);
         let fields = [
             field("revision", revision),
             field("offset", offset),
@@ -211,9 +219,10 @@
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
         match self.config.pool(self.pool()) {
             Some(_) => self.readiness.hold(CONFIG_CONDITION),
-            None => self
-                .readiness
-                .fail(CONFIG_CONDITION, "it does not declare this side's pool"),
+            None => self.readiness.fail(
+                CONFIG_CONDITION,
+                "the configuration does not declare this side's pool",
+            ),
         }
         self.apply_options();
     }
--- a/crates/side/src/dump.rs
+++ b/crates/side/src/dump.rs
@@ -1,4 +1,4 @@
-//! The whole state of a side, on request.
+//! Dump of the state of a side for debugging.
 
 use std::rc::Rc;
 
@@ -31,12 +31,12 @@
     keys: Option<KeysDump>,
 }
 
-/// Shows a side's state.
+/// Serves the dump on the admin listener.
 pub(crate) struct Dumper(pub(crate) Rc<State>);
 
 impl Dump for Dumper {
     fn dump(&self) -> serde_json::Value {
-        // Texts and numbers only: it always encodes.
+        // Serializing can't fail: the dump holds only strings, numbers and collections of them.
         serde_json::to_value(self.0.dump()).unwrap_or_default()
     }
 }
@@ -44,8 +44,8 @@
 impl State {
     pub(crate) fn dump(&self) -> SideDump {
         let common = &self.settings.common;
-        let work = self.backend();
-        let keys = work.as_ref().and_then(|w| match &w.upstream {
+        let backend = self.backend();
+        let keys = backend.as_ref().and_then(|b| match &b.upstream {
             Upstream::Service(_, keys) => Some(keys.dump()),
             Upstream::Model(_) => None,
         });
@@ -64,7 +64,7 @@
             leaving: self.leaving.get(),
             entries: self.entries.all().into_iter().collect(),
             open: self.drain.open(),
-            queue: work.map(|w| w.dispatcher.dump()),
+            queue: backend.map(|b| b.dispatcher.dump()),
             keys,
         }
     }
--- a/crates/side/src/entries.rs
+++ b/crates/side/src/entries.rs
@@ -1,4 +1,4 @@
-//! Entries that this side knows: from its settings, and from the platform's VM list.
+//! Entries known to this side, from its settings and from the platform's VM list.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,70 +13,77 @@
 
 use crate::state::{State, Upstream};
 
-/// Shortest time between two reads of the VM list.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Longest one. A side needs the list for entries that come and go; that its own VM leaves is seen
-/// by entries too, which read the list more often.
-const LONGEST: Duration = Duration::from_secs(15);
-/// VMs that a read each second may list; with more, all sides together would overrun the list.
-const VMS_A_SECOND: usize = 100;
-/// Lists in a row that must lack an entry before it is forgotten, as the list lags.
-const ABSENCES: u32 = 3;
+/// Shortest interval between two reads of the VM list.
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest interval between two reads. A side reads the list to learn of added and removed entries.
+/// That its own VM is leaving is also seen by entries, which read the list more often.
+const MAX_LIST_INTERVAL: Duration = Duration::from_secs(15);
+/// Number of listed VMs up to which the list is read every second; with more of them, the sides
+/// together would overload the list service.
+const VMS_PER_SECOND: usize = 100;
+/// Number of consecutive lists that must lack an entry before it is dropped, as the list lags.
+const DROP_AFTER_ABSENCES: u32 = 3;
 
 /// Entries by address.
 #[derive(Debug, Default)]
 pub(crate) struct Entries {
-    fixed: BTreeSet<String>,
-    /// Lists in a row that lacked it.
+    /// Entries from the settings.
+    configured: BTreeSet<String>,
+    /// Entries from the VM list, each with the number of consecutive lists that lacked it.
     listed: RefCell<BTreeMap<String, u32>>,
-    turn: Cell<usize>,
-    /// Those that did not answer last.
-    silent: RefCell<BTreeSet<String>>,
+    /// Rotation of the order in which entries are asked next.
+    rotation: Cell<usize>,
+    /// Entries that did not answer their last request.
+    unresponsive: RefCell<BTreeSet<String>>,
 }
 
 impl Entries {
-    /// Entries known from the start; sides ask them from different ones on, by `seed`.
-    pub(crate) fn new(fixed: &[SocketAddr], seed: &str) -> Self {
-        let turn = usize::try_from(xxh3_64(seed.as_bytes())).unwrap_or(0);
+    /// Entries from the settings. Sides start at different entries, depending on `seed`.
+    pub(crate) fn new(configured: &[SocketAddr], seed: &str) -> Self {
+        let rotation = usize::try_from(xxh3_64(seed.as_bytes())).unwrap_or(0);
         Self {
-            fixed: fixed.iter().map(SocketAddr::to_string).collect(),
-            turn: Cell::new(turn),
+            configured: configured.iter().map(SocketAddr::to_string).collect(),
+            rotation: Cell::new(rotation),
             ..Self::default()
         }
     }
 
-    /// Addresses, in order.
+    /// Addresses, sorted.
     pub(crate) fn all(&self) -> BTreeSet<String> {
         let listed = self.listed.borrow();
-        self.fixed.iter().chain(listed.keys()).cloned().collect()
+        self.configured
+            .iter()
+            .chain(listed.keys())
+            .cloned()
+            .collect()
     }
 
-    /// Notes whether an entry answered.
+    /// Records whether an entry answered.
     pub(crate) fn record_reply(&self, entry: &str, answered: bool) {
-        let mut silent = self.silent.borrow_mut();
+        let mut unresponsive = self.unresponsive.borrow_mut();
         if answered {
-            silent.remove(entry);
-        } else if !silent.contains(entry) {
-            silent.insert(entry.to_owned());
+            unresponsive.remove(entry);
+        } else if !unresponsive.contains(entry) {
+            unresponsive.insert(entry.to_owned());
         }
     }
 
-    /// Addresses, from another one on each time; those that did not answer last come last.
+    /// Addresses in round-robin order; entries that did not answer their last request come last.
     pub(crate) fn rotated(&self) -> Vec<String> {
         let mut all: Vec<String> = self.all().into_iter().collect();
         if !all.is_empty() {
-            let turn = self.turn.get();
-            self.turn.set(turn.wrapping_add(1));
-            let middle = turn % all.len();
-            all.rotate_left(middle);
+            let rotation = self.rotation.get();
+            self.rotation.set(rotation.wrapping_add(1));
+            let first = rotation % all.len();
+            all.rotate_left(first);
         }
-        let silent = self.silent.borrow();
-        // Stable: the others keep their order.
-        all.sort_by_key(|e| silent.contains(e));
+        let unresponsive = self.unresponsive.borrow();
+        // The sort is stable, so the order within each group is kept.
+        all.sort_by_key(|e| unresponsive.contains(e));
         all
     }
 
-    /// Addresses by rendezvous rank for `subject`, the first one best.
+    /// Addresses by rendezvous hash for `subject`, highest rank first.
     pub(crate) fn ranked(&self, subject: &str) -> Vec<String> {
         let seed = xxh3_64(subject.as_bytes());
         let mut all: Vec<String> = self.all().into_iter().collect();
@@ -84,7 +91,7 @@
         all
     }
 
-    fn take(&self, list: &VmList) {
+    fn apply_list(&self, list: &VmList) {
         let mut listed = self.listed.borrow_mut();
         for absences in listed.values_mut() {
             *absences += 1;
@@ -92,19 +99,21 @@
         for vm in list.vms.iter().filter(|v| v.role == VmRole::Entry) {
             listed.insert(vm.address.clone(), 0);
         }
-        listed.retain(|_, absences| *absences < ABSENCES);
-        let mut silent = self.silent.borrow_mut();
-        silent.retain(|e| self.fixed.contains(e) || listed.contains_key(e));
+        listed.retain(|_, absences| *absences < DROP_AFTER_ABSENCES);
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        unresponsive.retain(|e| self.configured.contains(e) || listed.contains_key(e));
     }
 }
 
-fn pace(listed: usize) -> Duration {
-    let factor = u32::try_from(listed / VMS_A_SECOND).unwrap_or(u32::MAX);
-    PAUSE.saturating_mul(factor.max(1)).min(LONGEST)
+fn list_interval(listed: usize) -> Duration {
+    let factor = u32::try_from(listed / VMS_PER_SECOND).unwrap_or(u32::MAX);
+    MIN_LIST_INTERVAL
+        .saturating_mul(factor.max(1))
+        .min(MAX_LIST_INTERVAL)
 }
 
 impl State {
-    /// Reads the VM list again and again; never ends.
+    /// Reads the VM list periodically; never returns.
     pub(crate) async fn watch_vms(self: Rc<Self>, vms: Rc<dyn Vms>) {
         let region = self.settings.common.region.clone();
         let mut up = true;
@@ -114,9 +123,9 @@
                 Ok(list) => {
                     up = true;
                     listed = list.vms.len();
-                    self.entries.take(&list);
-                    self.look_for_own(&list);
-                    self.share_log(&list);
+                    self.entries.apply_list(&list);
+                    self.check_own_vm(&list);
+                    self.set_log_share(&list);
                 }
                 Err(e) if up => {
                     up = false;
@@ -130,13 +139,13 @@
                 }
                 Err(_) => {}
             }
-            self.timer.sleep(pace(listed)).await;
+            self.timer.sleep(list_interval(listed)).await;
         }
     }
 
-    /// The sides of one service share what the log takes of appends.
-    fn share_log(&self, list: &VmList) {
-        if let Some(Upstream::Service(_, keys)) = self.backend().map(|w| w.upstream) {
+    /// Tells the keys how many sides share the service's limit on log appends.
+    fn set_log_share(&self, list: &VmList) {
+        if let Some(Upstream::Service(_, keys)) = self.backend().map(|b| b.upstream) {
             let sides = list
                 .vms
                 .iter()
@@ -145,7 +154,7 @@
         }
     }
 
-    fn look_for_own(&self, list: &VmList) {
+    fn check_own_vm(&self, list: &VmList) {
         let own = list.vms.iter().find(|v| v.vm == *self.vm());
         if own.is_some_and(|v| v.state == VmState::Leaving) {
             self.leave("VM list");
--- a/crates/side/src/lib.rs
+++ b/crates/side/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process beside an upstream: its orders, its queue, its residency, its at-most-once
-//! decisions.
+//! The sidecar process of an upstream. It queues requests, orders the loading and unloading of
+//! adapters, tracks which adapters are resident, and runs each keyed call at most once.
 //!
-//! A [`Side`] is the only giver of orders to its upstream. It holds a slot (an exclusive port) so
-//! that there is one on a VM, hears the configuration from entries, and answers `POST
-//! /peer/v1/run` with the frames of `pumicecleat_types::Frame`.
+//! A [`Side`] is the only process that gives orders to its upstream. It binds a slot, which is an
+//! exclusive port, so that only one side runs on a VM. It fetches the configuration from entries,
+//! and answers `POST /peer/v1/run` with a stream of `pumicecleat_types::Frame`.
 //!
 //! ```no_run
 //! use pumicecleat_net::{Timer, run};
--- a/crates/side/src/main.rs
+++ b/crates/side/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads settings and calls the library.
+//! Program that runs a [`Side`] until it is told to stop.
 
 use std::process::ExitCode;
 
--- a/crates/side/src/metrics.rs
+++ b/crates/side/src/metrics.rs
@@ -1,10 +1,11 @@
-//! Metrics of a side.
+//! Metrics.
 
 use pumicecleat_ops::{Counter, Gauge, Histogram, Metrics};
 
-const SECONDS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0];
+/// Bucket bounds of the histograms, in seconds.
+const BUCKETS_S: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0];
 
-/// Handles of the metrics.
+/// Handles of the metrics of a side.
 #[derive(Clone, Debug)]
 pub(crate) struct SideMetrics {
     pub(crate) registry: Metrics,
@@ -26,7 +27,7 @@
 impl SideMetrics {
     pub(crate) fn new(registry: &Metrics) -> Self {
         let counter = |name, help| registry.counter(name, help);
-        let histogram = |name, help| registry.histogram(name, help, &SECONDS);
+        let histogram = |name, help| registry.histogram(name, help, &BUCKETS_S);
         Self {
             runs: counter("side_runs", "attempts taken from entries"),
             completed: counter("side_whole", "attempts answered whole"),
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to the engine, and bids at the entry that keeps the load order.
+//! Load and unload orders to the engine, and bids for a turn at the weight store to the entry that
+//! schedules loads.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,14 +16,14 @@
 use crate::state::{State, UPSTREAM_CONDITION};
 
 const BID_PATH: &str = "/peer/v1/load";
-const BID_SPAN: Duration = Duration::from_millis(500);
-/// Entries asked for a turn before the side goes without.
-const BID_TRIES: usize = 2;
-const UNLOAD_SPAN: Duration = Duration::from_secs(10);
-/// Name by which sides rank the entries for the one weight store of a region.
-const STORE: &str = "weight-store";
-
-/// What orders go to, and where their ends are told.
+const BID_TIMEOUT: Duration = Duration::from_millis(500);
+/// Entries asked for a turn before the bid counts as unanswered.
+const MAX_BID_ATTEMPTS: usize = 2;
+const UNLOAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Rendezvous hash subject of a region's weight store; with it all sides rank the entries alike.
+const STORE_SUBJECT: &str = "weight-store";
+
+/// Carries out the orders of a dispatcher and reports their outcomes to it.
 #[derive(Clone)]
 pub(crate) struct OrderRunner {
     pub(crate) state: Rc<State>,
@@ -31,7 +32,7 @@
 }
 
 impl OrderRunner {
-    /// Carries out orders, each on its own; ends with the dispatcher.
+    /// Carries out each order in its own task; returns once the dispatcher is dropped.
     pub(crate) async fn run(self, orders: Receiver<Order>) {
         while let Ok(order) = orders.recv().await {
             let runner = self.clone();
@@ -42,7 +43,7 @@
     async fn carry_out(&self, order: Order) {
         match order {
             Order::Bid(bid) => self.bid(&bid).await,
-            Order::GiveBack => self.give_back().await,
+            Order::GiveBack => self.release_turn().await,
             Order::Load(lora) => self.load(&lora).await,
             Order::Unload(lora) => self.unload(&lora).await,
         }
@@ -56,12 +57,12 @@
             left_ms: bid.left.0,
             waited_ms: bid.waited.0,
         };
-        let turn = self.ask_turn(&message).await;
+        let turn = self.request_turn(&message).await;
         let seed = format!("{} {}", self.state.vm(), self.state.timer.now().0);
         self.dispatcher.turn(turn, xxh3_64(seed.as_bytes()));
     }
 
-    async fn give_back(&self) {
+    async fn release_turn(&self) {
         let message = LoadBid {
             vm: self.state.vm().clone(),
             lora: None,
@@ -69,14 +70,14 @@
             left_ms: 0,
             waited_ms: 0,
         };
-        // A turn that is not given back lapses by itself.
-        let _ = self.ask_turn(&message).await;
+        // A turn that is not released expires by itself.
+        let _ = self.request_turn(&message).await;
     }
 
-    async fn ask_turn(&self, message: &LoadBid) -> Option<LoadTurn> {
-        let ranked = self.state.entries.ranked(STORE);
-        for entry in ranked.iter().take(BID_TRIES) {
-            let reply = post(&self.state.client, entry, BID_PATH, message, BID_SPAN).await;
+    async fn request_turn(&self, message: &LoadBid) -> Option<LoadTurn> {
+        let ranked = self.state.entries.ranked(STORE_SUBJECT);
+        for entry in ranked.iter().take(MAX_BID_ATTEMPTS) {
+            let reply = post(&self.state.client, entry, BID_PATH, message, BID_TIMEOUT).await;
             if let Ok(turn) = reply {
                 return Some(turn);
             }
@@ -86,14 +87,14 @@
 
     async fn load(&self, lora: &Lora) {
         let name = lora.engine_name();
-        let from = self.state.timer.now();
-        let end = match self.state.config.weights_path(lora) {
+        let started_at = self.state.timer.now();
+        let outcome = match self.state.config.weights_path(lora) {
             Some(path) => self.order_load(&name, &path).await,
             None => LoadOutcome::Failed,
         };
-        let took = self.state.timer.now().since(from);
-        self.note_load(&name, end, took);
-        self.dispatcher.loaded(lora, end);
+        let took = self.state.timer.now().since(started_at);
+        self.record_load(&name, outcome, took);
+        self.dispatcher.loaded(lora, outcome);
         self.state.request_reports();
     }
 
@@ -104,11 +105,11 @@
         ];
         self.state.log.emit(&events::LOAD_STARTED, &fields);
         let order = self.order(name, path);
-        let span = self.state.settings.load_limit.0;
-        match load_confirmed(self.engine.as_ref(), order, span).await {
+        let timeout = self.state.settings.load_limit.0;
+        match load_confirmed(self.engine.as_ref(), order, timeout).await {
             Ok(_) => LoadOutcome::Done,
             Err(e) => {
-                self.note_error("load", name, &e);
+                self.handle_order_error("load", name, &e);
                 LoadOutcome::Failed
             }
         }
@@ -116,19 +117,20 @@
 
     async fn unload(&self, lora: &Lora) {
         let name = lora.engine_name();
-        let gone = !self.is_in_use(&name).await && self.order_unload(&name).await;
-        if gone {
+        let is_unloaded = !self.is_in_use(&name).await && self.order_unload(&name).await;
+        if is_unloaded {
             self.state
                 .log
                 .emit(&events::UNLOADED, &[field("lora", &name)]);
             self.state.metrics.unloads.inc();
         }
-        self.dispatcher.unloaded(lora, gone);
+        self.dispatcher.unloaded(lora, is_unloaded);
         self.state.request_reports();
     }
 
-    /// Whether the engine itself still runs a request with it: one cut short a moment ago, or one
-    /// of an earlier side. An engine that does not tell gets no order.
+    /// Whether the engine still runs a request with the adapter: one aborted a moment ago, or one
+    /// of an earlier side process. If the engine does not answer, the adapter counts as in use, so
+    /// that no unload is ordered.
     async fn is_in_use(&self, name: &str) -> bool {
         match self.engine.running().await {
             Ok(running) => running.loras.iter().any(|l| l == name),
@@ -138,16 +140,16 @@
 
     async fn order_unload(&self, name: &str) -> bool {
         let order = self.order(name, "");
-        match self.engine.unload(order, UNLOAD_SPAN).await {
+        match self.engine.unload(order, UNLOAD_TIMEOUT).await {
             Ok(()) => true,
             Err(e) => {
-                self.note_error("unload", name, &e);
-                self.is_gone(name).await
+                self.handle_order_error("unload", name, &e);
+                self.is_absent(name).await
             }
         }
     }
 
-    async fn is_gone(&self, name: &str) -> bool {
+    async fn is_absent(&self, name: &str) -> bool {
         let resident = self.engine.resident().await;
         resident.is_ok_and(|r| !r.iter().any(|l| l == name))
     }
@@ -160,10 +162,10 @@
         }
     }
 
-    fn note_load(&self, name: &str, end: LoadOutcome, took: Millis) {
+    fn record_load(&self, name: &str, outcome: LoadOutcome, took: Millis) {
         let metrics = &self.state.metrics;
         metrics.load_seconds.observe(took.as_secs());
-        if end == LoadOutcome::Done {
+        if outcome == LoadOutcome::Done {
             metrics.loads.inc();
             let fields = [field("lora", name), field("took_ms", took.0)];
             self.state.log.emit(&events::LOAD_DONE, &fields);
@@ -172,7 +174,7 @@
         }
     }
 
-    fn note_error(&self, step: &str, name: &str, error: &OrderError) {
+    fn handle_order_error(&self, step: &str, name: &str, error: &OrderError) {
         if let OrderError::Stale { .. } = error {
             let fields = [
                 field("upstream", self.engine.peer()),
@@ -180,10 +182,11 @@
                 field("number", self.state.incarnation),
             ];
             self.state.log.emit(&events::ORDER_FENCED, &fields);
-            // Another giver of orders has come after this one, which must give none any more.
-            self.state
-                .readiness
-                .fail(UPSTREAM_CONDITION, "it takes orders of a newer side");
+            // A newer side process gives orders to this engine, so this one must give no more.
+            self.state.readiness.fail(
+                UPSTREAM_CONDITION,
+                "the upstream takes orders from a newer side only",
+            );
             self.state.leave("fencing number");
             return;
         }
--- a/crates/side/src/peer.rs
+++ b/crates/side/src/peer.rs
@@ -1,4 +1,4 @@
-//! The listener for entries.
+//! HTTP handler for requests from entries.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,34 +16,34 @@
 
 const RUN_PATH: &str = "/peer/v1/run";
 const CALL_PATH: &str = "/peer/v1/call";
-/// Longest attempt, bytes: callers' bodies are limited by entries.
-const RUN_LIMIT: u64 = 64 << 20;
-const RUN_SPAN: Duration = Duration::from_secs(10);
+/// Largest request, in bytes. Entries limit the bodies of callers.
+const MAX_REQUEST_BYTES: u64 = 64 << 20;
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers entries.
+/// Handles run requests and calls for a bid from entries.
 pub(crate) struct PeerHandler(pub(crate) Rc<State>);
 
 impl Handler for PeerHandler {
     fn handle(&self, request: Incoming, peer: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
         let state = Rc::clone(&self.0);
-        Box::pin(async move { reply(state, request, peer).await })
+        Box::pin(async move { handle_request(state, request, peer).await })
     }
 }
 
-async fn reply(state: Rc<State>, request: Incoming, peer: SocketAddr) -> Reply {
+async fn handle_request(state: Rc<State>, request: Incoming, peer: SocketAddr) -> Reply {
     let is_call = request.uri().path() == CALL_PATH;
     let is_known = is_call || request.uri().path() == RUN_PATH;
     if request.method() != http::Method::POST || !is_known {
         return plain_reply(404, "only POST /peer/v1/run and /peer/v1/call\n");
     }
     let mut body = request.into_body();
-    let bytes = match read_all(&mut body, RUN_LIMIT, RUN_SPAN, &state.timer).await {
+    let bytes = match read_all(&mut body, MAX_REQUEST_BYTES, READ_TIMEOUT, &state.timer).await {
         Ok(bytes) => bytes,
         Err(e) => return refuse(&state, peer, &e.to_string()),
     };
     if is_call {
         return match decode::<LoadCall>(&bytes) {
-            Ok(_) => peer_reply(&called(&state)),
+            Ok(_) => peer_reply(&handle_call(&state)),
             Err(e) => refuse(&state, peer, &e.to_string()),
         };
     }
@@ -53,8 +53,8 @@
     }
 }
 
-fn called(state: &State) -> LoadCalled {
-    let bids = state.backend().is_some_and(|w| w.dispatcher.called());
+fn handle_call(state: &State) -> LoadCalled {
+    let bids = state.backend().is_some_and(|b| b.dispatcher.called());
     LoadCalled { bids }
 }
 
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -1,5 +1,5 @@
-//! Reports to entries: at the pace that each entry sets, and at once when something changed that
-//! it must know.
+//! Reports to entries, sent at the interval that each entry sets, and at once after a change that
+//! entries must learn of.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,28 +14,28 @@
 use crate::dispatch::Dispatcher;
 use crate::state::State;
 
-const PATH: &str = "/peer/v1/report";
-const SPAN: Duration = Duration::from_secs(1);
-/// Time between two looks for new entries.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Time until the next try at an entry that did not answer.
-const RETRY: Duration = Duration::from_millis(500);
-/// Shortest and longest time between two reports that an entry may ask for.
-const PACE: std::ops::RangeInclusive<u64> = 50..=60_000;
+const REPORT_PATH: &str = "/peer/v1/report";
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between checks for new entries.
+const ENTRY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay before the next report to an entry that did not answer.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Shortest and longest interval between reports that an entry may set, in milliseconds.
+const REPORT_INTERVAL_MS: std::ops::RangeInclusive<u64> = 50..=60_000;
 
-/// Wakes the reporters.
+/// Wake-up channels of the reporter tasks, by entry.
 #[derive(Debug, Default)]
 pub(crate) struct Reporters {
-    wakes: std::cell::RefCell<BTreeMap<String, Sender<()>>>,
+    wakers: std::cell::RefCell<BTreeMap<String, Sender<()>>>,
     seq: std::cell::Cell<u64>,
 }
 
 impl Reporters {
-    /// Makes a report due at every entry.
+    /// Wakes every reporter, so that it sends a report now.
     pub(crate) fn wake_all(&self) {
-        for wake in self.wakes.borrow().values() {
-            // A full channel holds the same message already.
-            let _ = wake.try_send(());
+        for waker in self.wakers.borrow().values() {
+            // If the channel is full, a report is due already.
+            let _ = waker.try_send(());
         }
     }
 
@@ -45,92 +45,94 @@
     }
 }
 
-/// What one entry knows of this side.
+/// State that one entry has from earlier reports; unchanged parts are not sent again.
 #[derive(Debug, Default)]
-struct Told {
+struct Reported {
     resident: Option<Vec<String>>,
 }
 
 impl State {
-    /// Makes a report due at every entry.
+    /// Sends a report to every entry now.
     pub(crate) fn request_reports(&self) {
         self.reporters.wake_all();
     }
 
-    /// Keeps a reporter for each entry; never ends.
+    /// Runs a reporter for each known entry; never returns.
     pub(crate) async fn run_reporters(self: Rc<Self>) {
         loop {
             let entries = self.entries.all();
             self.reporters
-                .wakes
+                .wakers
                 .borrow_mut()
                 .retain(|e, _| entries.contains(e));
             for entry in entries {
-                if !self.reporters.wakes.borrow().contains_key(&entry) {
+                if !self.reporters.wakers.borrow().contains_key(&entry) {
                     self.start_reporter(&entry);
                 }
             }
-            self.timer.sleep(PAUSE).await;
+            self.timer.sleep(ENTRY_CHECK_INTERVAL).await;
         }
     }
 
     fn start_reporter(self: &Rc<Self>, entry: &str) {
-        let (wake, due) = async_channel::bounded(1);
+        let (waker, wake_ups) = async_channel::bounded(1);
         self.reporters
-            .wakes
+            .wakers
             .borrow_mut()
-            .insert(entry.to_owned(), wake);
+            .insert(entry.to_owned(), waker);
         let state = Rc::clone(self);
         let entry = entry.to_owned();
-        monoio::spawn(async move { state.report_to(&entry, due).await });
+        monoio::spawn(async move { state.run_reporter(&entry, wake_ups).await });
     }
 
-    /// Reports to one entry until it is forgotten.
-    async fn report_to(&self, entry: &str, due: Receiver<()>) {
-        let mut told = Told::default();
-        while !due.is_closed() {
-            let pause = self.report_once(entry, &mut told).await;
-            let sleep = std::pin::pin!(self.timer.sleep(pause));
-            let wake = std::pin::pin!(due.recv());
-            select(sleep, wake).await;
+    /// Sends reports to one entry until the entry is no longer known.
+    async fn run_reporter(&self, entry: &str, wake_ups: Receiver<()>) {
+        let mut reported = Reported::default();
+        while !wake_ups.is_closed() {
+            let delay = self.send_report(entry, &mut reported).await;
+            let sleep = std::pin::pin!(self.timer.sleep(delay));
+            let wake_up = std::pin::pin!(wake_ups.recv());
+            select(sleep, wake_up).await;
         }
     }
 
-    async fn report_once(&self, entry: &str, told: &mut Told) -> Duration {
+    /// Sends one report and returns the delay until the next.
+    async fn send_report(&self, entry: &str, reported: &mut Reported) -> Duration {
         let resident = self
             .backend()
-            .map(|w| w.dispatcher.resident())
+            .map(|b| b.dispatcher.resident())
             .unwrap_or_default();
-        let changed = told.resident.as_ref() != Some(&resident);
+        let changed = reported.resident.as_ref() != Some(&resident);
         let report = self.build_report(changed.then(|| resident.clone()));
-        let reply = post::<_, ReportReply>(&self.client, entry, PATH, &report, SPAN).await;
+        let reply =
+            post::<_, ReportReply>(&self.client, entry, REPORT_PATH, &report, REPORT_TIMEOUT).await;
         self.entries.record_reply(entry, reply.is_ok());
         let Ok(reply) = reply else {
-            told.resident = None;
-            return RETRY;
+            reported.resident = None;
+            return RETRY_DELAY;
         };
-        told.resident = (!reply.whole).then_some(resident);
+        reported.resident = (!reply.whole).then_some(resident);
         self.config.observe_revision(reply.revision);
         let ms = if reply.whole { 0 } else { reply.next_ms };
-        let pace = ms.clamp(*PACE.start(), *PACE.end());
-        self.spread(entry, pace)
+        let interval_ms = ms.clamp(*REPORT_INTERVAL_MS.start(), *REPORT_INTERVAL_MS.end());
+        self.staggered_delay(entry, interval_ms)
     }
 
-    /// Time until the next report at a pace: half to three halves of it, so that reports to different
-    /// entries come at different times. Their replies tell of a new configuration, and sent all
-    /// at once they would tell of it once in the whole pace.
-    fn spread(&self, entry: &str, pace: u64) -> Duration {
+    /// Delay until the next report, half to three halves of the interval. Reports to different
+    /// entries are staggered because their replies announce new revisions of the configuration.
+    /// Sent all at once, they would announce a revision only once in each interval.
+    fn staggered_delay(&self, entry: &str, interval_ms: u64) -> Duration {
         let seed = xxh3_64(self.vm().as_str().as_bytes());
-        let phase = xxh3_64_with_seed(entry.as_bytes(), seed) % pace;
-        let earliest = self.timer.now().0 + pace / 2;
-        let rest = (phase + pace - earliest % pace) % pace;
-        Duration::from_millis(pace / 2 + rest)
+        let phase = xxh3_64_with_seed(entry.as_bytes(), seed) % interval_ms;
+        let earliest = self.timer.now().0 + interval_ms / 2;
+        let rest = (phase + interval_ms - earliest % interval_ms) % interval_ms;
+        Duration::from_millis(interval_ms / 2 + rest)
     }
 
     fn build_report(&self, resident: Option<Vec<String>>) -> Report {
         let common = &self.settings.common;
-        let work = self.backend();
-        let dispatcher = work.as_ref().map(|w| &w.dispatcher);
+        let backend = self.backend();
+        let dispatcher = backend.as_ref().map(|b| &b.dispatcher);
         Report {
             vm: self.vm().clone(),
             incarnation: self.incarnation,
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Time since this side started.
+    /// Time since this side was started.
     pub(crate) fn uptime(&self) -> Millis {
         self.timer.now()
     }
--- a/crates/side/src/start.rs
+++ b/crates/side/src/start.rs
@@ -1,4 +1,4 @@
-//! Start and end of a side.
+//! Startup and shutdown of a side.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -34,29 +34,30 @@
 use crate::tune::to_millis;
 use crate::watch::watch_upstream;
 
-/// Time that the platform's services and the upstream have for a short answer.
-const ANSWER_SPAN: Duration = Duration::from_secs(2);
-/// Longest answer of a plain service, bytes.
-const ANSWER_LIMIT: u64 = 16 << 20;
-/// Pieces of streams under way that pass before the poller is asked again.
-const TURN: usize = 16;
-/// Time between two looks for the pool's declaration.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Timeout of short requests to the platform's services and to the upstream.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest answer of a plain service, in bytes.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
+/// Pieces of streams under way that are forwarded between two polls for I/O events.
+const PIECES_PER_TURN: usize = 16;
+/// Interval between checks for the pool's declaration, and time that last reports to entries get
+/// before the listener closes.
+const SHORT_DELAY: Duration = Duration::from_millis(50);
 
-/// A side that could not start.
+/// Reason why a side could not start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// Address can't be bound.
+    /// An address can't be bound.
     #[snafu(display("step bind {purpose}, address {address}: {source}"))]
     Bind {
-        /// Use of the address.
+        /// What the address is used for.
         purpose: &'static str,
         /// Address.
         address: SocketAddr,
         /// Cause.
         source: std::io::Error,
     },
-    /// No turns for streams.
+    /// The turns of streams could not be set up.
     #[snafu(display("step start turns: {source}"))]
     Turns {
         /// Cause.
@@ -70,20 +71,20 @@
     server: Server,
     address: SocketAddr,
     admin: SocketAddr,
-    #[allow(dead_code, reason = "held for as long as the side lives")]
+    #[allow(dead_code, reason = "stays bound for the lifetime of the side")]
     slot: Option<TcpListener>,
 }
 
 impl Side {
-    /// Starts a side on this thread's loop.
+    /// Starts a side on this thread's event loop.
     ///
     /// # Errors
-    /// [`StartError`] if an address is held by another process, or descriptors are lacking.
+    /// [`StartError`] if an address is in use by another process, or file descriptors run out.
     pub fn start(settings: SideSettings, timer: &Timer, log: &Log) -> Result<Self, StartError> {
-        let slot = hold_slot(settings.slot)?;
+        let slot = bind_slot(settings.slot)?;
         let (listener, address) = listen(settings.listen, "entries")?;
         let (admin_listener, admin) = listen(settings.common.admin, "admin")?;
-        let turns = Turns::start(TURN).context(TurnsSnafu)?;
+        let turns = Turns::start(PIECES_PER_TURN).context(TurnsSnafu)?;
         let state = Rc::new(build_state(settings, address, timer, turns, log));
         log_start(&state, address, admin);
         let handler = Rc::new(PeerHandler(Rc::clone(&state)));
@@ -116,7 +117,7 @@
         self.admin
     }
 
-    /// Whether it takes work.
+    /// Whether all readiness conditions hold.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state.readiness.is_ready()
@@ -128,18 +129,18 @@
         self.state.config.revision()
     }
 
-    /// State for people.
+    /// Dump of the state, for debugging.
     #[must_use]
     pub fn dump(&self) -> crate::SideDump {
         self.state.dump()
     }
 
-    /// Takes no new work, and waits for the end of what is under way: for the drain limit at most,
-    /// or until a second signal.
+    /// Stops taking new work and waits until open requests have ended, the drain limit has passed
+    /// or a second signal has arrived.
     pub async fn finish(&self, stop: &Stop) -> DrainEnd {
         self.state.leave("signal");
-        // Entries hear of it before the listener goes.
-        self.state.timer.sleep(PAUSE).await;
+        // Entries learn of it by a report before the listener closes.
+        self.state.timer.sleep(SHORT_DELAY).await;
         let limit = self.state.settings.common.drain_limit;
         let state = &self.state;
         let end = state
@@ -151,27 +152,27 @@
     }
 }
 
-fn hold_slot(slot: SocketAddr) -> Result<Option<TcpListener>, StartError> {
+fn bind_slot(slot: SocketAddr) -> Result<Option<TcpListener>, StartError> {
     if slot.port() == 0 {
         return Ok(None);
     }
-    let held = bind_exclusive(slot).context(BindSnafu {
+    let listener = bind_exclusive(slot).context(BindSnafu {
         purpose: "slot",
         address: slot,
     })?;
-    Ok(Some(held))
+    Ok(Some(listener))
 }
 
 fn listen(
     address: SocketAddr,
     purpose: &'static str,
 ) -> Result<(TcpListener, SocketAddr), StartError> {
-    let bound = || {
+    let bind_listener = || {
         let listener = bind(address)?;
         let local = listener.local_addr()?;
         Ok((listener, local))
     };
-    bound().context(BindSnafu { purpose, address })
+    bind_listener().context(BindSnafu { purpose, address })
 }
 
 fn serve(server: &Server, listener: TcpListener) {
@@ -238,29 +239,29 @@
 fn start_tasks(state: &Rc<State>) {
     monoio::spawn(Rc::clone(state).follow_config());
     monoio::spawn(Rc::clone(state).run_reporters());
-    monoio::spawn(assemble(Rc::clone(state)));
+    monoio::spawn(run_backend(Rc::clone(state)));
     if !state.settings.vms.is_empty() {
         let peers = Peers::new(&state.settings.vms);
-        let vms = Rc::new(HttpVms::new(&state.client, peers, ANSWER_SPAN));
+        let vms = Rc::new(HttpVms::new(&state.client, peers, REQUEST_TIMEOUT));
         monoio::spawn(Rc::clone(state).watch_vms(vms));
     }
 }
 
-/// Waits for the pool's declaration, and starts the work for it.
-async fn assemble(state: Rc<State>) {
+/// Waits for the pool's declaration, starts the backend for it and watches the upstream.
+async fn run_backend(state: Rc<State>) {
     let pool = loop {
         if let Some(pool) = state.config.pool(state.pool()) {
             break pool;
         }
-        state.timer.sleep(PAUSE).await;
+        state.timer.sleep(SHORT_DELAY).await;
     };
     let (dispatcher, outlets) = Dispatcher::new_ext(state.scheduler_options(&pool), &state.timer);
-    let driven = dispatcher.clone();
-    monoio::spawn(async move { driven.drive(outlets.changed).await });
+    let driver = dispatcher.clone();
+    monoio::spawn(async move { driver.drive(outlets.changed).await });
     let upstream = match pool.kind {
         PoolKind::Model { .. } => {
             let peer = state.settings.upstream.to_string();
-            let engine = Rc::new(VllmEngine::new(&state.client, &peer, ANSWER_SPAN));
+            let engine = Rc::new(VllmEngine::new(&state.client, &peer, REQUEST_TIMEOUT));
             let runner = OrderRunner {
                 state: Rc::clone(&state),
                 dispatcher: dispatcher.clone(),
@@ -269,30 +270,30 @@
             monoio::spawn(runner.run(outlets.orders));
             Upstream::Model(engine)
         }
-        PoolKind::Service { parts, .. } => match service(&state, parts) {
+        PoolKind::Service { parts, .. } => match new_service_upstream(&state, parts) {
             Ok(upstream) => upstream,
             Err(e) => return state.readiness.fail(CONFIG_CONDITION, &e.to_string()),
         },
     };
-    let work = Backend {
+    let backend = Backend {
         dispatcher,
         upstream,
     };
-    *state.backend.borrow_mut() = Some(work.clone());
-    watch_upstream(state, work).await;
+    *state.backend.borrow_mut() = Some(backend.clone());
+    watch_upstream(state, backend).await;
 }
 
-fn service(state: &State, parts: u32) -> Result<Upstream, LimitError> {
+fn new_service_upstream(state: &State, parts: u32) -> Result<Upstream, LimitError> {
     let limits = state.key_limits()?;
     let peer = state.settings.upstream.to_string();
     let service = Rc::new(HttpService::new(
         &state.client,
         &peer,
-        ANSWER_LIMIT,
-        ANSWER_SPAN,
+        MAX_ANSWER_BYTES,
+        REQUEST_TIMEOUT,
     ));
     let peers = Peers::new(&state.settings.log);
-    let log: Rc<dyn PlatformLog> = Rc::new(HttpLog::new(&state.client, peers, ANSWER_SPAN));
+    let log: Rc<dyn PlatformLog> = Rc::new(HttpLog::new(&state.client, peers, REQUEST_TIMEOUT));
     let context = KeyContext {
         service: ServiceId::from(state.pool().as_str()),
         vm: state.vm().clone(),
--- a/crates/side/src/state.rs
+++ b/crates/side/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of one side share.
+//! State shared by the tasks of a side.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,21 +18,22 @@
 use crate::metrics::SideMetrics;
 use crate::report::Reporters;
 
-/// Condition: a configuration is in force that declares the pool.
+/// Readiness condition: the configuration in force declares the pool.
 pub(crate) const CONFIG_CONDITION: &str = "configuration";
-/// Condition: the upstream answers.
+/// Readiness condition: the upstream answers.
 pub(crate) const UPSTREAM_CONDITION: &str = "upstream";
-/// Condition: this process is not stopping.
+/// Readiness condition: this side is not leaving.
 pub(crate) const STAYING_CONDITION: &str = "staying";
 
-/// One side.
+/// State of one side.
 pub(crate) struct State {
     pub(crate) settings: SideSettings,
     pub(crate) address: String,
-    /// Start of this process, milliseconds since 1970; also the fencing number of its orders.
+    /// Start time of this process in milliseconds since the Unix epoch; also the fencing number of
+    /// its orders.
     pub(crate) incarnation: u64,
     pub(crate) timer: Timer,
-    /// For pieces of streams under way, which let new attempts and first pieces go before.
+    /// Schedules the pieces of streams under way behind new attempts and first pieces.
     pub(crate) turns: Turns,
     pub(crate) client: Client,
     pub(crate) log: Log,
@@ -48,7 +49,7 @@
     pub(crate) backend: RefCell<Option<Backend>>,
 }
 
-/// What a side works with once it knows its pool.
+/// Request queue and upstream, set once the declaration of the pool is known.
 #[derive(Clone)]
 pub(crate) struct Backend {
     pub(crate) dispatcher: Dispatcher,
@@ -60,7 +61,7 @@
 pub(crate) enum Upstream {
     /// Model engine.
     Model(Rc<dyn Engine>),
-    /// Plain service, with the keys of its calls.
+    /// Plain service, with the idempotency keys of its calls.
     Service(Rc<dyn Service>, Keys),
 }
 
@@ -77,12 +78,12 @@
         self.backend.borrow().clone()
     }
 
-    /// Whether new work is taken.
+    /// Whether new work is accepted.
     pub(crate) fn accepts_work(&self) -> bool {
         !self.leaving.get() && self.healthy.get()
     }
 
-    /// Base model of the pool.
+    /// Base model of the pool; `None` if the pool is not declared, or is one of plain services.
     pub(crate) fn base_model(&self) -> Option<BaseId> {
         match self.config.pool(self.pool())?.kind {
             PoolKind::Model { base, .. } => Some(base),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes no new work from now on; what is under way goes on.
+    /// Stops taking new work; requests under way continue.
     pub(crate) fn leave(&self, source: &str) {
         if self.leaving.replace(true) {
             return;
@@ -98,16 +99,16 @@
         let fields = [field("vm", self.vm()), field("source", source)];
         self.log.emit(&events::VM_LEAVING, &fields);
         self.readiness.fail(STAYING_CONDITION, source);
-        if let Some(work) = self.backend() {
-            work.dispatcher.close(Reason::Leaving);
+        if let Some(backend) = self.backend() {
+            backend.dispatcher.close(Reason::Leaving);
         }
         self.request_reports();
     }
 }
 
-/// Milliseconds since 1970 by this VM's clock.
+/// Time since the Unix epoch by this VM's clock.
 pub(crate) fn unix_time() -> Millis {
-    let since = std::time::SystemTime::UNIX_EPOCH.elapsed();
-    let ms = since.map_or(0, |s| s.as_millis());
+    let since_epoch = std::time::SystemTime::UNIX_EPOCH.elapsed();
+    let ms = since_epoch.map_or(0, |s| s.as_millis());
     Millis(u64::try_from(ms).unwrap_or(u64::MAX))
 }
--- a/crates/side/src/tune.rs
+++ b/crates/side/src/tune.rs
@@ -1,4 +1,4 @@
-//! What the configuration sets for a side's queue and keys, and taking a change of it in.
+//! Options of the queue and limits of the idempotency keys, as the configuration sets them.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 
 use crate::state::{CONFIG_CONDITION, State, Upstream};
 
-/// Expected time of a call of a plain service until some have been seen, microseconds.
-const FIRST_CALL: u32 = 20_000;
-/// Expected time of a token until some answers have been seen, microseconds.
-const FIRST_TOKEN: u32 = 12_000;
-/// Expected time of a load until some have been seen: the store gives about two a second.
-const FIRST_LOAD: Millis = Millis(500);
-/// How far a key's time may lie ahead of this VM's clock.
-const AHEAD: Millis = Millis(60_000);
+/// Expected time of a call of a plain service before the first answer, in microseconds.
+const INITIAL_CALL_US: u32 = 20_000;
+/// Expected time of a token before the first answer, in microseconds.
+const INITIAL_TOKEN_US: u32 = 12_000;
+/// Expected time of a load before the first one; the weight store serves about two loads a second.
+const INITIAL_LOAD_TIME: Millis = Millis(500);
+/// How far the time in a key may be ahead of this VM's clock.
+const MAX_KEY_TIME_AHEAD: Millis = Millis(60_000);
 
 impl State {
-    /// Options of the queue before the upstream.
+    /// Options of the scheduler of the upstream's queue.
     pub(crate) fn scheduler_options(&self, pool: &Pool) -> SchedulerOptions {
         let tuning = self.config.with(|c| Some(c.tuning)).unwrap_or_default();
         let weights = ObjectiveWeights {
@@ -28,8 +28,8 @@
             batch: tuning.batch,
         };
         let (slots, batch, token_us) = match &pool.kind {
-            PoolKind::Model { slots, batch, .. } => (*slots, *batch, FIRST_TOKEN),
-            PoolKind::Service { concurrency, .. } => (0, *concurrency, FIRST_CALL),
+            PoolKind::Model { slots, batch, .. } => (*slots, *batch, INITIAL_TOKEN_US),
+            PoolKind::Service { concurrency, .. } => (0, *concurrency, INITIAL_CALL_US),
         };
         SchedulerOptions {
             slots,
@@ -37,36 +37,43 @@
             max_queue: pool.queue,
             weights,
             max_hold: Millis(tuning.hold_ms),
-            expected_load_time: FIRST_LOAD,
+            expected_load_time: INITIAL_LOAD_TIME,
             initial_token_us: token_us,
         }
     }
 
-    /// Limits of keys; a window that the log does not outlast is refused.
+    /// Limits of the idempotency keys.
+    ///
+    /// # Errors
+    /// [`LimitError`] if the log's retention is too short for the window of the keys.
     pub(crate) fn key_limits(&self) -> Result<Limits, LimitError> {
         let declared = self.config.with(|c| Some(c.limits.window_s)).unwrap_or(0);
         let window = Millis(declared.saturating_mul(1_000));
-        Limits::new(window, AHEAD, to_millis(self.settings.retention.0))
+        Limits::new(
+            window,
+            MAX_KEY_TIME_AHEAD,
+            to_millis(self.settings.retention.0),
+        )
     }
 
-    /// Takes in what a new revision sets.
+    /// Applies the options and limits of a new revision.
     pub(crate) fn apply_options(&self) {
-        let Some(work) = self.backend() else {
+        let Some(backend) = self.backend() else {
             return;
         };
         if let Some(pool) = self.config.pool(self.pool()) {
-            work.dispatcher.retune(self.scheduler_options(&pool));
+            backend.dispatcher.retune(self.scheduler_options(&pool));
         }
-        let Upstream::Service(_, keys) = &work.upstream else {
+        let Upstream::Service(_, keys) = &backend.upstream else {
             return;
         };
         match self.key_limits() {
             Ok(limits) => keys.set_limits(limits),
-            Err(e) => self.refuse_limits(&e),
+            Err(e) => self.reject_limits(&e),
         }
     }
 
-    fn refuse_limits(&self, error: &LimitError) {
+    fn reject_limits(&self, error: &LimitError) {
         let fields = [field("step", "limits of keys"), field("error", error)];
         self.log.emit(&events::INTERNAL, &fields);
         self.readiness.fail(CONFIG_CONDITION, &error.to_string());
--- a/crates/side/src/watch.rs
+++ b/crates/side/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watch over the upstream: whether it answers, and whether an engine still holds what it held.
+//! Health checks of the upstream, and detection of engine restarts by adapters that are lost.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -10,66 +10,72 @@
 
 use crate::state::{Backend, State, UPSTREAM_CONDITION, Upstream};
 
-/// Time between two looks.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Looks that must fail in a row before the upstream counts as down.
-const FAILURES: u32 = 2;
-/// Looks between two comparisons of what is resident.
-const COMPARE: u32 = 2;
-/// Looks in a row that must lack a LoRA before the engine counts as restarted: an unload may be
-/// under way.
-const LOSSES: u32 = 2;
+/// Delay between health checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Consecutive failed checks after which the upstream counts as down.
+const DOWN_AFTER_FAILURES: u32 = 2;
+/// Once the upstream is up, resident adapters are compared in one of this many successful checks.
+const CHECKS_PER_COMPARISON: u32 = 2;
+/// Consecutive comparisons with a LoRA missing after which the engine counts as restarted. One is
+/// not enough, as an unload may be under way.
+const RESTART_AFTER_LOSSES: u32 = 2;
 
-/// What the looks have shown.
+/// Results of the checks so far.
 #[derive(Debug, Default)]
 struct WatchState {
     up: bool,
-    seen: bool,
+    /// Whether the upstream has been up since this side started.
+    was_up: bool,
+    /// Consecutive failed checks.
     failures: u32,
+    /// Consecutive comparisons in which a LoRA was missing.
     losses: u32,
-    looks: u32,
-    /// What a predecessor of this side may have left running.
+    /// Successful checks.
+    checks: u32,
+    /// Adapters for which an earlier side process may have left requests running.
     unaccounted: Vec<Lora>,
-    /// When the engine's figures show all that ran as this side took over.
-    settled: Millis,
+    /// When the engine's figures include all requests that ran at takeover.
+    figures_settled_at: Millis,
 }
 
-/// Watches the upstream; never ends.
-pub(crate) async fn watch_upstream(state: Rc<State>, work: Backend) {
+/// Checks the upstream periodically; never returns.
+pub(crate) async fn watch_upstream(state: Rc<State>, backend: Backend) {
     let mut watched = WatchState::default();
     loop {
-        let health = match &work.upstream {
+        let health = match &backend.upstream {
             Upstream::Model(engine) => engine.health().await,
             Upstream::Service(service, _) => service.health().await,
         };
         match health {
-            Ok(()) => state.look(&work, &mut watched).await,
-            Err(e) => state.miss(&work, &mut watched, &e),
+            Ok(()) => state.check_passed(&backend, &mut watched).await,
+            Err(e) => state.check_failed(&backend, &mut watched, &e),
         }
-        state.timer.sleep(PAUSE).await;
+        state.timer.sleep(CHECK_INTERVAL).await;
     }
 }
 
 impl State {
-    async fn look(&self, work: &Backend, watched: &mut WatchState) {
+    async fn check_passed(&self, backend: &Backend, watched: &mut WatchState) {
         watched.failures = 0;
-        watched.looks += 1;
-        if let Upstream::Model(engine) = &work.upstream {
-            let compared = self.compare(work, engine.as_ref(), watched).await;
-            if compared.is_err() {
+        watched.checks += 1;
+        if let Upstream::Model(engine) = &backend.upstream {
+            let comparison = self
+                .compare_resident(backend, engine.as_ref(), watched)
+                .await;
+            if comparison.is_err() {
                 return;
             }
         }
         if !watched.up {
             watched.up = true;
-            watched.seen = true;
-            self.set_healthy(work, true);
+            watched.was_up = true;
+            self.set_healthy(backend, true);
         }
     }
 
-    fn miss(&self, work: &Backend, watched: &mut WatchState, error: &CallError) {
+    fn check_failed(&self, backend: &Backend, watched: &mut WatchState, error: &CallError) {
         watched.failures += 1;
-        if watched.up && watched.failures >= FAILURES {
+        if watched.up && watched.failures >= DOWN_AFTER_FAILURES {
             watched.up = false;
             let upstream = &self.settings.upstream;
             let fields = [
@@ -78,68 +84,69 @@
                 field("error", error),
             ];
             self.log.emit(&events::UPSTREAM_DOWN, &fields);
-            self.set_healthy(work, false);
+            self.set_healthy(backend, false);
         }
     }
 
-    fn set_healthy(&self, work: &Backend, healthy: bool) {
+    fn set_healthy(&self, backend: &Backend, healthy: bool) {
         self.healthy.set(healthy);
         if healthy {
             let fields = [
                 field("upstream", &self.settings.upstream),
-                field("resident", work.dispatcher.resident().len()),
-                field("running", work.dispatcher.figures().running),
+                field("resident", backend.dispatcher.resident().len()),
+                field("running", backend.dispatcher.figures().running),
             ];
             self.log.emit(&events::UPSTREAM_UP, &fields);
             self.readiness.hold(UPSTREAM_CONDITION);
             if !self.leaving.get() {
-                work.dispatcher.reopen();
+                backend.dispatcher.reopen();
             }
         } else {
             self.readiness
-                .fail(UPSTREAM_CONDITION, "it does not answer");
-            work.dispatcher.close(Reason::UpstreamDown);
+                .fail(UPSTREAM_CONDITION, "the upstream does not answer");
+            backend.dispatcher.close(Reason::UpstreamDown);
         }
         self.request_reports();
     }
 
-    /// Compares what the engine holds with what this side believes.
-    async fn compare(
+    /// Compares the adapters that the engine lists with those that this side takes for resident.
+    async fn compare_resident(
         &self,
-        work: &Backend,
+        backend: &Backend,
         engine: &dyn Engine,
         watched: &mut WatchState,
     ) -> Result<(), CallError> {
-        if watched.up && !watched.looks.is_multiple_of(COMPARE) {
+        if watched.up && !watched.checks.is_multiple_of(CHECKS_PER_COMPARISON) {
             return Ok(());
         }
-        let believed = work.dispatcher.resident();
-        let shown = engine.resident().await?;
-        if !watched.seen {
-            return self.take_over(work, engine, &shown, watched).await;
+        let expected = backend.dispatcher.resident();
+        let listed = engine.resident().await?;
+        if !watched.was_up {
+            return self.take_over(backend, engine, &listed, watched).await;
         }
-        self.release_ended(work, engine, watched).await?;
-        let shown: BTreeSet<&str> = shown.iter().map(String::as_str).collect();
-        let after = work.dispatcher.resident();
-        // Only what was believed before and after the question can have been lost meanwhile.
-        let lost = believed
+        self.release_finished(backend, engine, watched).await?;
+        let listed: BTreeSet<&str> = listed.iter().map(String::as_str).collect();
+        let after = backend.dispatcher.resident();
+        // An adapter is lost only if it was expected both before and after the query.
+        let lost = expected
             .iter()
-            .any(|l| after.contains(l) && !shown.contains(l.as_str()));
+            .any(|l| after.contains(l) && !listed.contains(l.as_str()));
         watched.losses = if lost { watched.losses + 1 } else { 0 };
-        if watched.losses >= LOSSES {
+        if watched.losses >= RESTART_AFTER_LOSSES {
             watched.losses = 0;
-            self.restart(work, &shown);
+            self.handle_restart(backend, &listed);
         }
         Ok(())
     }
 
-    /// A new side takes over an engine: what runs there is not its own and stays pinned. The
-    /// engine's figures lag, so that all it holds may be in use until they have caught up.
+    /// Takes over the engine at the first check. Requests that run there were not sent by this
+    /// side, and their adapters stay pinned. As the engine's figures lag, any resident adapter may
+    /// be in use until they have caught up, so all of them are pinned.
     async fn take_over(
         &self,
-        work: &Backend,
+        backend: &Backend,
         engine: &dyn Engine,
-        shown: &[String],
+        listed: &[String],
         watched: &mut WatchState,
     ) -> Result<(), CallError> {
         let running = engine.running().await?;
@@ -147,54 +154,56 @@
             self.log
                 .emit(&events::LORA_UNACCOUNTED, &[field("lora", name)]);
         }
-        let resident = self.loras(shown.iter().map(String::as_str));
-        work.dispatcher.reset(&resident, &resident);
+        let resident = self.parse_names(listed.iter().map(String::as_str));
+        backend.dispatcher.reset(&resident, &resident);
         watched.unaccounted = resident;
         let lag = self.settings.metrics_lag.0;
         let lag = u64::try_from(lag.as_millis()).unwrap_or(u64::MAX);
-        watched.settled = self.timer.now() + Millis(lag);
+        watched.figures_settled_at = self.timer.now() + Millis(lag);
         Ok(())
     }
 
-    async fn release_ended(
+    /// Unpins the adapters whose requests of an earlier side process have ended.
+    async fn release_finished(
         &self,
-        work: &Backend,
+        backend: &Backend,
         engine: &dyn Engine,
         watched: &mut WatchState,
     ) -> Result<(), CallError> {
-        if watched.unaccounted.is_empty() || self.timer.now() < watched.settled {
+        if watched.unaccounted.is_empty() || self.timer.now() < watched.figures_settled_at {
             return Ok(());
         }
         let running = engine.running().await?;
         let is_running = |l: &Lora| running.loras.contains(&l.engine_name());
-        let (held, ended): (Vec<_>, Vec<_>) = watched.unaccounted.drain(..).partition(is_running);
-        watched.unaccounted = held;
-        for lora in &ended {
-            work.dispatcher.release(lora);
+        let (in_use, unused): (Vec<_>, Vec<_>) =
+            watched.unaccounted.drain(..).partition(is_running);
+        watched.unaccounted = in_use;
+        for lora in &unused {
+            backend.dispatcher.release(lora);
         }
         Ok(())
     }
 
-    fn restart(&self, work: &Backend, shown: &BTreeSet<&str>) {
+    fn handle_restart(&self, backend: &Backend, listed: &BTreeSet<&str>) {
         let upstream = &self.settings.upstream;
         self.log
             .emit(&events::UPSTREAM_RESTARTED, &[field("upstream", upstream)]);
-        let resident = self.loras(shown.iter().copied());
-        work.dispatcher.reset(&resident, &[]);
+        let resident = self.parse_names(listed.iter().copied());
+        backend.dispatcher.reset(&resident, &[]);
         self.request_reports();
     }
 
-    /// Adapters of engine names; others, which this system did not load, are left out.
-    fn loras<'a>(&self, names: impl Iterator<Item = &'a str>) -> Vec<Lora> {
+    /// Adapters of engine names. Other names, which this system did not load, are skipped.
+    fn parse_names<'a>(&self, names: impl Iterator<Item = &'a str>) -> Vec<Lora> {
         let Some(base) = self.base_model() else {
             return Vec::new();
         };
-        names.filter_map(|n| scan_name(&base, n)).collect()
+        names.filter_map(|n| parse_name(&base, n)).collect()
     }
 }
 
-/// LoRA of an engine name `adapter@version`.
-fn scan_name(base: &BaseId, name: &str) -> Option<Lora> {
+/// Parses an engine name `adapter@version`.
+fn parse_name(base: &BaseId, name: &str) -> Option<Lora> {
     let (adapter, version) = name.split_once('@')?;
     Some(Lora::new(base.as_str(), adapter, version))
 }
