--- a/crates/side/tests/behind.rs
+++ b/crates/side/tests/behind.rs
@@ -1,10 +1,11 @@
-//! A side that is behind its entry's configuration catches up before it decides.
+//! A side with an older configuration than an attempt's revision refreshes it before it admits the
+//! attempt.
 
 mod bench;
 
 use bench::{is_whole, with_bench};
 
-const MORE: &str = "
+const ADDED_ADAPTER: &str = "
 [adapter.d]
 base = 'm'
 version.v1.path = 'd/v1'
@@ -14,7 +15,7 @@
 fn an_attempt_of_a_newer_revision_is_decided_by_it() {
     with_bench(|bench| async move {
         let side = bench.ready_model_side("vm-1").await;
-        bench.declare_more(MORE);
+        bench.declare_more(ADDED_ADAPTER);
         let attempt = bench.chat("r", "d", 2, false);
         assert_eq!(attempt.head.revision, 2);
         let frames = bench.frames(&side, &attempt).await;
--- a/crates/side/tests/bench/mod.rs
+++ b/crates/side/tests/bench/mod.rs
@@ -1,5 +1,5 @@
-//! A side with stand-ins and a small fake entry on one loop.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Test bench: sides, stand-ins of the platform and a fake entry on one event loop.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,11 +26,11 @@
     Report, ReportReply, RunHead, RunRequest, ServiceTarget, Target, decode, encode,
 };
 
-/// Longest wait of any step of a test.
-pub const SPAN: Duration = Duration::from_secs(20);
+/// Timeout of each step of a test.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Any free port of loopback.
-const ANY: &str = "127.0.0.1:0";
+/// Loopback address with a port that the system chooses.
+const ANY_PORT: &str = "127.0.0.1:0";
 
 const CONFIG: &str = "
 [base.m]
@@ -71,20 +71,21 @@
 idempotent = true
 ";
 
-/// What the fake entry saw and does.
+/// What the fake entry has received, and how it answers bids.
 #[derive(Default)]
 pub struct Seen {
     /// Last report of each VM.
     pub reports: BTreeMap<String, Report>,
     /// Bids, in order.
     pub bids: Vec<LoadBid>,
-    /// Time that bids are told to wait, if they get no turn.
+    /// Time that bids are told to wait; `None` to grant each a turn.
     pub wait_ms: Option<u64>,
 }
 
 impl Seen {
-    /// Keeps a report; one that tells no residency leaves what was told before, as at an entry.
-    fn take(&mut self, mut report: Report) {
+    /// Stores a report. As at a real entry, one without resident adapters keeps those of the
+    /// earlier report.
+    fn store_report(&mut self, mut report: Report) {
         let earlier = self.reports.get(report.vm.as_str());
         if report.resident.is_none() {
             report.resident = earlier.and_then(|r| r.resident.clone());
@@ -108,12 +109,12 @@
         let timer = self.timer.clone();
         Box::pin(async move {
             let mut body = request.into_body();
-            let bytes = read_all(&mut body, 1 << 20, SPAN, &timer).await.unwrap();
+            let bytes = read_all(&mut body, 1 << 20, TIMEOUT, &timer).await.unwrap();
             match path.as_str() {
                 "/peer/v1/config" => peer_reply(&ConfigReply::Snapshot(snapshot)),
                 "/peer/v1/report" => {
                     let report: Report = decode(&bytes).unwrap();
-                    seen.borrow_mut().take(report);
+                    seen.borrow_mut().store_report(report);
                     peer_reply(&ReportReply {
                         next_ms: 200,
                         revision,
@@ -132,13 +133,13 @@
     }
 }
 
-/// Everything that a test of a side needs.
+/// Fixture of a test of a side.
 pub struct Bench {
     pub timer: Timer,
-    /// For stand-ins.
+    /// Client for stand-ins.
     client: Client,
-    /// For sides, as entries ask them.
-    runs: Client,
+    /// Client for sides, with the protocol that entries use.
+    side_client: Client,
     pub seen: Rc<RefCell<Seen>>,
     pub log: Running<LogFaults>,
     pub store: Running<StoreFaults>,
@@ -150,22 +151,22 @@
 }
 
 impl Bench {
-    /// Stand-ins and the fake entry.
+    /// Starts the stand-ins and the fake entry.
     pub fn start() -> Self {
         Self::start_with(1, 0)
     }
 
-    /// The same, with an engine whose load figures lag, milliseconds.
-    pub fn start_lagging(lag: u64) -> Self {
-        Self::start_with(1, lag)
+    /// Starts with an engine whose load figures lag.
+    pub fn start_lagging(metrics_lag_ms: u64) -> Self {
+        Self::start_with(1, metrics_lag_ms)
     }
 
-    /// The same, with as many parts of the service's keys.
-    pub fn start_parted(parts: u32) -> Self {
+    /// Starts with the service's keys split into `parts`.
+    pub fn start_with_parts(parts: u32) -> Self {
         Self::start_with(parts, 0)
     }
 
-    fn start_with(parts: u32, lag: u64) -> Self {
+    fn start_with(parts: u32, metrics_lag_ms: u64) -> Self {
         let timer = Timer::start();
         let store = Store::start(
             StoreOptions {
@@ -183,7 +184,7 @@
             slow_ms: 5,
             store: Some(store.address.to_string()),
             check_fencing: true,
-            metrics_lag_ms: lag,
+            metrics_lag_ms,
             ..EngineOptions::default()
         };
         let engine = Engine::start(options, &timer).unwrap();
@@ -196,7 +197,7 @@
         let entry = start_entry(&fold, &seen, &timer);
         Self {
             client: Client::new_ext(ClientOptions::default(), &timer),
-            runs: Client::new_ext(run_options(), &timer),
+            side_client: Client::new_ext(run_options(), &timer),
             timer,
             seen,
             log,
@@ -209,44 +210,44 @@
         }
     }
 
-    /// Declares further items at the fake entry; the side hears of it by and by.
+    /// Declares further items at the fake entry. Sides learn of them from replies to reports.
     pub fn declare_more(&self, text: &str) {
         declare(&self.fold, &format!("{}{text}", self.config));
     }
 
-    /// Takes the pool of services out, and puts it back with another number of parts.
-    pub fn deal_anew(&self, parts: u32) {
+    /// Removes the pool of services and declares it again with another number of parts.
+    pub fn redeclare_parts(&self, parts: u32) {
         let start = self.config.find("[pool.booking]").unwrap();
         let without = self.config[..start].replace("services = ['booking']", "");
         declare(&self.fold, &without);
         declare(&self.fold, &CONFIG.replace("PARTS", &parts.to_string()));
     }
 
-    /// A side of the pool of services, before another service.
+    /// Starts a side of the pool of services with another service as its upstream.
     pub fn service_side_at(&self, vm: &str, upstream: SocketAddr) -> Side {
         self.side(vm, "booking", &upstream.to_string())
     }
 
-    /// A side of the pool of engines.
+    /// Starts a side of the pool of engines.
     pub fn model_side(&self, vm: &str) -> Side {
         let upstream = self.engine.address.to_string();
         self.side(vm, "lm", &upstream)
     }
 
-    /// The same, once the entry heard that its engine is healthy.
+    /// Starts a side of the pool of engines and waits until it reports its engine as healthy.
     pub async fn ready_model_side(&self, vm: &str) -> Side {
         let side = self.model_side(vm);
         self.until_healthy(vm).await;
         side
     }
 
-    /// A side of the pool of services.
+    /// Starts a side of the pool of services.
     pub fn service_side(&self, vm: &str) -> Side {
         let upstream = self.service.address.to_string();
         self.side(vm, "booking", &upstream)
     }
 
-    /// A side of the pool of services that logs to `log`.
+    /// Starts a side of the pool of services that logs to `log`.
     pub fn logging_side(&self, vm: &str, log: &EventLog) -> Side {
         let settings = self.settings(vm, "booking", &self.service.address.to_string());
         Side::start(settings, &self.timer, log).unwrap()
@@ -258,8 +259,8 @@
         Side::start(settings, &self.timer, &log).unwrap()
     }
 
-    /// A side of the pool of services in a thread of its own, which can be killed.
-    pub fn mortal_side(&self, vm: &str) -> Mortal {
+    /// Starts a side of the pool of services in its own thread, so that it can be killed.
+    pub fn killable_side(&self, vm: &str) -> KillableSide {
         let settings = self.settings(vm, "booking", &self.service.address.to_string());
         let (kill, killed) = async_channel::bounded::<()>(1);
         let (started, start) = std::sync::mpsc::channel();
@@ -272,7 +273,7 @@
             };
             run(live).unwrap();
         });
-        Mortal {
+        KillableSide {
             address: start.recv().unwrap(),
             kill,
             thread,
@@ -283,7 +284,8 @@
         let log = self.log.address.to_string();
         let entry = &self.entry;
         let args = format!(
-            "--vm {vm} --data-centre bp-a --region hu-central --listen {ANY} --admin {ANY} --slot {ANY} \
+            "--vm {vm} --data-centre bp-a --region hu-central --listen {ANY_PORT} \
+             --admin {ANY_PORT} --slot {ANY_PORT} \
              --pool {pool} --upstream {upstream} --log {log} --entries {entry} --stall 500ms \
              --key-idle 300ms --log-level off"
         );
@@ -291,24 +293,24 @@
         SideSettings::read("side", &args, &BTreeMap::new()).unwrap()
     }
 
-    /// Waits until the entry heard that the side's upstream is healthy.
+    /// Waits until the side of `vm` reports its upstream as healthy.
     pub async fn until_healthy(&self, vm: &str) {
         self.until(|seen| seen.reports.get(vm).is_some_and(|r| r.healthy))
             .await;
     }
 
-    /// Waits until what the entry saw is as asked.
-    pub async fn until(&self, holds: impl Fn(&Seen) -> bool) {
+    /// Waits until `condition` holds for what the entry has received.
+    pub async fn until(&self, condition: impl Fn(&Seen) -> bool) {
         let waiting = async {
-            while !holds(&self.seen.borrow()) {
+            while !condition(&self.seen.borrow()) {
                 self.timer.sleep(Duration::from_millis(5)).await;
             }
         };
-        let waited = self.timer.within(SPAN, waiting).await;
-        waited.expect("the entry does not come to see it");
+        let waited = self.timer.within(TIMEOUT, waiting).await;
+        waited.expect("the condition did not hold in time");
     }
 
-    /// A chat attempt for `adapter`.
+    /// Chat attempt for `adapter`.
     pub fn chat(&self, request: &str, adapter: &str, tokens: u32, stream: bool) -> RunRequest {
         let lora = Lora::new("m", adapter, "v1");
         let body = serde_json::json!({
@@ -329,7 +331,7 @@
         run
     }
 
-    /// A call of the booking service.
+    /// Attempt of a call of the booking service.
     pub fn call(&self, request: &str, path: &str, key: Option<&str>, body: &str) -> RunRequest {
         let target = Target::Service(ServiceTarget {
             service: "booking".into(),
@@ -362,7 +364,7 @@
         }
     }
 
-    /// Sends an attempt and gives the reader of its frames.
+    /// Sends an attempt and returns the reader of its frames.
     pub async fn send(&self, side: &Side, run: &RunRequest) -> FrameReader {
         self.send_to(side.address(), run).await
     }
@@ -373,19 +375,23 @@
             .body(Bytes::from(encode(run)))
             .unwrap();
         let peer = address.to_string();
-        let response = self.runs.send(&peer, request, SPAN).await.unwrap();
+        let response = self
+            .side_client
+            .send(&peer, request, TIMEOUT)
+            .await
+            .unwrap();
         FrameReader::new(response)
     }
 
-    /// Calls a side for its bid; tells whether one goes out.
+    /// Calls a side for a bid; returns whether the side has one pending.
     pub async fn call_for_bid(&self, side: &Side) -> bool {
         let peer = side.address().to_string();
         let call = LoadCall { at_ms: 1 };
-        let reply = post(&self.runs, &peer, "/peer/v1/call", &call, SPAN).await;
+        let reply = post(&self.side_client, &peer, "/peer/v1/call", &call, TIMEOUT).await;
         reply.map(|called: LoadCalled| called.bids).unwrap()
     }
 
-    /// All frames of an attempt.
+    /// Sends an attempt and returns all its frames.
     pub async fn frames(&self, side: &Side, run: &RunRequest) -> Vec<Frame> {
         let mut reader = self.send(side, run).await;
         let mut frames = Vec::new();
@@ -395,37 +401,37 @@
         frames
     }
 
-    /// Next frame.
+    /// Next frame, or `None` at the end.
     pub async fn next(&self, reader: &mut FrameReader) -> Option<Frame> {
         self.timer
-            .within(SPAN, reader.next())
+            .within(TIMEOUT, reader.next())
             .await
             .expect("a frame in time")
             .unwrap()
     }
 
-    /// What a stand-in says took effect.
+    /// Effects that a stand-in has recorded.
     pub async fn effects(&self, address: SocketAddr) -> serde_json::Value {
         let request = http::Request::get("/effects").body(Bytes::new()).unwrap();
         let mut response = self
             .client
-            .send(&address.to_string(), request, SPAN)
+            .send(&address.to_string(), request, TIMEOUT)
             .await
             .unwrap();
-        let body = response.read(1 << 24, SPAN).await.unwrap();
+        let body = response.read(1 << 24, TIMEOUT).await.unwrap();
         serde_json::from_slice(&body).unwrap()
     }
 }
 
-/// A side that can be killed.
-pub struct Mortal {
+/// Side in its own thread that can be killed.
+pub struct KillableSide {
     pub address: SocketAddr,
     kill: async_channel::Sender<()>,
     thread: std::thread::JoinHandle<()>,
 }
 
-impl Mortal {
-    /// Ends its loop with all that runs on it.
+impl KillableSide {
+    /// Stops its event loop and drops all tasks on it.
     pub fn kill(self) {
         self.kill.send_blocking(()).unwrap();
         self.thread.join().unwrap();
@@ -465,24 +471,24 @@
         seen: Rc::clone(seen),
         timer: timer.clone(),
     };
-    let listener = bind(ANY.parse().unwrap()).unwrap();
+    let listener = bind(ANY_PORT.parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let server = Server::new_ext(ServerOptions::default(), Rc::new(handler), timer);
     monoio::spawn(async move { server.serve(listener).await });
     address
 }
 
-/// Runs a case on a loop of its own, with stand-ins of its own.
-pub fn with_bench<F: Future<Output = ()>>(work: impl FnOnce(Bench) -> F) {
-    run(async { work(Bench::start()).await }).unwrap();
+/// Runs `case` on a new event loop with its own stand-ins.
+pub fn with_bench<F: Future<Output = ()>>(case: impl FnOnce(Bench) -> F) {
+    run(async { case(Bench::start()).await }).unwrap();
 }
 
-/// Whether an answer came to its proper end.
+/// Whether the answer is whole, which an end frame marks.
 pub fn is_whole(frames: &[Frame]) -> bool {
     matches!(frames.last(), Some(Frame::End { .. }))
 }
 
-/// Bytes of the data frames.
+/// Concatenated bytes of the data frames.
 pub fn body_of(frames: &[Frame]) -> Vec<u8> {
     let pieces = frames.iter().filter_map(|f| match f {
         Frame::Data { bytes } => Some(bytes.as_slice()),
@@ -491,7 +497,8 @@
     pieces.collect::<Vec<_>>().concat()
 }
 
-/// Word to bid again later, for a turn that no request would miss.
+/// Reply that tells the side to bid again later. The turn is expected at once, so that no request
+/// would miss its deadline because of the wait.
 fn wait_turn(again_ms: u64) -> LoadTurn {
     LoadTurn::Wait {
         again_ms,
--- a/crates/side/tests/callers.rs
+++ b/crates/side/tests/callers.rs
@@ -1,15 +1,15 @@
-//! One text of a key at two callers is two keys.
+//! Keys are scoped to their caller: the same key text of two callers is two keys.
 
 mod bench;
 
 use std::time::Duration;
 
-use bench::{Bench, SPAN, body_of, with_bench};
+use bench::{Bench, TIMEOUT, body_of, with_bench};
 use pumicecleat_side::Side;
 use pumicecleat_types::Frame;
 
 const KEY: &str = "seat-41";
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Case {
     name: &'static str,
@@ -33,10 +33,10 @@
     bench.frames(side, &run).await
 }
 
-/// The side has caught up with the log.
-async fn until_keys_work(bench: &Bench, side: &Side) {
+/// Waits until the side has read the log to its end.
+async fn until_keys_ready(bench: &Bench, side: &Side) {
     while !is_fresh(&call(bench, side, "school", "warm", "").await) {
-        bench.timer.sleep(PAUSE).await;
+        bench.timer.sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -62,8 +62,8 @@
             let name = case.name;
             let side = bench.service_side("vm-1");
             bench.until_healthy("vm-1").await;
-            let warm = until_keys_work(&bench, &side);
-            bench.timer.within(SPAN, warm).await.unwrap();
+            let ready = until_keys_ready(&bench, &side);
+            bench.timer.within(TIMEOUT, ready).await.unwrap();
             let first = call(&bench, &side, "school", KEY, case.bodies[0]).await;
             let other = call(&bench, &side, "club", KEY, case.bodies[1]).await;
             assert!(is_fresh(&first), "{name}: {first:?}");
--- a/crates/side/tests/evict.rs
+++ b/crates/side/tests/evict.rs
@@ -1,4 +1,4 @@
-//! An adapter in use stays, whoever uses it.
+//! An adapter in use is not evicted, even if another process uses it.
 
 mod bench;
 
@@ -6,13 +6,14 @@
 use pumicecleat_net::run;
 use pumicecleat_types::Millis;
 
-/// More than the engine gives within the test.
+/// More tokens than the engine generates during the test.
 const TOKENS: u32 = 4_000;
 
-/// Age of the engine's load figures, milliseconds.
-const LAG: u64 = 1_500;
+/// Age of the engine's load figures, in milliseconds.
+const METRICS_LAG_MS: u64 = 1_500;
 
-/// An earlier side that lives on, or an operator's own call, runs what this side believes idle.
+/// An earlier side that still runs, or an operator's own request, uses an adapter that this side
+/// takes for idle.
 #[test]
 fn what_another_runs_at_the_engine_is_not_evicted() {
     with_bench(|bench| async move {
@@ -38,11 +39,11 @@
     });
 }
 
-/// The figures by which a new side would know what runs are of a time before it began.
+/// The load figures that tell a new side which requests run are older than its start.
 #[test]
 fn a_restarted_side_waits_for_figures_that_lag() {
     run(async {
-        let bench = Bench::start_lagging(LAG);
+        let bench = Bench::start_lagging(METRICS_LAG_MS);
         let earlier = bench.ready_model_side("vm-1").await;
         let warm = bench.chat("warm", "a", 1, false);
         bench.frames(&earlier, &warm).await;
@@ -50,8 +51,8 @@
         let mut reader = bench.send(&earlier, &long).await;
         bench.next(&mut reader).await.unwrap();
         let side = bench.ready_model_side("vm-2").await;
-        let until = bench.timer.now() + Millis(2 * LAG);
-        while bench.timer.now() < until {
+        let end = bench.timer.now() + Millis(2 * METRICS_LAG_MS);
+        while bench.timer.now() < end {
             for adapter in ["b", "c"] {
                 let attempt = bench.chat(adapter, adapter, 2, false);
                 let frames = bench.frames(&side, &attempt).await;
--- a/crates/side/tests/keys.rs
+++ b/crates/side/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, through sides of one service.
+//! At-most-once execution of keyed calls that reach a service through two sides.
 
 mod bench;
 
@@ -23,34 +23,34 @@
     pair_of(|bench| bench.service_side("vm-1")).await
 }
 
-/// Two sides of one service, the first as it is made.
+/// Two sides of one service, of which `first` makes the first one.
 async fn pair_of(first: impl FnOnce(&Bench) -> Side) -> Pair {
     let bench = Bench::start();
     let sides = [first(&bench), bench.service_side("vm-2")];
     bench.until_healthy("vm-1").await;
     bench.until_healthy("vm-2").await;
     let pair = Pair { bench, sides };
-    pair.until_keys_work().await;
+    pair.until_keys_ready().await;
     pair
 }
 
 impl Pair {
-    /// Both sides have caught up with the log.
-    async fn until_keys_work(&self) {
+    /// Waits until both sides have read the log to its end.
+    async fn until_keys_ready(&self) {
         for (n, side) in self.sides.iter().enumerate() {
             let key = format!("warm-{n}");
-            while self.call(side, &key, "warm").await != Told::Whole(false) {
+            while self.call(side, &key, "warm").await != CallResult::Completed(false) {
                 self.bench.timer.sleep(Duration::from_millis(20)).await;
             }
         }
     }
 
-    async fn call(&self, side: &Side, key: &str, body: &str) -> Told {
+    async fn call(&self, side: &Side, key: &str, body: &str) -> CallResult {
         let run = self.bench.call("r", "/holds", Some(key), body);
-        told(&self.bench.frames(side, &run).await)
+        result_of(&self.bench.frames(side, &run).await)
     }
 
-    /// Times that calls with `key` took effect.
+    /// Number of times that calls with `key` took effect.
     async fn effects(&self, key: &str) -> u64 {
         let effects = self.bench.effects(self.bench.service.address).await;
         let rows = effects.as_array().unwrap().iter();
@@ -60,25 +60,25 @@
     }
 }
 
-/// What an attempt came to.
+/// Result of an attempt.
 #[derive(Debug, PartialEq)]
-enum Told {
-    /// Answered; `true` if from the record.
-    Whole(bool),
+enum CallResult {
+    /// Answered; `true` if with the recorded answer.
+    Completed(bool),
     NotRun(Reason),
     Unknown,
 }
 
-fn told(frames: &[Frame]) -> Told {
+fn result_of(frames: &[Frame]) -> CallResult {
     match frames {
-        [Frame::Refused(refusal)] => Told::NotRun(refusal.reason),
+        [Frame::Refused(refusal)] => CallResult::NotRun(refusal.reason),
         [Frame::Broken { ran, .. }] => {
             assert_ne!(*ran, Ran::No);
-            Told::Unknown
+            CallResult::Unknown
         }
         [Frame::Head { replayed, .. }, .., Frame::End { .. }] => {
             assert!(!body_of(frames).is_empty());
-            Told::Whole(*replayed)
+            CallResult::Completed(*replayed)
         }
         _ => panic!("{frames:?}"),
     }
@@ -90,23 +90,23 @@
         let pair = pair().await;
         assert_eq!(
             pair.call(&pair.sides[0], "k", "seat 4").await,
-            Told::Whole(false)
+            CallResult::Completed(false)
         );
         for side in &pair.sides {
             let again = async {
-                while pair.call(side, "k", "seat 4").await != Told::Whole(true) {
+                while pair.call(side, "k", "seat 4").await != CallResult::Completed(true) {
                     pair.bench.timer.sleep(Duration::from_millis(10)).await;
                 }
             };
             pair.bench
                 .timer
-                .within(bench::SPAN, again)
+                .within(bench::TIMEOUT, again)
                 .await
                 .expect("a recorded answer");
         }
         assert_eq!(pair.effects("k").await, 1);
         let other = pair.call(&pair.sides[1], "k", "seat 5").await;
-        assert_eq!(other, Told::NotRun(Reason::KeyReused));
+        assert_eq!(other, CallResult::NotRun(Reason::KeyReused));
     })
     .unwrap();
 }
@@ -122,7 +122,9 @@
             let (a, b) = futures_util::future::join(first, second).await;
             assert_eq!(pair.effects(&key).await, 1, "{a:?} {b:?}");
             assert!(
-                [&a, &b].iter().any(|t| matches!(t, Told::Whole(_))),
+                [&a, &b]
+                    .iter()
+                    .any(|t| matches!(t, CallResult::Completed(_))),
                 "{a:?} {b:?}"
             );
         }
@@ -133,15 +135,15 @@
 struct Fault {
     name: &'static str,
     faults: fn(&mut LogFaults, &mut ServiceFaults),
-    allowed: fn(&Told) -> bool,
-    /// Effects that may have been seen.
+    allowed: fn(&CallResult) -> bool,
+    /// Numbers of effects that are allowed.
     effects: std::ops::RangeInclusive<u64>,
 }
 
 const fn fault(
     name: &'static str,
     faults: fn(&mut LogFaults, &mut ServiceFaults),
-    allowed: fn(&Told) -> bool,
+    allowed: fn(&CallResult) -> bool,
     effects: std::ops::RangeInclusive<u64>,
 ) -> Fault {
     Fault {
@@ -152,16 +154,16 @@
     }
 }
 
-fn is_fresh(told: &Told) -> bool {
-    *told == Told::Whole(false)
+fn is_fresh(result: &CallResult) -> bool {
+    *result == CallResult::Completed(false)
 }
 
-fn is_log_down(told: &Told) -> bool {
-    *told == Told::NotRun(Reason::LogDown)
+fn is_log_down(result: &CallResult) -> bool {
+    *result == CallResult::NotRun(Reason::LogDown)
 }
 
-fn is_unknown(told: &Told) -> bool {
-    *told == Told::Unknown
+fn is_unknown(result: &CallResult) -> bool {
+    *result == CallResult::Unknown
 }
 
 const FAULTS: [Fault; 8] = [
@@ -196,7 +198,7 @@
             pair.bench.service.set_faults(service);
             let mut run = pair.bench.call("r", "/holds", Some("k"), "x");
             run.head.left_ms = 1_500;
-            let first = told(&pair.bench.frames(&pair.sides[0], &run).await);
+            let first = result_of(&pair.bench.frames(&pair.sides[0], &run).await);
             assert!((fault.allowed)(&first), "{}: {first:?}", fault.name);
             pair.bench.log.inject(|_| {});
             pair.bench.service.inject(|_| {});
@@ -206,25 +208,28 @@
                 "{}: {effects}",
                 fault.name
             );
-            pair.repeat_until_settled(&fault, &first).await;
+            pair.retry_until_settled(&fault, &first).await;
         })
         .unwrap();
     }
 }
 
 impl Pair {
-    /// Repeats through the other side until the key has an answer for good, and counts.
-    async fn repeat_until_settled(&self, fault: &Fault, first: &Told) {
+    /// Retries through the other side until the outcome of the key is final, and checks the number
+    /// of effects.
+    async fn retry_until_settled(&self, fault: &Fault, first: &CallResult) {
         let settled = async {
             loop {
                 match self.call(&self.sides[1], "k", "x").await {
-                    Told::Whole(_) => return true,
-                    Told::NotRun(Reason::KeyUnknown) if *first == Told::Unknown => return false,
+                    CallResult::Completed(_) => return true,
+                    CallResult::NotRun(Reason::KeyUnknown) if *first == CallResult::Unknown => {
+                        return false;
+                    }
                     _ => self.bench.timer.sleep(Duration::from_millis(50)).await,
                 }
             }
         };
-        let answered = self.bench.timer.within(bench::SPAN, settled).await;
+        let answered = self.bench.timer.within(bench::TIMEOUT, settled).await;
         let answered = answered.unwrap_or_else(|_| panic!("{}: never settled", fault.name));
         let effects = self.effects("k").await;
         assert!(effects <= 1, "{}: {effects} effects", fault.name);
@@ -236,11 +241,11 @@
 fn an_old_key_is_refused() {
     run(async {
         let pair = pair().await;
-        // A UUIDv7 of the year 2024.
-        let told = pair
+        // A UUIDv7 with a time in 2024.
+        let result = pair
             .call(&pair.sides[0], "018d0000-0000-7000-8000-000000000000", "x")
             .await;
-        assert_eq!(told, Told::NotRun(Reason::KeyExpired));
+        assert_eq!(result, CallResult::NotRun(Reason::KeyExpired));
     })
     .unwrap();
 }
@@ -251,8 +256,8 @@
         let pair = pair().await;
         pair.bench.service.stop();
         pair.bench.timer.sleep(Duration::from_millis(20)).await;
-        let told = pair.call(&pair.sides[0], "k", "x").await;
-        assert!(matches!(told, Told::NotRun(_)), "{told:?}");
+        let result = pair.call(&pair.sides[0], "k", "x").await;
+        assert!(matches!(result, CallResult::NotRun(_)), "{result:?}");
     })
     .unwrap();
 }
@@ -269,7 +274,7 @@
                     pair.bench.timer.sleep(Duration::from_millis(10)).await;
                 }
             };
-            pair.bench.timer.within(bench::SPAN, seen).await.unwrap();
+            pair.bench.timer.within(bench::TIMEOUT, seen).await.unwrap();
         };
         let down = LogFaults {
             down: true,
@@ -279,17 +284,22 @@
         until(false).await;
         pair.bench.log.set_faults(LogFaults::default());
         until(true).await;
-        assert_eq!(pair.call(side, "k", "x").await, Told::Whole(false));
+        assert_eq!(
+            pair.call(side, "k", "x").await,
+            CallResult::Completed(false)
+        );
     })
     .unwrap();
 }
 
-/// Time left for a call, and a longer pause of its side.
-const LEFT: Duration = Duration::from_millis(500);
-const FREEZE: Duration = Duration::from_millis(700);
+/// Time left for a call.
+const TIME_LEFT: Duration = Duration::from_millis(500);
+/// Pause of the side, longer than the time left for the call.
+const FREEZE_TIME: Duration = Duration::from_millis(700);
 
-/// Stops the thread for a while, as a pause of the process does, once it is told that a call has won its
-/// key: the side then knows that the attempt has won, and has not sent it.
+/// Log writer that blocks the thread for `FREEZE_TIME`, as a pause of the process would, on the
+/// line that a call has won its key. The side then knows that the attempt has won, and has not sent
+/// it yet.
 struct FreezeOnceWon {
     armed: Arc<AtomicBool>,
 }
@@ -298,7 +308,7 @@
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let won = String::from_utf8_lossy(line).contains(events::KEY_WON.code);
         if won && self.armed.swap(false, Ordering::Relaxed) {
-            std::thread::sleep(FREEZE);
+            std::thread::sleep(FREEZE_TIME);
         }
         Ok(line.len())
     }
@@ -308,7 +318,8 @@
     }
 }
 
-/// Regression: the test that watched for the moment between win and send from another task missed it.
+/// Regression test for a call that wins its key and is sent after its deadline. A test that looked
+/// for the moment between win and send from another task missed it, so the log writer blocks there.
 #[test]
 fn a_won_call_is_not_sent_after_its_deadline() {
     run(async {
@@ -324,18 +335,21 @@
         let pair = pair_of(|bench| bench.logging_side("vm-1", &log)).await;
         armed.store(true, Ordering::Relaxed);
         let mut run = pair.bench.call("r", "/holds", Some("k"), "x");
-        run.head.left_ms = u64::try_from(LEFT.as_millis()).unwrap();
-        let first = told(&pair.bench.frames(&pair.sides[0], &run).await);
-        assert!(!armed.load(Ordering::Relaxed), "it won, and stood still");
+        run.head.left_ms = u64::try_from(TIME_LEFT.as_millis()).unwrap();
+        let first = result_of(&pair.bench.frames(&pair.sides[0], &run).await);
+        assert!(
+            !armed.load(Ordering::Relaxed),
+            "the call won and the side paused"
+        );
         assert_eq!(pair.effects("k").await, 0, "{first:?}");
-        assert_eq!(first, Told::NotRun(Reason::Deadline));
+        assert_eq!(first, CallResult::NotRun(Reason::Deadline));
         let again = async {
-            while pair.call(&pair.sides[1], "k", "x").await != Told::Whole(false) {
+            while pair.call(&pair.sides[1], "k", "x").await != CallResult::Completed(false) {
                 pair.bench.timer.sleep(Duration::from_millis(20)).await;
             }
         };
-        let settled = pair.bench.timer.within(bench::SPAN, again).await;
-        settled.expect("the key is free again");
+        let settled = pair.bench.timer.within(bench::TIMEOUT, again).await;
+        settled.expect("the key is available again");
         assert_eq!(pair.effects("k").await, 1);
     })
     .unwrap();
--- a/crates/side/tests/leave.rs
+++ b/crates/side/tests/leave.rs
@@ -1,31 +1,31 @@
-//! A side that leaves: no new work, whoever still asks, and no answer cut.
+//! A leaving side refuses new work and finishes the requests under way.
 
 mod bench;
 
 use std::cell::Cell;
 use std::time::Duration;
 
-use bench::{Bench, SPAN, body_of, is_whole, with_bench};
+use bench::{Bench, TIMEOUT, body_of, is_whole, with_bench};
 use futures_util::future::join;
 use pumicecleat_ops::{DrainEnd, Stop};
 use pumicecleat_side::Side;
 use pumicecleat_types::{Frame, Reason, RunRequest};
 
-/// More than the engine gives within `PAUSE` and `OPEN`.
+/// More tokens than the engine generates within `LEAVE_DELAY` and `MIN_OPEN_TIME`.
 const TOKENS: u32 = 300;
 
-/// Time for which the request stays open at least after the side was told to leave.
-const OPEN: Duration = Duration::from_millis(200);
+/// Shortest time that the request stays open after the late request was answered.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(200);
 
-/// Time for a side to leave.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Time given to the side to start leaving; also the poll interval.
+const LEAVE_DELAY: Duration = Duration::from_millis(20);
 
 struct Case {
     name: &'static str,
     vm: &'static str,
-    /// Work that is under way when the side is told to leave.
+    /// Request that is under way when the side is told to leave.
     running: fn(&Bench) -> RunRequest,
-    /// Work that comes later.
+    /// Request that arrives afterwards.
     late: fn(&Bench) -> RunRequest,
 }
 
@@ -44,14 +44,15 @@
     },
 ];
 
-/// An idle side holds work for a while, for others to batch it with.
+/// Waits until a request runs at the upstream. An idle side holds a request for a short time so
+/// that it can be batched with others.
 async fn until_running(bench: &Bench, side: &Side) {
     let running = || {
         let dump = serde_json::to_value(side.dump()).unwrap();
         dump["queue"]["load"]["running"].as_u64().unwrap_or(0)
     };
     while running() == 0 {
-        bench.timer.sleep(PAUSE).await;
+        bench.timer.sleep(LEAVE_DELAY).await;
     }
 }
 
@@ -67,19 +68,23 @@
             bench.service.inject(|f| f.freeze = true);
             let mut reader = bench.send(&side, &(case.running)(&bench)).await;
             let waiting = until_running(&bench, &side);
-            bench.timer.within(SPAN, waiting).await.unwrap();
+            bench.timer.within(TIMEOUT, waiting).await.unwrap();
             let stop = Stop::by_hand();
-            let goes_on = Cell::new(false);
+            let released = Cell::new(false);
             let leave = async {
                 let end = side.finish(&stop).await;
-                assert!(goes_on.get(), "{}: ended with a request open", case.name);
+                assert!(
+                    released.get(),
+                    "{}: finished with a request open",
+                    case.name
+                );
                 end
             };
-            let use_it = async {
-                bench.timer.sleep(PAUSE).await;
+            let requests = async {
+                bench.timer.sleep(LEAVE_DELAY).await;
                 let late = bench.frames(&side, &(case.late)(&bench)).await;
-                bench.timer.sleep(OPEN).await;
-                goes_on.set(true);
+                bench.timer.sleep(MIN_OPEN_TIME).await;
+                released.set(true);
                 bench.service.inject(|_| {});
                 let mut frames = Vec::new();
                 while let Some(frame) = bench.next(&mut reader).await {
@@ -87,7 +92,7 @@
                 }
                 (late, frames)
             };
-            let (end, (late, frames)) = join(leave, use_it).await;
+            let (end, (late, frames)) = join(leave, requests).await;
             let name = case.name;
             assert_eq!(end, DrainEnd::Finished, "{name}");
             let [Frame::Refused(refusal)] = &late[..] else {
--- a/crates/side/tests/model.rs
+++ b/crates/side/tests/model.rs
@@ -1,4 +1,4 @@
-//! A side before a model engine.
+//! A side with a model engine as its upstream.
 
 mod bench;
 
@@ -8,12 +8,12 @@
 use pumicecleat_standin::{ChatMessage, EngineFaults, expected_tokens};
 use pumicecleat_types::{Frame, Ran, Reason};
 
-fn expected(adapter: &str, tokens: u64) -> String {
+fn expected_text(adapter: &str, tokens: u64) -> String {
     let messages = [ChatMessage::new("user", "tonight?")];
     expected_tokens(&format!("{adapter}@v1"), &messages, 0, tokens).concat()
 }
 
-fn whole_text(frames: &[Frame]) -> String {
+fn completion_text(frames: &[Frame]) -> String {
     let body: serde_json::Value = serde_json::from_slice(&body_of(frames)).unwrap();
     body["choices"][0]["message"]["content"]
         .as_str()
@@ -34,7 +34,7 @@
                 "{frames:?}"
             );
             assert!(is_whole(&frames), "{frames:?}");
-            assert_eq!(whole_text(&frames), expected(adapter, 5));
+            assert_eq!(completion_text(&frames), expected_text(adapter, 5));
         }
         let effects = bench.effects(bench.engine.address).await;
         assert_eq!(effects["counters"]["evicted_in_use"], 0);
@@ -51,7 +51,7 @@
         assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
         assert!(
             frames.len() > 15,
-            "tokens come one by one: {}",
+            "tokens are not streamed one by one: {} frames",
             frames.len()
         );
         assert!(is_whole(&frames));
@@ -62,21 +62,21 @@
     name: &'static str,
     faults: fn(&mut EngineFaults),
     stream: bool,
-    /// Whether the last frame may be this one.
-    ends: fn(&Frame) -> bool,
+    /// Whether the attempt may end with this frame.
+    may_end: fn(&Frame) -> bool,
 }
 
 const fn fault(
     name: &'static str,
     faults: fn(&mut EngineFaults),
     stream: bool,
-    ends: fn(&Frame) -> bool,
+    may_end: fn(&Frame) -> bool,
 ) -> Fault {
     Fault {
         name,
         faults,
         stream,
-        ends,
+        may_end,
     }
 }
 
@@ -121,7 +121,7 @@
             run.head.left_ms = 2_000;
             let frames = bench.frames(&side, &run).await;
             assert!(
-                frames.last().is_some_and(fault.ends),
+                frames.last().is_some_and(fault.may_end),
                 "{}: {frames:?}",
                 fault.name
             );
@@ -200,9 +200,9 @@
         };
         bench
             .timer
-            .within(bench::SPAN, aborted)
+            .within(bench::TIMEOUT, aborted)
             .await
-            .expect("the engine goes on");
+            .expect("the engine still runs the request");
     });
 }
 
@@ -216,7 +216,7 @@
         for _ in 0..3 {
             bench.next(&mut reader).await.unwrap();
         }
-        // The first side's request goes on while a second one takes the engine over.
+        // The first side's request continues while a second side takes over the engine.
         let second = bench.ready_model_side("vm-2").await;
         for adapter in ["b", "c", "b", "c"] {
             let frames = bench
@@ -236,21 +236,21 @@
         bench
             .frames(&side, &bench.chat("warm", "a", 1, false))
             .await;
-        let holds = |seen: &Seen, count| {
+        let reports_count = |seen: &Seen, count| {
             let resident = seen.reports["vm-1"].resident.as_ref();
             resident.is_some_and(|r| r.len() == count)
         };
-        bench.until(|seen| holds(seen, 1)).await;
+        bench.until(|seen| reports_count(seen, 1)).await;
         bench.engine.inject(|f| {
             f.restart = true;
             f.cold_ms = 300;
         });
-        bench.until(|seen| holds(seen, 0)).await;
+        bench.until(|seen| reports_count(seen, 0)).await;
         bench.until_healthy("vm-1").await;
         let frames = bench
             .frames(&side, &bench.chat("again", "a", 4, false))
             .await;
-        assert_eq!(whole_text(&frames), expected("a", 4));
+        assert_eq!(completion_text(&frames), expected_text("a", 4));
     });
 }
 
--- a/crates/side/tests/parts.rs
+++ b/crates/side/tests/parts.rs
@@ -1,23 +1,24 @@
-//! Keys in parts: opened on demand, closed when idle, and opened by several sides at once.
+//! Keys split into parts that are opened on demand, closed when idle, and opened by several sides
+//! at once.
 
 mod bench;
 
 use std::time::Duration;
 
-use bench::{Bench, SPAN};
+use bench::{Bench, TIMEOUT};
 use pumicecleat_net::run;
 use pumicecleat_side::Side;
 use pumicecleat_standin::{LogFaults, ServiceFaults};
 use pumicecleat_types::{Frame, Reason};
 
 const PARTS: u32 = 8;
-const PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time of a call: long, as a machine that is busy takes some to open a part.
+/// Time left for a call, in milliseconds; long, as opening a part takes a while on a busy machine.
 const LEFT_MS: u64 = 15_000;
 
-/// Parts that a side may open at once.
-const OPENING: usize = 4;
+/// Number of parts that a side may be opening at the same time.
+const MAX_OPENING: usize = 4;
 
 struct World {
     bench: Bench,
@@ -25,35 +26,36 @@
 }
 
 async fn world() -> World {
-    let bench = Bench::start_parted(PARTS);
+    let bench = Bench::start_with_parts(PARTS);
     let sides = [bench.service_side("vm-1"), bench.service_side("vm-2")];
     bench.until_healthy("vm-1").await;
     bench.until_healthy("vm-2").await;
     World { bench, sides }
 }
 
-/// Parts that a side has open, and those of them that it has read to the end.
-struct Open {
+/// Open parts of a side.
+struct OpenParts {
     all: usize,
+    /// Those that the side has read to the end.
     ready: usize,
 }
 
-fn open(side: &Side) -> Open {
+fn open_parts(side: &Side) -> OpenParts {
     let dump = serde_json::to_value(side.dump()).unwrap();
     let Some(open) = dump["keys"]["open"].as_object() else {
-        return Open { all: 0, ready: 0 };
+        return OpenParts { all: 0, ready: 0 };
     };
-    Open {
+    OpenParts {
         all: open.len(),
         ready: open.values().filter(|p| p["caught_up"] == true).count(),
     }
 }
 
-/// Answer of the upstream, or the reason of a refusal.
-type Told = Result<bool, Option<Reason>>;
+/// Whether the answer was replayed, or the reason of a refusal, or `None` for another end.
+type CallResult = Result<bool, Option<Reason>>;
 
 impl World {
-    async fn call(&self, side: usize, key: &str) -> Told {
+    async fn call(&self, side: usize, key: &str) -> CallResult {
         let mut run = self.bench.call("r", "/holds", Some(key), "x");
         run.head.left_ms = LEFT_MS;
         match self.bench.frames(&self.sides[side], &run).await.as_slice() {
@@ -63,29 +65,29 @@
         }
     }
 
-    /// Calls until the side says what is wanted.
-    async fn until(&self, side: usize, key: &str, want: &Told) {
+    /// Calls until the result is `want`.
+    async fn until(&self, side: usize, key: &str, want: &CallResult) {
         self.until_any(side, key, std::slice::from_ref(want)).await;
     }
 
-    async fn until_any(&self, side: usize, key: &str, want: &[Told]) {
+    async fn until_any(&self, side: usize, key: &str, want: &[CallResult]) {
         let calls = async {
             while !want.contains(&self.call(side, key).await) {
-                self.bench.timer.sleep(PAUSE).await;
+                self.bench.timer.sleep(POLL_INTERVAL).await;
             }
         };
-        let ended = self.bench.timer.within(SPAN, calls).await;
+        let ended = self.bench.timer.within(TIMEOUT, calls).await;
         ended.unwrap_or_else(|_| panic!("{key} at {side}: never {want:?}"));
     }
 
     async fn until_open(&self, side: usize, count: usize) {
         let opened = async {
-            while open(&self.sides[side]).all != count {
-                self.bench.timer.sleep(PAUSE).await;
+            while open_parts(&self.sides[side]).all != count {
+                self.bench.timer.sleep(POLL_INTERVAL).await;
             }
         };
-        let ended = self.bench.timer.within(SPAN, opened).await;
-        ended.unwrap_or_else(|_| panic!("{} open", open(&self.sides[side]).all));
+        let ended = self.bench.timer.within(TIMEOUT, opened).await;
+        ended.unwrap_or_else(|_| panic!("{} open", open_parts(&self.sides[side]).all));
     }
 
     async fn effects(&self, key: &str) -> u64 {
@@ -100,12 +102,12 @@
 fn a_part_is_opened_by_its_first_call_and_closed_after_the_last() {
     run(async {
         let world = world().await;
-        assert_eq!(open(&world.sides[0]).all, 0);
+        assert_eq!(open_parts(&world.sides[0]).all, 0);
         assert_eq!(world.call(0, "k").await, Ok(false));
-        assert_eq!(open(&world.sides[0]).all, 1);
-        assert_eq!(open(&world.sides[1]).all, 0);
+        assert_eq!(open_parts(&world.sides[0]).all, 1);
+        assert_eq!(open_parts(&world.sides[1]).all, 0);
         world.until_open(0, 0).await;
-        // Opened again, here and elsewhere, it holds what was recorded.
+        // The part still has the record when it is opened again at this side or another.
         world.until(0, "k", &Ok(true)).await;
         world.until(1, "k", &Ok(true)).await;
         world.until_open(0, 0).await;
@@ -120,7 +122,7 @@
 fn one_of_two_at_once_takes_effect_while_both_open() {
     run(async {
         let world = world().await;
-        // Each round finds all parts closed at one side or both.
+        // At the start of each round all parts are closed at one side at least.
         for round in 0..3 {
             for n in 0..10 {
                 let key = format!("k{round}-{n}");
@@ -202,18 +204,18 @@
         let keys: Vec<String> = (0..40).map(|n| format!("k{n}")).collect();
         let calls = futures_util::future::join_all(keys.iter().map(|k| world.call(0, k)));
         let watch = async {
-            let mut most = 0;
-            while open(&world.sides[0]).ready < PARTS as usize {
-                let now = open(&world.sides[0]);
-                most = most.max(now.all - now.ready);
+            let mut max_opening = 0;
+            while open_parts(&world.sides[0]).ready < PARTS as usize {
+                let now = open_parts(&world.sides[0]);
+                max_opening = max_opening.max(now.all - now.ready);
                 world.bench.timer.sleep(Duration::from_millis(1)).await;
             }
-            most
+            max_opening
         };
-        let watch = world.bench.timer.within(SPAN, watch);
-        let (told, most) = futures_util::future::join(calls, watch).await;
-        assert!((1..=OPENING).contains(&most.unwrap()));
-        assert!(told.iter().all(|t| *t == Ok(false)), "{told:?}");
+        let watch = world.bench.timer.within(TIMEOUT, watch);
+        let (results, max_opening) = futures_util::future::join(calls, watch).await;
+        assert!((1..=MAX_OPENING).contains(&max_opening.unwrap()));
+        assert!(results.iter().all(|t| *t == Ok(false)), "{results:?}");
     })
     .unwrap();
 }
@@ -222,7 +224,7 @@
 fn a_side_killed_after_it_won_leaves_the_key_unknown() {
     run(async {
         let world = world().await;
-        let mortal = world.bench.mortal_side("vm-3");
+        let killable = world.bench.killable_side("vm-3");
         world.bench.until_healthy("vm-3").await;
         let frozen = ServiceFaults {
             freeze: true,
@@ -230,11 +232,11 @@
         };
         world.bench.service.set_faults(frozen);
         let call = world.bench.call("r", "/holds", Some("k"), "x");
-        let answer = world.bench.send_to(mortal.address, &call).await;
-        // Another side that opens the part sees that the key is taken.
+        let answer = world.bench.send_to(killable.address, &call).await;
+        // Another side that opens the part sees that the key is in use.
         let taken = [Reason::KeyBusy, Reason::KeyUnknown].map(|r| Err(Some(r)));
         world.until_any(0, "k", &taken).await;
-        mortal.kill();
+        killable.kill();
         drop(answer);
         world.bench.service.set_faults(ServiceFaults::default());
         world.until(1, "k", &Err(Some(Reason::KeyUnknown))).await;
@@ -249,7 +251,7 @@
 fn another_declaration_of_the_parts_is_refused() {
     run(async {
         let world = world().await;
-        world.bench.deal_anew(PARTS + 1);
+        world.bench.redeclare_parts(PARTS + 1);
         world.until(0, "k", &Err(Some(Reason::StaleConfig))).await;
         world.until(1, "k", &Err(Some(Reason::StaleConfig))).await;
     })
