--- a/crates/side/src/entries.rs
+++ b/crates/side/src/entries.rs
@@ -18,8 +18,8 @@
 /// Longest interval between two reads. A side reads the list to learn of added and removed entries.
 /// That its own VM is leaving is also seen by entries, which read the list more often.
 const MAX_LIST_INTERVAL: Duration = Duration::from_secs(15);
-/// Number of listed VMs up to which the list is read every second; with more of them, the sides
-/// together would overload the list service.
+/// Listed VMs for each second of the interval between reads; with more, all sides together would
+/// overload the list service.
 const VMS_PER_SECOND: usize = 100;
 /// Number of consecutive lists that must lack an entry before it is dropped, as the list lags.
 const DROP_AFTER_ABSENCES: u32 = 3;
