--- a/crates/side/src/metrics.rs
+++ b/crates/side/src/metrics.rs
@@ -1,15 +1,16 @@
-//! Metrics of a side.
+//! Metrics.
 
 use pumicecleat_ops::{Counter, Gauge, Histogram, Metrics};
 
-const SECONDS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0];
+/// Bucket bounds of the histograms, in seconds.
+const BUCKETS_S: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0];
 
-/// Handles of the metrics.
+/// Handles of the metrics of a side.
 #[derive(Clone, Debug)]
 pub(crate) struct SideMetrics {
     pub(crate) registry: Metrics,
     pub(crate) runs: Counter,
-    pub(crate) whole: Counter,
+    pub(crate) completed: Counter,
     pub(crate) refused: Counter,
     pub(crate) broken: Counter,
     pub(crate) cancelled: Counter,
@@ -26,10 +27,10 @@
 impl SideMetrics {
     pub(crate) fn new(registry: &Metrics) -> Self {
         let counter = |name, help| registry.counter(name, help);
-        let histogram = |name, help| registry.histogram(name, help, &SECONDS);
+        let histogram = |name, help| registry.histogram(name, help, &BUCKETS_S);
         Self {
             runs: counter("side_runs", "attempts taken from entries"),
-            whole: counter("side_whole", "attempts answered whole"),
+            completed: counter("side_whole", "attempts answered whole"),
             refused: counter("side_refused", "attempts refused, not run"),
             broken: counter("side_broken", "attempts that broke off"),
             cancelled: counter("side_cancelled", "attempts that the entry gave up"),
--- a/crates/side/src/state.rs
+++ b/crates/side/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of one side share.
+//! State shared by the tasks of a side.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,25 +14,26 @@
 use crate::dispatch::Dispatcher;
 use crate::entries::Entries;
 use crate::keys::Keys;
-use crate::lengths::Lengths;
+use crate::lengths::AnswerLengths;
 use crate::metrics::SideMetrics;
 use crate::report::Reporters;
 
-/// Condition: a configuration is in force that declares the pool.
-pub(crate) const CONFIG: &str = "configuration";
-/// Condition: the upstream answers.
-pub(crate) const UPSTREAM: &str = "upstream";
-/// Condition: this process is not stopping.
-pub(crate) const STAYING: &str = "staying";
+/// Readiness condition: the configuration in force declares the pool.
+pub(crate) const CONFIG_CONDITION: &str = "configuration";
+/// Readiness condition: the upstream answers.
+pub(crate) const UPSTREAM_CONDITION: &str = "upstream";
+/// Readiness condition: this side is not leaving.
+pub(crate) const STAYING_CONDITION: &str = "staying";
 
-/// One side.
+/// State of one side.
 pub(crate) struct State {
     pub(crate) settings: SideSettings,
     pub(crate) address: String,
-    /// Start of this process, milliseconds since 1970; also the fencing number of its orders.
+    /// Start time of this process in milliseconds since the Unix epoch; also the fencing number of
+    /// its orders.
     pub(crate) incarnation: u64,
     pub(crate) timer: Timer,
-    /// For pieces of streams under way, which let new attempts and first pieces go before.
+    /// Schedules the pieces of streams under way behind new attempts and first pieces.
     pub(crate) turns: Turns,
     pub(crate) client: Client,
     pub(crate) log: Log,
@@ -42,15 +43,15 @@
     pub(crate) config: Configuration,
     pub(crate) entries: Entries,
     pub(crate) reporters: Reporters,
-    pub(crate) lengths: Lengths,
+    pub(crate) answer_lengths: AnswerLengths,
     pub(crate) leaving: Cell<bool>,
     pub(crate) healthy: Cell<bool>,
-    pub(crate) work: RefCell<Option<Work>>,
+    pub(crate) backend: RefCell<Option<Backend>>,
 }
 
-/// What a side works with once it knows its pool.
+/// Request queue and upstream, set once the declaration of the pool is known.
 #[derive(Clone)]
-pub(crate) struct Work {
+pub(crate) struct Backend {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) upstream: Upstream,
 }
@@ -60,7 +61,7 @@
 pub(crate) enum Upstream {
     /// Model engine.
     Model(Rc<dyn Engine>),
-    /// Plain service, with the keys of its calls.
+    /// Plain service, with the idempotency keys of its calls.
     Service(Rc<dyn Service>, Keys),
 }
 
@@ -73,41 +74,41 @@
         &self.settings.pool
     }
 
-    pub(crate) fn work(&self) -> Option<Work> {
-        self.work.borrow().clone()
+    pub(crate) fn backend(&self) -> Option<Backend> {
+        self.backend.borrow().clone()
     }
 
-    /// Whether new work is taken.
-    pub(crate) fn is_open(&self) -> bool {
+    /// Whether new work is accepted.
+    pub(crate) fn accepts_work(&self) -> bool {
         !self.leaving.get() && self.healthy.get()
     }
 
-    /// Base model of the pool.
-    pub(crate) fn base(&self) -> Option<BaseId> {
+    /// Base model of the pool; `None` if the pool is not declared, or is one of plain services.
+    pub(crate) fn base_model(&self) -> Option<BaseId> {
         match self.config.pool(self.pool())?.kind {
             PoolKind::Model { base, .. } => Some(base),
             PoolKind::Service { .. } => None,
         }
     }
 
-    /// Takes no new work from now on; what is under way goes on.
+    /// Stops taking new work; requests under way continue.
     pub(crate) fn leave(&self, source: &str) {
         if self.leaving.replace(true) {
             return;
         }
         let fields = [field("vm", self.vm()), field("source", source)];
         self.log.emit(&events::VM_LEAVING, &fields);
-        self.readiness.fail(STAYING, source);
-        if let Some(work) = self.work() {
-            work.dispatcher.close(Reason::Leaving);
+        self.readiness.fail(STAYING_CONDITION, source);
+        if let Some(backend) = self.backend() {
+            backend.dispatcher.close(Reason::Leaving);
         }
-        self.reports_due();
+        self.request_reports();
     }
 }
 
-/// Milliseconds since 1970 by this VM's clock.
-pub(crate) fn wall_clock() -> Millis {
-    let since = std::time::SystemTime::UNIX_EPOCH.elapsed();
-    let ms = since.map_or(0, |s| s.as_millis());
+/// Time since the Unix epoch by this VM's clock.
+pub(crate) fn unix_time() -> Millis {
+    let since_epoch = std::time::SystemTime::UNIX_EPOCH.elapsed();
+    let ms = since_epoch.map_or(0, |s| s.as_millis());
     Millis(u64::try_from(ms).unwrap_or(u64::MAX))
 }
