--- a/crates/side/src/dispatch/mod.rs
+++ b/crates/side/src/dispatch/mod.rs
@@ -33,7 +33,7 @@
     /// Ask an entry for a turn at the weight store.
     Bid(Bid),
     /// Give the turn back.
-    GiveBack,
+    ReleaseTurn,
     /// Load.
     Load(Lora),
     /// Unload.
@@ -166,7 +166,7 @@
             Action::Send(id) => return self.tell(id, Decision::Go),
             Action::Refuse(id, refusal) => return self.tell(id, Decision::Refused(refusal)),
             Action::Bid(bid) => Order::Bid(bid),
-            Action::ReleaseTurn => Order::GiveBack,
+            Action::ReleaseTurn => Order::ReleaseTurn,
             Action::Load(lora) => Order::Load(self.lora(lora)),
             Action::Unload(lora) => Order::Unload(self.lora(lora)),
         };
--- a/crates/side/src/dispatch/tell.rs
+++ b/crates/side/src/dispatch/tell.rs
@@ -7,7 +7,7 @@
 
 impl Dispatcher {
     /// Outcome of a bid; `None` if no entry answered.
-    pub(crate) fn turn(&self, turn: Option<LoadTurn>, roll: u64) {
+    pub(crate) fn bid_ended(&self, turn: Option<LoadTurn>, roll: u64) {
         let now = self.now();
         {
             let mut scheduler = self.state.scheduler.borrow_mut();
@@ -20,7 +20,7 @@
     }
 
     /// An entry calls for a bid before its time; tells whether one goes out.
-    pub(crate) fn called(&self) -> bool {
+    pub(crate) fn bid_requested(&self) -> bool {
         let now = self.now();
         self.state.scheduler.borrow_mut().bid_requested(now);
         self.pump();
@@ -55,7 +55,7 @@
     }
 
     /// A request that this side did not send has ended.
-    pub(crate) fn release(&self, lora: &Lora) {
+    pub(crate) fn unaccounted_finished(&self, lora: &Lora) {
         let ix = self.index(lora);
         self.state.scheduler.borrow_mut().unaccounted_finished(ix);
         self.pump();
@@ -74,7 +74,7 @@
     }
 
     /// Takes new options.
-    pub(crate) fn retune(&self, options: SchedulerOptions) {
+    pub(crate) fn set_options(&self, options: SchedulerOptions) {
         self.state.scheduler.borrow_mut().set_options(options);
         self.pump();
     }
--- a/crates/side/src/keys/mod.rs
+++ b/crates/side/src/keys/mod.rs
@@ -72,9 +72,9 @@
     pub(crate) incarnation: u64,
     pub(crate) limits: Cell<Limits>,
     /// Time without calls after which a part is closed.
-    pub(crate) idle: Millis,
+    pub(crate) idle_timeout: Millis,
     /// Appends a second that the service's sides may make together.
-    pub(crate) rate: u32,
+    pub(crate) append_rate: u32,
     pub(crate) log: Rc<dyn Log>,
     pub(crate) events: EventLog,
     pub(crate) timer: Timer,
@@ -143,7 +143,7 @@
 
     /// Shortest time between two appends to one part's stream.
     fn interval(&self) -> Duration {
-        let rate = self.state.context.rate.max(1);
+        let rate = self.state.context.append_rate.max(1);
         let share = SECOND * self.state.sharers.get() / rate;
         share.max(AppendOptions::default().interval)
     }
@@ -217,7 +217,7 @@
     async fn sweep(&self) {
         loop {
             self.state.context.timer.sleep(SWEEP).await;
-            let idle = self.state.context.idle;
+            let idle = self.state.context.idle_timeout;
             let mut closed = self.state.closed.borrow_mut();
             self.state.open.borrow_mut().retain(|&at, part| {
                 let ends = part.is_idle(idle);
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -42,7 +42,7 @@
     async fn carry_out(&self, order: Order) {
         match order {
             Order::Bid(bid) => self.bid(&bid).await,
-            Order::GiveBack => self.give_back().await,
+            Order::ReleaseTurn => self.give_back().await,
             Order::Load(lora) => self.load(&lora).await,
             Order::Unload(lora) => self.unload(&lora).await,
         }
@@ -58,7 +58,7 @@
         };
         let turn = self.ask_turn(&message).await;
         let seed = format!("{} {}", self.state.vm(), self.state.timer.now().0);
-        self.dispatcher.turn(turn, xxh3_64(seed.as_bytes()));
+        self.dispatcher.bid_ended(turn, xxh3_64(seed.as_bytes()));
     }
 
     async fn give_back(&self) {
--- a/crates/side/src/peer.rs
+++ b/crates/side/src/peer.rs
@@ -54,7 +54,7 @@
 }
 
 fn called(state: &State) -> LoadCalled {
-    let bids = state.work().is_some_and(|w| w.dispatcher.called());
+    let bids = state.work().is_some_and(|w| w.dispatcher.bid_requested());
     LoadCalled { bids }
 }
 
--- a/crates/side/src/tune.rs
+++ b/crates/side/src/tune.rs
@@ -55,7 +55,7 @@
             return;
         };
         if let Some(pool) = self.config.pool(self.pool()) {
-            work.dispatcher.retune(self.scheduler_options(&pool));
+            work.dispatcher.set_options(self.scheduler_options(&pool));
         }
         let Upstream::Service(_, keys) = &work.upstream else {
             return;
--- a/crates/side/src/watch.rs
+++ b/crates/side/src/watch.rs
@@ -169,7 +169,7 @@
         let (held, ended): (Vec<_>, Vec<_>) = watched.unaccounted.drain(..).partition(is_running);
         watched.unaccounted = held;
         for lora in &ended {
-            work.dispatcher.release(lora);
+            work.dispatcher.unaccounted_finished(lora);
         }
         Ok(())
     }
