--- a/crates/side/src/dispatch/tell.rs
+++ b/crates/side/src/dispatch/inputs.rs
@@ -1,4 +1,4 @@
-//! What the queue is told of its upstream, of turns at the weight store and of the configuration.
+//! Inputs of the scheduler: events of the engine and of turns at the weight store, and options.
 
 use pumicecleat_policy::{LoadOutcome, LoraIx, SchedulerOptions};
 use pumicecleat_types::{LoadTurn, Lora, Reason};
@@ -6,7 +6,8 @@
 use super::Dispatcher;
 
 impl Dispatcher {
-    /// Outcome of a bid; `None` if no entry answered.
+    /// A bid ended: with the entry's answer, or `None` if no entry answered. `roll` is a random
+    /// number that sets the delay before loading without a turn.
     pub(crate) fn bid_ended(&self, turn: Option<LoadTurn>, roll: u64) {
         let now = self.now();
         {
@@ -16,66 +17,67 @@
                 None => scheduler.bid_unanswered(roll, now),
             }
         }
-        self.pump();
+        self.poll();
     }
 
-    /// An entry calls for a bid before its time; tells whether one goes out.
+    /// An entry asks for a bid earlier than planned. Returns whether one is pending now.
     pub(crate) fn bid_requested(&self) -> bool {
         let now = self.now();
         self.state.scheduler.borrow_mut().bid_requested(now);
-        self.pump();
+        self.poll();
         self.state.scheduler.borrow().is_bid_pending()
     }
 
-    /// Outcome of a load.
+    /// An ordered load ended.
     pub(crate) fn loaded(&self, lora: &Lora, end: LoadOutcome) {
-        let ix = self.index(lora);
+        let ix = self.lora_index(lora);
         let now = self.now();
         self.state.scheduler.borrow_mut().loaded(ix, end, now);
-        self.pump();
+        self.poll();
     }
 
-    /// Outcome of an unload.
+    /// An ordered unload ended; `gone` is false if the engine kept the adapter.
     pub(crate) fn unloaded(&self, lora: &Lora, gone: bool) {
-        let ix = self.index(lora);
+        let ix = self.lora_index(lora);
         let now = self.now();
         self.state.scheduler.borrow_mut().unloaded(ix, gone, now);
-        self.pump();
+        self.poll();
     }
 
-    /// What the engine holds after it or this side restarted.
+    /// Resets the scheduler after a restart of the side or its engine: `resident` lists the resident
+    /// adapters, `unaccounted` those of requests in flight that this side did not send.
     pub(crate) fn reset(&self, resident: &[Lora], unaccounted: &[Lora]) {
         let now = self.now();
-        let resident: Vec<LoraIx> = resident.iter().map(|l| self.index(l)).collect();
-        let held: Vec<LoraIx> = unaccounted.iter().map(|l| self.index(l)).collect();
+        let resident: Vec<LoraIx> = resident.iter().map(|l| self.lora_index(l)).collect();
+        let unaccounted: Vec<LoraIx> = unaccounted.iter().map(|l| self.lora_index(l)).collect();
         let mut scheduler = self.state.scheduler.borrow_mut();
-        scheduler.reset(&resident, &held, now);
+        scheduler.reset(&resident, &unaccounted, now);
         drop(scheduler);
-        self.pump();
+        self.poll();
     }
 
-    /// A request that this side did not send has ended.
+    /// A request that this side did not send ended at the engine.
     pub(crate) fn unaccounted_finished(&self, lora: &Lora) {
-        let ix = self.index(lora);
+        let ix = self.lora_index(lora);
         self.state.scheduler.borrow_mut().unaccounted_finished(ix);
-        self.pump();
+        self.poll();
     }
 
-    /// Takes no new requests and refuses those that wait.
+    /// Refuses new and waiting requests with `reason`.
     pub(crate) fn close(&self, reason: Reason) {
         self.state.scheduler.borrow_mut().close(reason);
-        self.pump();
+        self.poll();
     }
 
-    /// Takes requests again.
+    /// Accepts requests again after [`close`](Self::close).
     pub(crate) fn reopen(&self) {
         self.state.scheduler.borrow_mut().reopen();
-        self.pump();
+        self.poll();
     }
 
-    /// Takes new options.
+    /// Replaces the scheduler's options.
     pub(crate) fn set_options(&self, options: SchedulerOptions) {
         self.state.scheduler.borrow_mut().set_options(options);
-        self.pump();
+        self.poll();
     }
 }
--- a/crates/side/src/dispatch/mod.rs
+++ b/crates/side/src/dispatch/mod.rs
@@ -1,10 +1,10 @@
-//! The queue before the upstream: the scheduler, and who waits for its decision.
+//! The queue before the upstream: drives the scheduler and delivers its decisions to the requests.
 //!
-//! A request holds a [`Ticket`] from the moment it is taken in until its answer has ended. Dropping
-//! the ticket withdraws the request if it still waits, or ends it if it was sent.
+//! A request holds a [`Ticket`] from its submission until its answer ends. Dropping the ticket
+//! withdraws the request if it is waiting, or reports its end if it was sent.
 
+mod inputs;
 mod names;
-mod tell;
 mod ticket;
 mod view;
 
@@ -24,36 +24,37 @@
 pub(crate) use ticket::{Decision, Ticket};
 pub(crate) use view::DispatchDump;
 
-/// How long an adapter stays pinned after a cut answer: the engine ends it at its next step.
-const ABORT_SPAN: Duration = Duration::from_millis(500);
+/// How long an adapter stays pinned after an answer is cut: the engine aborts the request only at
+/// its next step.
+const ABORT_DELAY: Duration = Duration::from_millis(500);
 
-/// Order for the upstream or the entries.
+/// Order to the engine or to an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Order {
-    /// Ask an entry for a turn at the weight store.
+    /// Bid at an entry for a turn at the weight store.
     Bid(Bid),
-    /// Give the turn back.
+    /// Release the turn.
     ReleaseTurn,
-    /// Load.
+    /// Load the adapter.
     Load(Lora),
-    /// Unload.
+    /// Unload the adapter.
     Unload(Lora),
 }
 
-/// What a request asks of the queue.
+/// A request to submit.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Demand<'a> {
+pub(crate) struct JobSpec<'a> {
     /// Adapter, or `None` for a plain service.
     pub(crate) lora: Option<&'a Lora>,
-    /// Caller.
+    /// Caller whose share is charged for it.
     pub(crate) caller: &'a str,
-    /// Caller's claim.
+    /// The caller's claim: its weight in the fair shares.
     pub(crate) claim: u32,
-    /// Priority, higher first.
+    /// Priority; higher goes first.
     pub(crate) priority: u8,
-    /// Time left.
-    pub(crate) left: Millis,
-    /// Tokens the answer may have.
+    /// Time until the whole answer is due.
+    pub(crate) time_left: Millis,
+    /// Upper bound on the tokens of the answer.
     pub(crate) tokens: u32,
 }
 
@@ -66,29 +67,33 @@
 struct State {
     scheduler: RefCell<Scheduler>,
     names: RefCell<Names>,
+    /// Channels to the tickets of waiting requests.
     waiting: RefCell<BTreeMap<JobId, Sender<Decision>>>,
-    next_job: RefCell<u64>,
+    last_job: RefCell<u64>,
     orders: Sender<Order>,
+    /// Wakes `drive` after each poll, as the time of the next one may have changed.
     changed: Sender<()>,
     timer: Timer,
 }
 
-/// Ends of the dispatcher's channels that its tasks read.
-pub(crate) struct Outlets {
+/// Receiving ends of the dispatcher's channels.
+pub(crate) struct DispatcherReceivers {
+    /// Orders to carry out.
     pub(crate) orders: Receiver<Order>,
+    /// Input of [`Dispatcher::drive`].
     pub(crate) changed: Receiver<()>,
 }
 
 impl Dispatcher {
-    /// Dispatcher with nothing resident.
-    pub(crate) fn new_ext(options: SchedulerOptions, timer: &Timer) -> (Self, Outlets) {
-        let (orders, orders_out) = async_channel::unbounded();
-        let (changed, changed_out) = async_channel::bounded(1);
+    /// Creates a dispatcher for an engine with no resident adapters.
+    pub(crate) fn new_ext(options: SchedulerOptions, timer: &Timer) -> (Self, DispatcherReceivers) {
+        let (orders, orders_receiver) = async_channel::unbounded();
+        let (changed, changed_receiver) = async_channel::bounded(1);
         let state = State {
             scheduler: RefCell::new(Scheduler::new_ext(options)),
             names: RefCell::default(),
             waiting: RefCell::default(),
-            next_job: RefCell::default(),
+            last_job: RefCell::default(),
             orders,
             changed,
             timer: timer.clone(),
@@ -96,52 +101,53 @@
         let dispatcher = Self {
             state: Rc::new(state),
         };
-        let outlets = Outlets {
-            orders: orders_out,
-            changed: changed_out,
+        let receivers = DispatcherReceivers {
+            orders: orders_receiver,
+            changed: changed_receiver,
         };
-        (dispatcher, outlets)
+        (dispatcher, receivers)
     }
 
-    /// Takes a request in.
+    /// Submits a request to the scheduler.
     ///
     /// # Errors
-    /// [`JobRefusal`] if it can't be met.
-    pub(crate) fn submit(&self, demand: &Demand<'_>) -> Result<Ticket, JobRefusal> {
+    /// [`JobRefusal`] if the deadline can't be met, or the queue has no room for this caller.
+    pub(crate) fn submit(&self, spec: &JobSpec<'_>) -> Result<Ticket, JobRefusal> {
         let now = self.now();
-        let id = self.next_id();
+        let id = self.next_job_id();
         let job = {
             let mut names = self.state.names.borrow_mut();
             Job {
                 id,
-                lora: demand.lora.map(|l| names.lora(l)),
-                caller: names.caller(demand.caller),
-                claim: demand.claim.max(1),
-                priority: demand.priority,
-                deadline: now + demand.left,
+                lora: spec.lora.map(|l| names.lora_index(l)),
+                caller: names.caller_index(spec.caller),
+                claim: spec.claim.max(1),
+                priority: spec.priority,
+                deadline: now + spec.time_left,
                 arrived: now,
-                tokens: demand.tokens,
+                tokens: spec.tokens,
             }
         };
         self.state.scheduler.borrow_mut().submit(job, now)?;
-        let (word, ticket) = Ticket::new(self, id);
-        self.state.waiting.borrow_mut().insert(id, word);
-        self.pump();
+        let (sender, ticket) = Ticket::new(self, id);
+        self.state.waiting.borrow_mut().insert(id, sender);
+        self.poll();
         Ok(ticket)
     }
 
-    /// Carries out what the scheduler orders now.
-    pub(crate) fn pump(&self) {
+    /// Polls the scheduler and carries out its actions. Call this after reporting any event to the
+    /// scheduler.
+    pub(crate) fn poll(&self) {
         let now = self.now();
         let actions = self.state.scheduler.borrow_mut().poll(now);
         for action in actions {
             self.carry_out(action);
         }
-        // A full channel holds the same message already.
+        // A full channel already holds a wake-up.
         let _ = self.state.changed.try_send(());
     }
 
-    /// Polls the scheduler whenever it is due; never ends.
+    /// Polls the scheduler at each of its wake times; never returns.
     pub(crate) async fn drive(&self, changed: Receiver<()>) {
         loop {
             let now = self.now();
@@ -156,68 +162,69 @@
             let change = std::pin::pin!(changed.recv());
             let woken = futures_util::future::select(due, change).await;
             if matches!(woken, futures_util::future::Either::Left(_)) {
-                self.pump();
+                self.poll();
             }
         }
     }
 
     fn carry_out(&self, action: Action) {
         let order = match action {
-            Action::Send(id) => return self.tell(id, Decision::Go),
-            Action::Refuse(id, refusal) => return self.tell(id, Decision::Refused(refusal)),
+            Action::Send(id) => return self.deliver(id, Decision::Send),
+            Action::Refuse(id, refusal) => return self.deliver(id, Decision::Refused(refusal)),
             Action::Bid(bid) => Order::Bid(bid),
             Action::ReleaseTurn => Order::ReleaseTurn,
-            Action::Load(lora) => Order::Load(self.lora(lora)),
-            Action::Unload(lora) => Order::Unload(self.lora(lora)),
+            Action::Load(lora) => Order::Load(self.lora_at(lora)),
+            Action::Unload(lora) => Order::Unload(self.lora_at(lora)),
         };
-        // The reader lives as long as the dispatcher; at the process's end nothing is lost by it.
+        // The receiver lives as long as the dispatcher; a failed send at process exit loses nothing.
         let _ = self.state.orders.try_send(order);
     }
 
-    fn tell(&self, id: JobId, word: Decision) {
+    fn deliver(&self, id: JobId, decision: Decision) {
         let waiting = self.state.waiting.borrow_mut().remove(&id);
-        let told = waiting.is_some_and(|w| w.try_send(word).is_ok());
-        if !told && word == Decision::Go {
+        let delivered = waiting.is_some_and(|s| s.try_send(decision).is_ok());
+        if !delivered && decision == Decision::Send {
             let now = self.now();
             self.state.scheduler.borrow_mut().finished(id, false, now);
         }
     }
 
-    /// The ticket of a request that still waits was dropped.
+    /// The ticket of a waiting request was dropped.
     fn withdraw(&self, id: JobId) {
         self.state.waiting.borrow_mut().remove(&id);
         self.state.scheduler.borrow_mut().cancel(id);
-        self.pump();
+        self.poll();
     }
 
-    /// The answer of a sent request ended.
+    /// The answer to a sent request ended.
     fn finish(&self, id: JobId, whole: bool) {
         let now = self.now();
         self.state.scheduler.borrow_mut().finished(id, whole, now);
-        self.pump();
+        self.poll();
     }
 
-    /// The answer of a sent request was cut: its adapter stays pinned until the engine has ended it.
-    fn finish_later(&self, id: JobId) {
+    /// The answer to a sent request was cut: its adapter stays pinned until the engine has aborted
+    /// the request.
+    fn finish_after_abort(&self, id: JobId) {
         let dispatcher = self.clone();
         monoio::spawn(async move {
-            dispatcher.state.timer.sleep(ABORT_SPAN).await;
+            dispatcher.state.timer.sleep(ABORT_DELAY).await;
             dispatcher.finish(id, false);
         });
     }
 
-    fn lora(&self, ix: LoraIx) -> Lora {
-        self.state.names.borrow().of(ix).clone()
+    fn lora_at(&self, ix: LoraIx) -> Lora {
+        self.state.names.borrow().lora(ix).clone()
     }
 
-    fn index(&self, lora: &Lora) -> LoraIx {
-        self.state.names.borrow_mut().lora(lora)
+    fn lora_index(&self, lora: &Lora) -> LoraIx {
+        self.state.names.borrow_mut().lora_index(lora)
     }
 
-    fn next_id(&self) -> JobId {
-        let mut next = self.state.next_job.borrow_mut();
-        *next += 1;
-        JobId(*next)
+    fn next_job_id(&self) -> JobId {
+        let mut last = self.state.last_job.borrow_mut();
+        *last += 1;
+        JobId(*last)
     }
 
     fn now(&self) -> Millis {
--- a/crates/side/src/dispatch/ticket.rs
+++ b/crates/side/src/dispatch/ticket.rs
@@ -1,4 +1,4 @@
-//! A request's place in the queue and at the upstream.
+//! Tickets of requests that are in the queue or at the upstream.
 
 use async_channel::{Receiver, Sender};
 use pumicecleat_policy::{JobId, JobRefusal};
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Decision {
     /// Send it now.
-    Go,
-    /// Not run.
+    Send,
+    /// The request was not run.
     Refused(JobRefusal),
 }
 
@@ -22,44 +22,45 @@
     Ended,
 }
 
-/// A request's place, given back when dropped.
+/// A request's entry in the scheduler, withdrawn or ended when dropped.
 pub(crate) struct Ticket {
     dispatcher: Dispatcher,
     id: JobId,
-    word: Receiver<Decision>,
+    decision: Receiver<Decision>,
     stage: Stage,
 }
 
 impl Ticket {
     pub(super) fn new(dispatcher: &Dispatcher, id: JobId) -> (Sender<Decision>, Self) {
-        let (sender, word) = async_channel::bounded(1);
+        let (sender, decision) = async_channel::bounded(1);
         let ticket = Self {
             dispatcher: dispatcher.clone(),
             id,
-            word,
+            decision,
             stage: Stage::Waiting,
         };
         (sender, ticket)
     }
 
-    /// The scheduler's word, once it is given.
+    /// Waits for the scheduler's decision.
     pub(crate) async fn wait(&mut self) -> Decision {
-        let word = self
-            .word
+        let decision = self
+            .decision
             .recv()
             .await
             .unwrap_or(Decision::Refused(JobRefusal {
                 reason: Reason::UpstreamDown,
                 retry_after: Millis(1_000),
             }));
-        self.stage = match word {
-            Decision::Go => Stage::Sent,
+        self.stage = match decision {
+            Decision::Send => Stage::Sent,
             Decision::Refused(_) => Stage::Ended,
         };
-        word
+        decision
     }
 
-    /// The answer ended, whole or by the upstream's own end of it.
+    /// Reports that the answer ended. `whole` is false if it was cut or the upstream never
+    /// accepted the request.
     pub(crate) fn finish(&mut self, whole: bool) {
         if self.stage == Stage::Sent {
             self.stage = Stage::Ended;
@@ -72,7 +73,7 @@
     fn drop(&mut self) {
         match self.stage {
             Stage::Waiting => self.leave_queue(),
-            Stage::Sent => self.dispatcher.finish_later(self.id),
+            Stage::Sent => self.dispatcher.finish_after_abort(self.id),
             Stage::Ended => {}
         }
     }
@@ -80,9 +81,9 @@
 
 impl Ticket {
     fn leave_queue(&self) {
-        match self.word.try_recv() {
-            // Sent between the word and this drop: nothing has gone to the upstream yet.
-            Ok(Decision::Go) => self.dispatcher.finish(self.id, false),
+        match self.decision.try_recv() {
+            // The scheduler counts it as sent, but nothing has gone to the upstream yet.
+            Ok(Decision::Send) => self.dispatcher.finish(self.id, false),
             Ok(Decision::Refused(_)) => {}
             Err(_) => self.dispatcher.withdraw(self.id),
         }
--- a/crates/side/src/dispatch/view.rs
+++ b/crates/side/src/dispatch/view.rs
@@ -1,4 +1,4 @@
-//! What the queue tells of itself.
+//! Views of the scheduler's state, for reports and the dump.
 
 use pumicecleat_policy::LoraIx;
 use pumicecleat_types::LoadFigures;
@@ -6,7 +6,7 @@
 
 use super::Dispatcher;
 
-/// State for people.
+/// State of the queue, for the dump.
 #[derive(Debug, Serialize)]
 pub(crate) struct DispatchDump {
     load: LoadFigures,
@@ -16,32 +16,35 @@
 }
 
 impl Dispatcher {
-    /// Load.
+    /// Load figures of the queue and the engine.
     pub(crate) fn figures(&self) -> LoadFigures {
         self.state.scheduler.borrow().figures()
     }
 
-    /// Engine names of what is resident, in order.
+    /// Engine names of the resident adapters, sorted.
     pub(crate) fn resident(&self) -> Vec<String> {
-        let ready = self.state.scheduler.borrow().resident();
+        let resident = self.state.scheduler.borrow().resident();
         let names = self.state.names.borrow();
-        let mut all: Vec<String> = ready.iter().map(|l| names.of(*l).engine_name()).collect();
+        let mut all: Vec<String> = resident
+            .iter()
+            .map(|l| names.lora(*l).engine_name())
+            .collect();
         all.sort();
         all
     }
 
-    /// Engine name of what is being loaded.
+    /// Engine name of the adapter being loaded.
     pub(crate) fn loading(&self) -> Option<String> {
         let lora = self.state.scheduler.borrow().loading()?;
-        Some(self.state.names.borrow().of(lora).engine_name())
+        Some(self.state.names.borrow().lora(lora).engine_name())
     }
 
-    /// Engine name of an indexed adapter.
+    /// Engine name of the adapter at an index.
     pub(crate) fn name_of(&self, lora: LoraIx) -> String {
-        self.state.names.borrow().of(lora).engine_name()
+        self.state.names.borrow().lora(lora).engine_name()
     }
 
-    /// State for people.
+    /// State of the queue, for the dump.
     pub(crate) fn dump(&self) -> DispatchDump {
         DispatchDump {
             load: self.figures(),
--- a/crates/side/src/run/model/mod.rs
+++ b/crates/side/src/run/model/mod.rs
@@ -19,7 +19,7 @@
 use relay::Relay;
 
 use super::{Frames, RETRY_MS, refusal};
-use crate::dispatch::{Decision, Demand, Ticket};
+use crate::dispatch::{Decision, JobSpec, Ticket};
 use crate::state::{State, Work};
 
 /// Frames of one attempt.
@@ -113,22 +113,22 @@
 
     async fn queue(&self) -> Result<Ticket, Frame> {
         let head = &self.request.head;
-        let demand = Demand {
+        let spec = JobSpec {
             lora: Some(&self.lora),
             caller: head.caller.as_str(),
             claim: self.state.claim_of(head),
             priority: head.priority,
-            left: Millis(head.left_ms),
+            time_left: Millis(head.left_ms),
             tokens: self.state.lengths.expect(head.tokens),
         };
         let from = self.state.timer.now();
-        let submitted = self.work.dispatcher.submit(&demand);
+        let submitted = self.work.dispatcher.submit(&spec);
         let mut ticket = submitted.map_err(|g| self.give_up(g.reason, g.retry_after))?;
         let word = ticket.wait().await;
         let waited = self.state.timer.now().since(from);
         self.state.metrics.wait_seconds.observe(waited.as_secs());
         match word {
-            Decision::Go => Ok(ticket),
+            Decision::Send => Ok(ticket),
             Decision::Refused(g) => Err(self.give_up(g.reason, g.retry_after)),
         }
     }
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -17,7 +17,7 @@
 use pumicecleat_upstream::{CallError, Service, ServiceAnswer, ServiceCall};
 
 use super::{Frames, RETRY_MS, refusal, whole_frames};
-use crate::dispatch::{Decision, Demand, Ticket};
+use crate::dispatch::{Decision, JobSpec, Ticket};
 use crate::keys::{Claim, Hold, KeyCall, Keys};
 use crate::state::{State, Work};
 
@@ -133,19 +133,19 @@
 
     async fn queue(&self) -> Result<Ticket, Refusal> {
         let head = &self.request.head;
-        let demand = Demand {
+        let spec = JobSpec {
             lora: None,
             caller: head.caller.as_str(),
             claim: self.state.claim_of(head),
             priority: head.priority,
-            left: self.until.since(self.state.timer.now()),
+            time_left: self.until.since(self.state.timer.now()),
             tokens: 1,
         };
         let detail = "the queue can't meet it";
-        let submitted = self.work.dispatcher.submit(&demand);
+        let submitted = self.work.dispatcher.submit(&spec);
         let mut ticket = submitted.map_err(|g| refusal(g.reason, g.retry_after.0, detail))?;
         match ticket.wait().await {
-            Decision::Go => Ok(ticket),
+            Decision::Send => Ok(ticket),
             Decision::Refused(g) => Err(refusal(g.reason, g.retry_after.0, detail)),
         }
     }
