--- a/crates/side/src/keys/claim.rs
+++ b/crates/side/src/keys/claim.rs
@@ -1,4 +1,5 @@
-//! A call's way to its turn: admission, the intent in the log, and the wait for its reading back.
+//! Claims the key of a call: admission by the ledger, the append of the intent, and the wait until
+//! it is read back.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -10,58 +11,59 @@
 use pumicecleat_types::{Millis, Reason};
 
 use super::KeyCall;
-use super::part::{Part, step_reason};
+use super::part::{Part, refusal_reason};
 use crate::state::wall_clock;
 
-/// Longest wait for an attempt that runs with the same key.
-const BUSY_SPAN: Millis = Millis(1_000);
-const BUSY_PAUSE: Duration = Duration::from_millis(10);
+/// Longest wait for another attempt in progress with the same key.
+const MAX_BUSY_WAIT: Millis = Millis(1_000);
+const BUSY_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a key allows.
+/// Result of claiming a key.
 #[derive(Debug)]
 pub(crate) enum Claim {
-    /// Send it.
+    /// The call may be sent.
     Won(Won),
-    /// Pass on what came of an earlier attempt.
+    /// An earlier attempt ran; its outcome is passed on.
     Replay(Outcome),
-    /// Not run.
+    /// The call is not run.
     Refused(Reason),
 }
 
 impl Part {
     /// Claims a call's key.
     pub(crate) async fn claim(&self, call: &KeyCall<'_>) -> Claim {
-        if !self.state.up.get() {
+        if !self.state.log_up.get() {
             return Claim::Refused(Reason::LogDown);
         }
-        let until = self.state.timer.now() + call.left;
-        let patience = self.state.timer.now() + BUSY_SPAN.min(call.left);
-        let mut claim = self.try_claim(call, until).await;
-        // A repeat close behind its first attempt gets the answer of that, if it comes soon.
-        while matches!(claim, Claim::Refused(Reason::KeyBusy)) && self.state.timer.now() < patience
+        let deadline = self.state.timer.now() + call.time_left;
+        let busy_until = self.state.timer.now() + MAX_BUSY_WAIT.min(call.time_left);
+        let mut claim = self.try_claim(call, deadline).await;
+        // A repeat soon after the first attempt gets that attempt's answer if it comes in time.
+        while matches!(claim, Claim::Refused(Reason::KeyBusy))
+            && self.state.timer.now() < busy_until
         {
-            self.state.timer.sleep(BUSY_PAUSE).await;
-            claim = self.try_claim(call, until).await;
+            self.state.timer.sleep(BUSY_RETRY_INTERVAL).await;
+            claim = self.try_claim(call, deadline).await;
         }
-        self.note(call, &claim);
+        self.log_claim(call, &claim);
         claim
     }
 
-    async fn try_claim(&self, call: &KeyCall<'_>, until: Millis) -> Claim {
-        let left = until.since(self.state.timer.now());
-        match self.admit(call, left) {
-            Ok(intent) => self.append(intent, left).await,
+    async fn try_claim(&self, call: &KeyCall<'_>, deadline: Millis) -> Claim {
+        let time_left = deadline.since(self.state.timer.now());
+        match self.admit(call, time_left) {
+            Ok(intent) => self.append_intent(intent, time_left).await,
             Err(claim) => claim,
         }
     }
 
-    fn admit(&self, call: &KeyCall<'_>, left: Millis) -> Result<Intent, Claim> {
+    fn admit(&self, call: &KeyCall<'_>, time_left: Millis) -> Result<Intent, Claim> {
         let now = wall_clock();
         let call = Call {
             key: call.key,
             digest: call.digest,
             now,
-            deadline: now + left,
+            deadline: now + time_left,
         };
         let mut ledger = self.state.ledger.borrow_mut();
         match ledger.admit(&call) {
@@ -71,49 +73,49 @@
         }
     }
 
-    async fn append(&self, intent: Intent, left: Millis) -> Claim {
+    async fn append_intent(&self, intent: Intent, time_left: Millis) -> Claim {
         let attempt = intent.attempt.clone();
         let (sender, decided) = async_channel::bounded(1);
         self.state
             .waiting
             .borrow_mut()
             .insert(attempt.clone(), sender);
-        let span = Duration::from_millis(left.0);
-        let decision = pin!(self.state.timer.within(span, decided.recv()));
-        let refusal = pin!(self.refusal(intent));
+        let timeout = Duration::from_millis(time_left.0);
+        let decision = pin!(self.state.timer.within(timeout, decided.recv()));
+        let refusal = pin!(self.append_until_refused(intent));
         let event = select(decision, refusal).await;
         self.state.waiting.borrow_mut().remove(&attempt);
         match event {
-            Either::Left((Ok(Ok(event)), _)) => claim_of(event),
-            // The log did not carry the intent in time, or refused it.
+            Either::Left((Ok(Ok(event)), _)) => claim_from_event(event),
+            // The intent was not read back in time, or the log refused it.
             _ => self.void(&attempt, &decided),
         }
     }
 
-    /// Appends an intent; ends only if the log refused it for good. What counts of any other word
-    /// is what is read back.
-    async fn refusal(&self, intent: Intent) {
+    /// Appends an intent. Returns only if the log definitely refused it; after any other result,
+    /// what is read back decides.
+    async fn append_until_refused(&self, intent: Intent) {
         let data = Record::encode_batch(&[Record::Intent(intent)]);
         let written = self.state.appender.append(data).await;
-        self.note_append(written.as_ref().err());
+        self.log_append_error(written.as_ref().err());
         if !written.is_err_and(|e| e.is_refusal()) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Makes the attempt impossible before it is told as not run.
+    /// Voids the attempt before it is reported as not run.
     fn void(&self, attempt: &Attempt, decided: &Receiver<Event>) -> Claim {
         let voided = self.state.ledger.borrow_mut().void(attempt);
-        self.wake();
+        self.wake_writer();
         match (voided, decided.try_recv()) {
             (Ok(_), _) => Claim::Refused(Reason::LogDown),
             // Decided between the timeout and the void.
-            (Err(_), Ok(event)) => claim_of(event),
-            (Err(e), Err(_)) => Claim::Refused(step_reason(&e)),
+            (Err(_), Ok(event)) => claim_from_event(event),
+            (Err(e), Err(_)) => Claim::Refused(refusal_reason(&e)),
         }
     }
 
-    fn note(&self, call: &KeyCall<'_>, claim: &Claim) {
+    fn log_claim(&self, call: &KeyCall<'_>, claim: &Claim) {
         let request = field("request", call.request);
         let key = field("key", call.key.text());
         match claim {
@@ -131,7 +133,7 @@
     }
 }
 
-fn claim_of(event: Event) -> Claim {
+fn claim_from_event(event: Event) -> Claim {
     match event {
         Event::Won(won) => Claim::Won(won),
         Event::Lost {
--- a/crates/side/src/keys/dump.rs
+++ b/crates/side/src/keys/dump.rs
@@ -1,4 +1,4 @@
-//! State of the keys for people.
+//! Dump of the state of the keys.
 
 use std::collections::BTreeMap;
 
@@ -13,31 +13,31 @@
 pub(crate) struct KeysDump {
     /// Number of parts.
     parts: u32,
-    /// Spans in force in all open parts, or else the ones to come.
+    /// Limits in force in the open parts, or those of the next part to be opened if none is.
     limits: Limits,
-    /// Whether each open part has read all that stood in its stream when it was opened.
+    /// Whether each open part has read all that its stream held when it was opened.
     caught_up: bool,
-    /// Whether the log answered last, in each open part.
+    /// Whether the log answered the latest read of each open part.
     up: bool,
     /// Calls that wait for a part to open.
     waiting: usize,
-    /// Open parts.
+    /// Open parts, by index.
     open: BTreeMap<u32, Dump>,
 }
 
 impl Keys {
-    /// State for people.
+    /// State of the keys, for the dump.
     pub(crate) fn dump(&self) -> KeysDump {
-        let open = self.state.open.borrow();
-        let up = open.values().all(Part::is_up);
-        let open: BTreeMap<u32, Dump> = open.iter().map(|(at, p)| (*at, p.dump())).collect();
+        let open = self.state.open_parts.borrow();
+        let up = open.values().all(Part::is_log_up);
+        let open: BTreeMap<u32, Dump> = open.iter().map(|(index, p)| (*index, p.dump())).collect();
         let limits = open.values().next().map(|d| d.limits);
         KeysDump {
             parts: self.state.parts,
             limits: limits.unwrap_or(self.state.context.limits.get()),
             caught_up: open.values().all(|d| d.caught_up),
             up,
-            waiting: self.state.waiting.get(),
+            waiting: self.state.waiting_calls.get(),
             open,
         }
     }
--- a/crates/side/src/keys/mod.rs
+++ b/crates/side/src/keys/mod.rs
@@ -1,15 +1,17 @@
-//! Idempotency keys of one service's calls, in parts of which each has a stream of the log.
+//! Idempotency keys of the calls to one service, split into parts with a log stream each.
 //!
-//! Which part a key is in follows from the key and the number of parts alone. A side opens a part
-//! when the first call with a key of it comes, and admits nothing in it before it has read all that
-//! stood in its stream then. It closes a part that no call has wanted for a while and to whose
-//! stream nothing is owed. Where all keys are in one part, that is open from the start to the end.
+//! The part of a key is determined by the key and the number of parts alone. A side opens a part
+//! for the first call with a key in it, and admits no call to the part before it has read all that
+//! the stream held at the opening. It closes a part that no call has used for a while and to whose
+//! stream no record is owed. If there is only one part, it stays open while the side runs.
 //!
-//! Any side may have any part open, at once with others: only the order of records in the part's
+//! Several sides may have the same part open at once: only the order of the records in the part's
 //! stream decides.
 //!
-//! `part` is one part; `claim` takes a call through admission, the append of its intent and the
-//! wait for it to be read back; `reader` follows the stream; `writer` appends outcomes.
+//! - `part` is one part, with its ledger and its stream.
+//! - `claim` takes a call through admission, the append of its intent and the wait until the intent
+//!   is read back.
+//! - `reader` follows the stream; `writer` appends the records that it lacks.
 
 mod claim;
 mod dump;
@@ -31,21 +33,22 @@
 use crate::state::wall_clock;
 pub(crate) use claim::Claim;
 pub(crate) use dump::KeysDump;
-pub(crate) use part::Hold;
 use part::Part;
+pub(crate) use part::PartGuard;
 
-/// Parts that are read for the first time at once.
-const OPENING: usize = 4;
-/// Calls that wait for parts to open.
-const WAITING: usize = 256;
-/// Longest such wait; half of a call's time is left for another side.
-const OPEN_SPAN: Millis = Millis(10_000);
-const OPEN_PAUSE: Duration = Duration::from_millis(5);
+/// Most parts that are read for the first time at once.
+const MAX_OPENING_PARTS: usize = 4;
+/// Most calls that wait for parts to open.
+const MAX_WAITING_CALLS: usize = 256;
+/// Longest wait for a part to open. A call waits for at most half of its time left, so that it can
+/// be retried at another side.
+const MAX_OPEN_WAIT: Millis = Millis(10_000);
+const OPEN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const SECOND: Duration = Duration::from_secs(1);
-/// Time between two looks for parts to close.
-const SWEEP: Duration = Duration::from_millis(250);
+/// Time between two checks for parts to close.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Keys of the calls of one service at this side. Clones share them.
+/// Keys of the calls to one service at this side. Clones share the state.
 #[derive(Clone)]
 pub(crate) struct Keys {
     state: Rc<State>,
@@ -55,25 +58,27 @@
     context: KeyContext,
     /// Number of parts.
     parts: u32,
-    open: RefCell<BTreeMap<u32, Part>>,
+    /// Open parts, by index.
+    open_parts: RefCell<BTreeMap<u32, Part>>,
     /// Last incarnation of each part that was closed.
-    closed: RefCell<BTreeMap<u32, u64>>,
+    last_incarnations: RefCell<BTreeMap<u32, u64>>,
     /// Calls that wait for a part to open.
-    waiting: Cell<usize>,
-    /// Appenders that share the service's rate: a side or so for each part.
-    sharers: Cell<u32>,
+    waiting_calls: Cell<usize>,
+    /// Number of appenders that share the service's append rate: the sides if there is one part,
+    /// else about one side for each part.
+    appenders: Cell<u32>,
 }
 
-/// What keys are kept with.
+/// Settings and services for the keys of one service.
 pub(crate) struct KeyContext {
     pub(crate) service: ServiceId,
     pub(crate) vm: VmId,
-    /// Start of this process.
+    /// Incarnation of this process: the time of its start.
     pub(crate) incarnation: u64,
     pub(crate) limits: Cell<Limits>,
     /// Time without calls after which a part is closed.
     pub(crate) idle_timeout: Millis,
-    /// Appends a second that the service's sides may make together.
+    /// Most appends per second by all sides of the service together.
     pub(crate) append_rate: u32,
     pub(crate) log: Rc<dyn Log>,
     pub(crate) events: EventLog,
@@ -83,26 +88,26 @@
 /// A call that may not be repeated.
 #[derive(Debug)]
 pub(crate) struct KeyCall<'a> {
-    /// Request, for the events.
+    /// Request, for log events.
     pub(crate) request: &'a RequestId,
-    /// Key.
+    /// Idempotency key.
     pub(crate) key: &'a Key,
-    /// What is asked for.
+    /// Digest of the call's method, path and body.
     pub(crate) digest: Digest,
-    /// Time left.
-    pub(crate) left: Millis,
+    /// Time until the call's deadline.
+    pub(crate) time_left: Millis,
 }
 
 impl Keys {
-    /// Keys of a service, in as many `parts`.
+    /// Creates the keys of a service, split into `parts` parts.
     pub(crate) fn start(context: KeyContext, parts: u32) -> Self {
         let state = State {
             context,
             parts,
-            open: RefCell::default(),
-            closed: RefCell::default(),
-            waiting: Cell::new(0),
-            sharers: Cell::new(parts),
+            open_parts: RefCell::default(),
+            last_incarnations: RefCell::default(),
+            waiting_calls: Cell::new(0),
+            appenders: Cell::new(parts),
         };
         let keys = Self {
             state: Rc::new(state),
@@ -110,8 +115,8 @@
         if parts == 1 {
             keys.open(0);
         } else {
-            let swept = keys.clone();
-            monoio::spawn(async move { swept.sweep().await });
+            let sweeper = keys.clone();
+            monoio::spawn(async move { sweeper.sweep().await });
         }
         keys
     }
@@ -121,133 +126,147 @@
         self.state.parts
     }
 
-    /// Takes new limits; each stream is read anew for them.
+    /// Sets the limits; each open part reads its stream again from the start to apply them.
     pub(crate) fn set_limits(&self, limits: Limits) {
         self.state.context.limits.set(limits);
-        for part in self.state.open.borrow().values() {
+        for part in self.state.open_parts.borrow().values() {
             part.set_limits(limits);
         }
     }
 
-    /// Takes the number of the service's sides. They share the rate of appends where all keys are
-    /// in one part; else each part's side has its part of it.
+    /// Sets the number of the service's sides. They share the append rate if all keys are in one
+    /// part; otherwise the rate is divided by the number of parts.
     pub(crate) fn set_sides(&self, sides: u32) {
         if self.state.parts > 1 {
             return;
         }
-        self.state.sharers.set(sides.max(1));
-        for part in self.state.open.borrow().values() {
-            part.set_interval(self.interval());
+        self.state.appenders.set(sides.max(1));
+        for part in self.state.open_parts.borrow().values() {
+            part.set_append_interval(self.append_interval());
         }
     }
 
-    /// Shortest time between two appends to one part's stream.
-    fn interval(&self) -> Duration {
+    /// Shortest time from one append to a part's stream to the next.
+    fn append_interval(&self) -> Duration {
         let rate = self.state.context.append_rate.max(1);
-        let share = SECOND * self.state.sharers.get() / rate;
-        share.max(AppendOptions::default().interval)
+        let interval = SECOND * self.state.appenders.get() / rate;
+        interval.max(AppendOptions::default().interval)
     }
 
-    /// Holds the part of a call's key, once it has caught up with the log.
+    /// Opens the part of a call's key if needed, waits until it has caught up with the log, and
+    /// returns a guard that keeps it open.
     ///
     /// # Errors
-    /// Why the call is not run, if that takes too much of the time `left`.
-    pub(crate) async fn hold(&self, key: &Key, left: Millis) -> Result<Hold, Reason> {
-        let at = key.part(self.state.parts);
-        if let Some(hold) = self.try_hold(at)
-            && (self.state.parts == 1 || hold.caught_up())
+    /// Reason to refuse the call: too many calls wait, the part takes too much of the time left to
+    /// open, or the log is down.
+    pub(crate) async fn acquire_part(
+        &self,
+        key: &Key,
+        time_left: Millis,
+    ) -> Result<PartGuard, Reason> {
+        let index = key.part(self.state.parts);
+        if let Some(guard) = self.try_acquire_part(index)
+            && (self.state.parts == 1 || guard.caught_up())
         {
-            return Ok(hold);
+            return Ok(guard);
         }
-        let _place = Place::take(&self.state).ok_or(Reason::Overloaded)?;
+        let _permit = WaitPermit::acquire(&self.state).ok_or(Reason::Overloaded)?;
         let timer = &self.state.context.timer;
-        let until = timer.now() + Millis(left.0 / 2).min(OPEN_SPAN);
+        let deadline = timer.now() + Millis(time_left.0 / 2).min(MAX_OPEN_WAIT);
         loop {
-            let hold = self.try_hold(at);
-            let up = hold.as_ref().is_none_or(|h| h.is_up());
-            if let Some(hold) = hold.filter(|h| h.caught_up()) {
-                return Ok(hold);
+            let guard = self.try_acquire_part(index);
+            let log_up = guard.as_ref().is_none_or(|g| g.is_log_up());
+            if let Some(guard) = guard.filter(|g| g.caught_up()) {
+                return Ok(guard);
             }
-            if !up {
+            if !log_up {
                 return Err(Reason::LogDown);
             }
-            if timer.now() >= until {
+            if timer.now() >= deadline {
                 return Err(Reason::Overloaded);
             }
-            timer.sleep(OPEN_PAUSE).await;
+            timer.sleep(OPEN_POLL_INTERVAL).await;
         }
     }
 
-    /// Holds a part that is open, or starts to open it, unless enough are opening now.
-    fn try_hold(&self, at: u32) -> Option<Hold> {
-        let known = self.state.open.borrow().get(&at).map(Hold::new);
-        if known.is_some() {
-            return known;
+    /// Guard of a part that is open, or is opened now; `None` if too many parts are being opened.
+    fn try_acquire_part(&self, index: u32) -> Option<PartGuard> {
+        let guard = self
+            .state
+            .open_parts
+            .borrow()
+            .get(&index)
+            .map(PartGuard::new);
+        if guard.is_some() {
+            return guard;
         }
         let opening = {
-            let open = self.state.open.borrow();
-            open.values().filter(|p| !p.caught_up()).count()
+            let open_parts = self.state.open_parts.borrow();
+            open_parts.values().filter(|p| !p.caught_up()).count()
         };
-        (opening < OPENING).then(|| Hold::new(&self.open(at)))
+        (opening < MAX_OPENING_PARTS).then(|| PartGuard::new(&self.open(index)))
     }
 
-    fn open(&self, at: u32) -> Part {
+    fn open(&self, index: u32) -> Part {
         let context = &self.state.context;
-        let last = self.state.closed.borrow().get(&at).copied();
-        // A clock that was set back must not lead to a name that was used.
+        let last = self.state.last_incarnations.borrow().get(&index).copied();
+        // An incarnation must not be used again, even if the clock was set back.
         let incarnation = last.map_or(context.incarnation, |l| wall_clock().0.max(l + 1));
-        let part = Part::open(context, self.stream(at), incarnation);
-        part.set_interval(self.interval());
-        self.state.open.borrow_mut().insert(at, part.clone());
+        let part = Part::open(context, self.stream(index), incarnation);
+        part.set_append_interval(self.append_interval());
+        self.state
+            .open_parts
+            .borrow_mut()
+            .insert(index, part.clone());
         part
     }
 
-    fn stream(&self, at: u32) -> String {
+    fn stream(&self, index: u32) -> String {
         let service = &self.state.context.service;
         if self.state.parts == 1 {
             format!("intents.{service}")
         } else {
-            // No other service's stream has this name: with the number last, a service could whose
-            // own name ends so.
-            format!("intents-{at}.{service}")
+            // The number is first so that no other service's stream has this name: with the number
+            // last, the stream of a service whose own name ends in it could.
+            format!("intents-{index}.{service}")
         }
     }
 
-    /// Closes parts that are not wanted any more; never ends.
+    /// Closes parts that are no longer used; never returns.
     async fn sweep(&self) {
         loop {
-            self.state.context.timer.sleep(SWEEP).await;
-            let idle = self.state.context.idle_timeout;
-            let mut closed = self.state.closed.borrow_mut();
-            self.state.open.borrow_mut().retain(|&at, part| {
-                let ends = part.is_idle(idle);
-                if ends {
-                    closed.insert(at, part.close());
+            self.state.context.timer.sleep(SWEEP_INTERVAL).await;
+            let idle_timeout = self.state.context.idle_timeout;
+            let mut last_incarnations = self.state.last_incarnations.borrow_mut();
+            self.state.open_parts.borrow_mut().retain(|&index, part| {
+                let idle = part.is_idle(idle_timeout);
+                if idle {
+                    last_incarnations.insert(index, part.close());
                 }
-                !ends
+                !idle
             });
         }
     }
 }
 
-/// Place of a call that waits for a part to open.
-struct Place<'a> {
-    waiting: &'a Cell<usize>,
+/// Permit of a call to wait for a part to open.
+struct WaitPermit<'a> {
+    waiting_calls: &'a Cell<usize>,
 }
 
-impl<'a> Place<'a> {
-    fn take(state: &'a State) -> Option<Self> {
-        let waiting = &state.waiting;
-        if waiting.get() >= WAITING {
+impl<'a> WaitPermit<'a> {
+    fn acquire(state: &'a State) -> Option<Self> {
+        let waiting_calls = &state.waiting_calls;
+        if waiting_calls.get() >= MAX_WAITING_CALLS {
             return None;
         }
-        waiting.set(waiting.get() + 1);
-        Some(Self { waiting })
+        waiting_calls.set(waiting_calls.get() + 1);
+        Some(Self { waiting_calls })
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for WaitPermit<'_> {
     fn drop(&mut self) {
-        self.waiting.set(self.waiting.get() - 1);
+        self.waiting_calls.set(self.waiting_calls.get() - 1);
     }
 }
--- a/crates/side/src/keys/part.rs
+++ b/crates/side/src/keys/part.rs
@@ -1,6 +1,6 @@
-//! One part of a service's keys: the ledger, and the log's stream behind it.
+//! One part of a service's keys: its ledger and its stream in the log.
 //!
-//! Its two tasks, the reader's and the writer's, end once it is closed.
+//! Its two tasks, the reader and the writer, end once it is closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 use super::KeyContext;
 use crate::state::wall_clock;
 
-/// One part of the keys of a service at this side. Clones share it.
+/// One part of the keys of a service at this side. Clones share the state.
 #[derive(Clone)]
 pub(crate) struct Part {
     pub(super) state: Rc<State>,
@@ -33,32 +33,33 @@
     pub(super) events: EventLog,
     pub(super) timer: Timer,
     pub(super) limits: Cell<Limits>,
-    /// Since when the ledger has been one for other limits.
-    pub(super) outdated: Cell<Option<Millis>>,
-    /// The log answered last.
-    pub(super) up: Cell<bool>,
-    /// All that the stream holds is read, by the last read.
+    /// When the limits changed, if the ledger was created for the earlier ones.
+    pub(super) limits_changed_at: Cell<Option<Millis>>,
+    /// Whether the log answered the latest read.
+    pub(super) log_up: Cell<bool>,
+    /// Whether the latest read reached the end of the stream.
     pub(super) at_end: Cell<bool>,
+    /// Channels to the claims that wait until their attempt is decided.
     pub(super) waiting: RefCell<BTreeMap<Attempt, Sender<Event>>>,
     pub(super) appender: Appender,
-    pub(super) wake: Sender<()>,
-    /// Calls that hold it.
-    users: Cell<usize>,
-    /// When it was opened, or a call last let go of it.
-    used: Cell<Millis>,
+    pub(super) wake_writer: Sender<()>,
+    /// Number of guards that keep it open.
+    guards: Cell<usize>,
+    /// When it was opened, or a guard was last dropped.
+    last_used: Cell<Millis>,
     pub(super) closed: Cell<bool>,
 }
 
 impl Part {
-    /// Opens the part behind `stream`: reads it from now on. No other opening of the stream on
-    /// this VM may have had `incarnation` or a later one.
+    /// Opens the part that has `stream`, and starts to read it. `incarnation` must be later than
+    /// that of any other opening of the stream on this VM.
     pub(super) fn open(context: &KeyContext, stream: String, incarnation: u64) -> Self {
-        let (wake, due) = async_channel::bounded(1);
+        let (wake_writer, woken) = async_channel::bounded(1);
         let owner = Owner {
             vm: context.vm.clone(),
             incarnation,
         };
-        // Until the stream's span is known the ledger has not caught up, and admits nothing.
+        // The ledger has not caught up, and admits nothing, until the stream's span is known.
         let unknown = Span {
             first: 0,
             end: u64::MAX,
@@ -77,89 +78,94 @@
             events: context.events.clone(),
             timer: context.timer.clone(),
             limits: Cell::new(limits),
-            outdated: Cell::new(None),
-            up: Cell::new(true),
+            limits_changed_at: Cell::new(None),
+            log_up: Cell::new(true),
             at_end: Cell::new(false),
             waiting: RefCell::default(),
-            wake,
-            users: Cell::new(0),
-            used: Cell::new(context.timer.now()),
+            wake_writer,
+            guards: Cell::new(0),
+            last_used: Cell::new(context.timer.now()),
             closed: Cell::new(false),
         };
         let part = Self {
             state: Rc::new(state),
         };
         let reader = part.clone();
-        monoio::spawn(async move { reader.follow().await });
+        monoio::spawn(async move { reader.follow_stream().await });
         let writer = part.clone();
-        monoio::spawn(async move { writer.write(due).await });
+        monoio::spawn(async move { writer.write_owed(woken).await });
         part
     }
 
-    /// Whether it has read all that stood in its stream when it was opened.
+    /// Whether it has read all that its stream held when it was opened.
     pub(super) fn caught_up(&self) -> bool {
         self.state.ledger.borrow().caught_up()
     }
 
-    /// Whether the log answered last.
-    pub(super) fn is_up(&self) -> bool {
-        self.state.up.get()
+    /// Whether the log answered the latest read.
+    pub(super) fn is_log_up(&self) -> bool {
+        self.state.log_up.get()
     }
 
-    /// Whether it may be closed: no call has held it for `span`, and nothing is owed to its stream.
-    /// All of that is read, as an own intent may stand there that has yet to be abandoned.
-    pub(super) fn is_idle(&self, span: Millis) -> bool {
-        let since = self.state.timer.now().since(self.state.used.get());
-        let rests = self.state.users.get() == 0 && since >= span;
-        rests && self.state.at_end.get() && self.is_settled()
+    /// Whether it may be closed: no guard has been held for `timeout`, and no record is owed to its
+    /// stream. The stream must have been read to its end, as it may hold an own intent that has yet
+    /// to be abandoned.
+    pub(super) fn is_idle(&self, timeout: Millis) -> bool {
+        let since = self.state.timer.now().since(self.state.last_used.get());
+        let unused = self.state.guards.get() == 0 && since >= timeout;
+        unused && self.state.at_end.get() && self.is_settled()
     }
 
-    /// Whether no own attempt is under way and the stream lacks nothing.
+    /// Whether no own attempt is in progress and no record is owed to the stream.
     pub(super) fn is_settled(&self) -> bool {
         let ledger = self.state.ledger.borrow();
         ledger.is_settled()
     }
 
-    /// Ends its tasks, and gives the last incarnation that it used.
+    /// Ends its tasks and returns the last incarnation that it used.
     pub(super) fn close(&self) -> u64 {
         self.state.closed.set(true);
-        self.wake();
+        self.wake_writer();
         self.state.ledger.borrow().owner().incarnation
     }
 
-    /// Takes new limits; the stream is read anew for them.
+    /// Sets the limits; the stream is read again from the start to apply them.
     pub(super) fn set_limits(&self, limits: Limits) {
         if self.state.limits.replace(limits) != limits {
             let now = self.state.timer.now();
-            self.state.outdated.set(Some(now));
+            self.state.limits_changed_at.set(Some(now));
         }
     }
 
-    /// Sets the shortest time between two appends.
-    pub(super) fn set_interval(&self, interval: Duration) {
+    /// Sets the shortest time from one append to the next.
+    pub(super) fn set_append_interval(&self, interval: Duration) {
         self.state.appender.set_interval(interval);
     }
 
-    /// Notes that a call goes to the service now.
+    /// Records that a call is sent to the service now.
+    ///
+    /// # Errors
+    /// [`StepError`] if its deadline has passed, or it was voided or sent before.
     pub(crate) fn sent(&self, won: Won) -> Result<Sent, StepError> {
         self.state.ledger.borrow_mut().sent(won, wall_clock())
     }
 
-    /// Takes back a call that failed before a byte left; `true` if it may be told as not run.
+    /// Voids a call that failed before any byte was sent. Returns whether it may be reported as not
+    /// run.
     pub(crate) fn unsent(&self, sent: Sent) -> bool {
-        let taken = self.state.ledger.borrow_mut().unsent(sent).is_ok();
-        self.wake();
-        taken
+        let voided = self.state.ledger.borrow_mut().unsent(sent).is_ok();
+        self.wake_writer();
+        voided
     }
 
-    /// Gives up a call that was not sent; `true` if it may be told as not run.
+    /// Voids a call that was not sent. Returns whether it may be reported as not run.
     pub(crate) fn withdraw(&self, won: &Won) -> bool {
         let voided = self.state.ledger.borrow_mut().void(won.attempt()).is_ok();
-        self.wake();
+        self.wake_writer();
         voided
     }
 
-    /// Records what came of a call.
+    /// Records the outcome of a call.
     pub(crate) fn finish(&self, request: &RequestId, key: &Key, sent: Sent, outcome: Outcome) {
         if outcome == Outcome::Unknown {
             let fields = [field("request", request), field("key", key.text())];
@@ -175,34 +181,34 @@
             let fields = [field("step", "finish"), field("error", &e)];
             self.state.events.emit(&events::INTERNAL, &fields);
         }
-        self.wake();
+        self.wake_writer();
     }
 
-    /// State for people.
+    /// State of the ledger, for the dump.
     pub(super) fn dump(&self) -> Dump {
         self.state.ledger.borrow().dump()
     }
 
-    pub(super) fn wake(&self) {
-        // A full channel holds the same message already.
-        let _ = self.state.wake.try_send(());
+    pub(super) fn wake_writer(&self) {
+        // A full channel already holds a wake-up.
+        let _ = self.state.wake_writer.try_send(());
     }
 }
 
-/// A call's hold on a part, which keeps it open.
-pub(crate) struct Hold {
+/// Keeps a part open for a call.
+pub(crate) struct PartGuard {
     part: Part,
 }
 
-impl Hold {
+impl PartGuard {
     pub(super) fn new(part: &Part) -> Self {
-        let users = &part.state.users;
-        users.set(users.get() + 1);
+        let guards = &part.state.guards;
+        guards.set(guards.get() + 1);
         Self { part: part.clone() }
     }
 }
 
-impl Deref for Hold {
+impl Deref for PartGuard {
     type Target = Part;
 
     fn deref(&self) -> &Part {
@@ -210,16 +216,16 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for PartGuard {
     fn drop(&mut self) {
         let state = &self.part.state;
-        state.users.set(state.users.get() - 1);
-        state.used.set(state.timer.now());
+        state.guards.set(state.guards.get() - 1);
+        state.last_used.set(state.timer.now());
     }
 }
 
-/// Refusal that stands for a step that the ledger does not allow.
-pub(super) fn step_reason(error: &StepError) -> Reason {
+/// Reason to refuse a call whose step the ledger did not allow.
+pub(super) fn refusal_reason(error: &StepError) -> Reason {
     match error {
         StepError::Late { .. } => Reason::Deadline,
         StepError::Closed { .. } | StepError::Sent { .. } => Reason::KeyUnknown,
--- a/crates/side/src/keys/writer.rs
+++ b/crates/side/src/keys/writer.rs
@@ -1,4 +1,4 @@
-//! Appending what the stream lacks: outcomes and withdrawals, until they are read back.
+//! Appends the records that the stream lacks, outcomes and withdrawals, until they are read back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,49 +11,49 @@
 
 use super::part::Part;
 
-/// Time after which what is owed and not read back is appended again.
-const AGAIN: Millis = Millis(1_000);
+/// Time after which an owed record that has not been read back is appended again.
+const REAPPEND_INTERVAL: Millis = Millis(1_000);
 
-/// When each record owed was appended last.
-type Appended = BTreeMap<Attempt, Millis>;
+/// Time of the latest append of each owed record.
+type AppendTimes = BTreeMap<Attempt, Millis>;
 
 impl Part {
-    /// Appends what is owed whenever there is something, until the part is closed.
-    pub(super) async fn write(&self, due: Receiver<()>) {
-        let mut appended = Appended::new();
+    /// Appends owed records as they become due, until the part is closed.
+    pub(super) async fn write_owed(&self, woken: Receiver<()>) {
+        let mut append_times = AppendTimes::new();
         while !self.state.closed.get() {
-            let span = Duration::from_millis(AGAIN.0);
-            // Woken or not, what is owed is looked at.
-            let _ = self.state.timer.within(span, due.recv()).await;
-            let records = self.owed_now(&mut appended);
+            let timeout = Duration::from_millis(REAPPEND_INTERVAL.0);
+            // Owed records are checked both when woken and at each timeout.
+            let _ = self.state.timer.within(timeout, woken.recv()).await;
+            let records = self.due_records(&mut append_times);
             if !records.is_empty() {
                 let data = Record::encode_batch(&records);
                 let written = self.state.appender.append(data).await;
-                self.note_append(written.err().as_ref());
+                self.log_append_error(written.err().as_ref());
             }
         }
     }
 
-    fn owed_now(&self, appended: &mut Appended) -> Vec<Record> {
+    fn due_records(&self, append_times: &mut AppendTimes) -> Vec<Record> {
         let mut records = Vec::new();
         let ledger = self.state.ledger.borrow();
         let now = self.state.timer.now();
-        let mut kept = Appended::new();
+        let mut current = AppendTimes::new();
         for record in ledger.owed() {
             let attempt = record.attempt();
-            let last = appended.get(attempt).copied();
-            let due = last.is_none_or(|at| now.since(at) >= AGAIN);
+            let last = append_times.get(attempt).copied();
+            let due = last.is_none_or(|at| now.since(at) >= REAPPEND_INTERVAL);
             if due {
                 records.push(record.clone());
             }
-            kept.insert(attempt.clone(), last.filter(|_| !due).unwrap_or(now));
+            current.insert(attempt.clone(), last.filter(|_| !due).unwrap_or(now));
         }
-        *appended = kept;
+        *append_times = current;
         records
     }
 
-    /// Logs an append without a word that it stands.
-    pub(super) fn note_append(&self, error: Option<&SubmitError>) {
+    /// Logs an append that failed or is not known to have succeeded.
+    pub(super) fn log_append_error(&self, error: Option<&SubmitError>) {
         let Some(error) = error else {
             return;
         };
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -18,7 +18,7 @@
 
 use super::{Frames, RETRY_MS, refusal, whole_frames};
 use crate::dispatch::{Decision, JobSpec, Ticket};
-use crate::keys::{Claim, Hold, KeyCall, Keys};
+use crate::keys::{Claim, KeyCall, Keys, PartGuard};
 use crate::state::{State, Work};
 
 /// Longest body that is recorded whole with an outcome, bytes.
@@ -73,7 +73,7 @@
 /// A call's key, and the hold on its part.
 struct Keyed {
     key: Key,
-    part: Hold,
+    part: PartGuard,
 }
 
 struct ServiceRun {
@@ -125,7 +125,7 @@
             let detail = "this side deals the keys out by another declaration";
             return Err(refusal(Reason::StaleConfig, RETRY_MS, detail));
         }
-        let part = keys.hold(&key, Millis(head.left_ms)).await;
+        let part = keys.acquire_part(&key, Millis(head.left_ms)).await;
         let detail = "its part of the keys is not open here";
         let part = part.map_err(|reason| refusal(reason, RETRY_MS, detail))?;
         Ok(Some(Keyed { key, part }))
@@ -166,7 +166,7 @@
             request: &head.request,
             key,
             digest: Digest::of_call(&self.target.method, &self.target.path, &self.request.body),
-            left: self.until.since(self.state.timer.now()),
+            time_left: self.until.since(self.state.timer.now()),
         };
         match part.claim(&call).await {
             Claim::Won(won) => {
@@ -185,7 +185,7 @@
         }
     }
 
-    fn withdraw(&self, part: &Hold, won: &pumicecleat_ledger::Won) -> Vec<Frame> {
+    fn withdraw(&self, part: &PartGuard, won: &pumicecleat_ledger::Won) -> Vec<Frame> {
         let reason = if part.withdraw(won) {
             Reason::Deadline
         } else {
@@ -214,7 +214,7 @@
 
     fn take_back(
         &self,
-        part: &Hold,
+        part: &PartGuard,
         sent: pumicecleat_ledger::Sent,
         error: &CallError,
     ) -> Vec<Frame> {
