--- a/crates/side/src/run/gate.rs
+++ b/crates/side/src/run/admission.rs
@@ -1,37 +1,37 @@
-//! What an attempt must pass before it is queued.
+//! Checks of an attempt before it is queued.
 
 use std::time::Duration;
 
 use pumicecleat_types::{Lora, ModelTarget, Reason, Refusal, RunHead, Target};
 
-use super::{RETRY_MS, refusal};
+use super::{DEFAULT_RETRY_MS, refusal};
 use crate::state::{State, Work};
 
-/// Longest wait for a configuration that the entry has and this side lacks.
-const REFRESH: Duration = Duration::from_secs(1);
+/// Longest wait for a newer configuration that the entry has.
+const MAX_REFRESH_WAIT: Duration = Duration::from_secs(1);
 
 impl State {
-    /// What works for an attempt that may be queued.
+    /// Checks whether an attempt may be queued, and returns the dispatcher and upstream to use.
     ///
     /// # Errors
-    /// The refusal, if it may not.
-    pub(super) async fn gate(&self, head: &RunHead) -> Result<Work, Refusal> {
+    /// The refusal of the attempt, if it may not be queued.
+    pub(super) async fn admit(&self, head: &RunHead) -> Result<Work, Refusal> {
         if head.pool != *self.pool() {
             return Err(refusal(
                 Reason::WrongPool,
-                RETRY_MS,
+                DEFAULT_RETRY_MS,
                 "this side serves another pool",
             ));
         }
         if head.left_ms == 0 {
-            return Err(refusal(Reason::Deadline, RETRY_MS, "no time left"));
+            return Err(refusal(Reason::Deadline, DEFAULT_RETRY_MS, "no time left"));
         }
-        self.catch_up(head).await;
+        self.await_revision(head).await;
         self.check_target(&head.target)?;
         if self.leaving.get() {
             return Err(refusal(
                 Reason::Leaving,
-                RETRY_MS,
+                DEFAULT_RETRY_MS,
                 "this upstream is leaving",
             ));
         }
@@ -39,23 +39,26 @@
             Some(work) if self.is_open() => Ok(work),
             _ => Err(refusal(
                 Reason::UpstreamDown,
-                RETRY_MS,
+                DEFAULT_RETRY_MS,
                 "upstream does not answer",
             )),
         }
     }
 
-    /// The entry decided by a newer revision: it is in force here before the attempt is looked at.
-    async fn catch_up(&self, head: &RunHead) {
+    /// Fetches the configuration by which the entry decided, if it is newer than this side's.
+    async fn await_revision(&self, head: &RunHead) {
         self.config.hear(head.revision);
         if self.config.revision() < head.revision {
-            // Behind after all of it, the check of the target has the last word.
-            let _ = self.timer.within(REFRESH, self.refresh_config()).await;
+            // If the revision is still older after this, the check of the target decides.
+            let _ = self
+                .timer
+                .within(MAX_REFRESH_WAIT, self.refresh_config())
+                .await;
         }
     }
 
     fn check_target(&self, target: &Target) -> Result<(), Refusal> {
-        let known = match target {
+        let is_known = match target {
             Target::Model(model) => self.is_declared(model),
             Target::Service(s) => {
                 let pool = self
@@ -64,11 +67,11 @@
                 pool.as_ref() == Some(self.pool())
             }
         };
-        if known {
+        if is_known {
             return Ok(());
         }
         let detail = "this side's configuration differs for the target";
-        Err(refusal(Reason::StaleConfig, RETRY_MS, detail))
+        Err(refusal(Reason::StaleConfig, DEFAULT_RETRY_MS, detail))
     }
 
     fn is_declared(&self, model: &ModelTarget) -> bool {
@@ -76,8 +79,8 @@
         self.config.with(|c| c.stamp(&lora)) == Some(model.stamp)
     }
 
-    /// Claim of a caller, 1 if none is declared.
-    pub(super) fn claim_of(&self, head: &RunHead) -> u32 {
+    /// Claim of the caller, its weight in the fair shares; 1 if none is declared.
+    pub(super) fn caller_claim(&self, head: &RunHead) -> u32 {
         let claim = self
             .config
             .with(|c| c.callers.get(&head.caller).map(|x| x.claim));
@@ -85,7 +88,7 @@
     }
 }
 
-/// Unit of residency that a target asks for.
+/// Adapter version that a model target asks for, as the unit that is loaded and unloaded.
 pub(super) fn lora_of(model: &ModelTarget) -> Lora {
     Lora {
         base: model.base.clone(),
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -1,10 +1,10 @@
 //! Attempts from entries: checked, queued, run at the upstream, and answered in frames.
 //!
-//! The frames are pulled by the entry's connection, so an entry that goes away drops the attempt:
-//! one that waits leaves the queue, one at an engine is aborted. A call that may not be repeated is
-//! the exception: once sent it is seen through, so that its outcome is recorded.
+//! The entry's connection pulls the frames, so an attempt is dropped if its entry disconnects: a
+//! waiting one leaves the queue, one at an engine is aborted. A non-idempotent call is the
+//! exception: once sent, it runs to its end, so that its outcome is recorded.
 
-mod gate;
+mod admission;
 mod model;
 mod service;
 
@@ -16,14 +16,14 @@
 
 use crate::state::{State, Upstream};
 
-/// Longest answer that is not streamed, bytes.
-const ANSWER_LIMIT: u64 = 16 << 20;
-/// Longest piece in one frame, bytes.
-const PIECE: usize = 64 << 10;
-/// Span to come back after, where nothing better is known, milliseconds.
-const RETRY_MS: u64 = 1_000;
+/// Longest answer that is not streamed.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
+/// Longest data of one frame.
+const MAX_DATA_BYTES: usize = 64 << 10;
+/// Delay before a retry, if no better value is known.
+const DEFAULT_RETRY_MS: u64 = 1_000;
 
-/// Frames of the answer to `request`.
+/// Runs the attempt of `request`, and returns the frames of the answer.
 pub(crate) fn answer(state: &Rc<State>, request: RunRequest) -> ByteStream {
     state.metrics.runs.inc();
     let state = Rc::clone(state);
@@ -34,36 +34,36 @@
 type Frames = std::pin::Pin<Box<dyn futures_util::Stream<Item = Frame>>>;
 
 async fn start(state: Rc<State>, request: RunRequest) -> Frames {
-    let work = match state.gate(&request.head).await {
+    let work = match state.admit(&request.head).await {
         Ok(work) => work,
-        Err(refusal) => return only(state.refused(&request.head, refusal)),
+        Err(refusal) => return single_frame(state.refusal_frame(&request.head, refusal)),
     };
     match (&request.head.target, &work.upstream) {
         (Target::Model(target), Upstream::Model(engine)) => {
-            let lora = gate::lora_of(target);
+            let lora = admission::lora_of(target);
             let engine = Rc::clone(engine);
             model::run(state, work, engine, lora, request)
         }
         (Target::Service(target), Upstream::Service(service, keys)) => {
             let target = target.clone();
-            let place = service::Place {
+            let destination = service::Destination {
                 service: Rc::clone(service),
                 keys: keys.clone(),
             };
-            service::run(state, work, place, target, request)
+            service::run(state, work, destination, target, request)
         }
-        _ => only(state.refused(
+        _ => single_frame(state.refusal_frame(
             &request.head,
-            refusal(Reason::WrongPool, RETRY_MS, "pool of another kind"),
+            refusal(Reason::WrongPool, DEFAULT_RETRY_MS, "pool of another kind"),
         )),
     }
 }
 
-fn only(frame: Frame) -> Frames {
+fn single_frame(frame: Frame) -> Frames {
     Box::pin(stream::iter([frame]))
 }
 
-/// Refusal without load figures.
+/// Creates a refusal without load figures.
 fn refusal(reason: Reason, retry_ms: u64, detail: impl Into<String>) -> Refusal {
     Refusal {
         reason,
@@ -73,25 +73,25 @@
     }
 }
 
-/// Data frames of a whole body, and the end.
-fn whole_frames(state: &State, body: &[u8]) -> Vec<Frame> {
+/// Data frames of a whole body, and the end frame.
+fn body_frames(state: &State, body: &[u8]) -> Vec<Frame> {
     let data = |piece: &[u8]| Frame::Data {
         bytes: piece.to_vec(),
     };
-    let mut frames: Vec<Frame> = body.chunks(PIECE).map(data).collect();
+    let mut frames: Vec<Frame> = body.chunks(MAX_DATA_BYTES).map(data).collect();
     frames.push(Frame::End {
-        load: state.figures(),
+        load: state.load_figures(),
     });
     frames
 }
 
 impl State {
-    fn figures(&self) -> Option<pumicecleat_types::LoadFigures> {
+    fn load_figures(&self) -> Option<pumicecleat_types::LoadFigures> {
         self.work().map(|w| w.dispatcher.figures())
     }
 
-    /// Frame of a refusal, with figures, counted and logged.
-    fn refused(&self, head: &RunHead, refusal: Refusal) -> Frame {
+    /// Counts and logs a refusal, and returns its frame with the load figures.
+    fn refusal_frame(&self, head: &RunHead, refusal: Refusal) -> Frame {
         use pumicecleat_ops::{events, field};
         self.metrics.refused.inc();
         let reason = format!("{:?}", refusal.reason);
@@ -104,23 +104,23 @@
         ];
         self.log.emit(&events::RUN_REFUSED, &fields);
         Frame::Refused(Refusal {
-            load: self.figures(),
+            load: self.load_figures(),
             ..refusal
         })
     }
 
-    /// Frame of a broken answer, counted and logged.
-    fn broken(&self, head: &RunHead, ran: Ran, step: &str, detail: &str) -> Frame {
+    /// Counts and logs a broken attempt, and returns its frame.
+    fn broken_frame(&self, head: &RunHead, ran: Ran, step: &str, detail: &str) -> Frame {
         use pumicecleat_ops::{events, field};
         self.metrics.broken.inc();
         let target = target_name(&head.target);
-        let told = format!("{ran:?}").to_lowercase();
+        let ran_name = format!("{ran:?}").to_lowercase();
         let fields = [
             field("request", &head.request),
             field("attempt", head.attempt),
             field("target", &target),
             field("step", step),
-            field("ran", &told),
+            field("ran", &ran_name),
             field("error", detail),
         ];
         self.log.emit(&events::RUN_BROKEN, &fields);
--- a/crates/side/src/run/model/mod.rs
+++ b/crates/side/src/run/model/mod.rs
@@ -1,6 +1,7 @@
-//! An attempt at a model engine: queued, sent, and its answer taken whole or passed on.
+//! An attempt at a model engine: queued, sent, and its answer read whole or passed on as a stream.
 //!
-//! `whole` reads answers that are not streamed, and errors; `relay` passes a stream's events on.
+//! `whole` reads answers that are not streamed, and error answers; `relay` passes on the events of
+//! a stream.
 
 mod relay;
 mod whole;
@@ -18,7 +19,7 @@
 
 use relay::Relay;
 
-use super::{Frames, RETRY_MS, refusal};
+use super::{DEFAULT_RETRY_MS, Frames, refusal};
 use crate::dispatch::{Decision, JobSpec, Ticket};
 use crate::state::{State, Work};
 
@@ -30,11 +31,11 @@
     lora: Lora,
     request: RunRequest,
 ) -> Frames {
-    // Boxed, as each frame would move it twice.
+    // Boxed, as otherwise each frame would move it twice.
     let run = Box::new(ModelRun {
-        until: state.timer.now() + Millis(request.head.left_ms),
+        deadline: state.timer.now() + Millis(request.head.left_ms),
         guard: state.drain.enter(&request.head.request),
-        name: lora.engine_name(),
+        engine_name: lora.engine_name(),
         state,
         work,
         engine,
@@ -44,7 +45,7 @@
         ended: false,
     });
     Box::pin(stream::unfold(run, |mut run| async {
-        let frame = run.next().await?;
+        let frame = run.next_frame().await?;
         Some((frame, run))
     }))
 }
@@ -56,10 +57,10 @@
     request: RunRequest,
     lora: Lora,
     /// Engine name of the adapter and version.
-    name: String,
-    until: Millis,
+    engine_name: String,
+    deadline: Millis,
     step: Step,
-    /// The last frame was given.
+    /// Whether the last frame was returned.
     ended: bool,
     #[allow(dead_code, reason = "held until the run ends")]
     guard: DrainGuard,
@@ -68,33 +69,34 @@
 enum Step {
     Start,
     Relay(Box<Relay>),
-    Rest(VecDeque<Frame>),
-    Over,
+    /// Frames that are still to be returned.
+    Remaining(VecDeque<Frame>),
+    Done,
 }
 
 impl ModelRun {
-    /// Next frame, or `None` after the last.
-    async fn next(&mut self) -> Option<Frame> {
+    /// Next frame, or `None` after the last one.
+    async fn next_frame(&mut self) -> Option<Frame> {
         let frame = self.advance().await;
         self.ended = !matches!(frame, Some(Frame::Head { .. } | Frame::Data { .. }));
         frame
     }
 
     async fn advance(&mut self) -> Option<Frame> {
-        match std::mem::replace(&mut self.step, Step::Over) {
+        match std::mem::replace(&mut self.step, Step::Done) {
             Step::Start => Some(self.begin().await),
             Step::Relay(relay) => Some(self.relay(relay).await),
-            Step::Rest(mut frames) => {
+            Step::Remaining(mut frames) => {
                 let frame = frames.pop_front()?;
-                self.step = Step::Rest(frames);
+                self.step = Step::Remaining(frames);
                 Some(frame)
             }
-            Step::Over => None,
+            Step::Done => None,
         }
     }
 
     async fn begin(&mut self) -> Frame {
-        let mut ticket = match self.queue().await {
+        let mut ticket = match self.enqueue().await {
             Ok(ticket) => ticket,
             Err(frame) => return frame,
         };
@@ -105,73 +107,75 @@
             body: Bytes::from(std::mem::take(&mut self.request.body)),
             stream: head.stream,
         };
-        match self.engine.chat(call, self.left()).await {
-            Ok(answer) => self.open(ticket, answer).await,
-            Err(e) => self.fail_call(&mut ticket, &e),
+        match self.engine.chat(call, self.time_left()).await {
+            Ok(answer) => self.begin_answer(ticket, answer).await,
+            Err(e) => self.call_failed(&mut ticket, &e),
         }
     }
 
-    async fn queue(&self) -> Result<Ticket, Frame> {
+    /// Queues the request and waits until it may be sent.
+    async fn enqueue(&self) -> Result<Ticket, Frame> {
         let head = &self.request.head;
         let spec = JobSpec {
             lora: Some(&self.lora),
             caller: head.caller.as_str(),
-            claim: self.state.claim_of(head),
+            claim: self.state.caller_claim(head),
             priority: head.priority,
             time_left: Millis(head.left_ms),
             tokens: self.state.lengths.expect(head.tokens),
         };
-        let from = self.state.timer.now();
+        let queued_at = self.state.timer.now();
         let submitted = self.work.dispatcher.submit(&spec);
-        let mut ticket = submitted.map_err(|g| self.give_up(g.reason, g.retry_after))?;
-        let word = ticket.wait().await;
-        let waited = self.state.timer.now().since(from);
+        let mut ticket = submitted.map_err(|r| self.refuse_job(r.reason, r.retry_after))?;
+        let decision = ticket.wait().await;
+        let waited = self.state.timer.now().since(queued_at);
         self.state.metrics.wait_seconds.observe(waited.as_secs());
-        match word {
+        match decision {
             Decision::Send => Ok(ticket),
-            Decision::Refused(g) => Err(self.give_up(g.reason, g.retry_after)),
+            Decision::Refused(r) => Err(self.refuse_job(r.reason, r.retry_after)),
         }
     }
 
-    fn give_up(&self, reason: Reason, retry: Millis) -> Frame {
-        let refusal = refusal(reason, retry.0, "the queue can't meet it");
-        self.state.refused(&self.request.head, refusal)
+    fn refuse_job(&self, reason: Reason, retry_after: Millis) -> Frame {
+        let refusal = refusal(reason, retry_after.0, "the queue can't meet it");
+        self.state.refusal_frame(&self.request.head, refusal)
     }
 
-    fn fail_call(&self, ticket: &mut Ticket, error: &CallError) -> Frame {
+    fn call_failed(&self, ticket: &mut Ticket, error: &CallError) -> Frame {
         let detail = error.to_string();
         match error.sent() {
             Sent::No => {
                 ticket.finish(false);
-                let refusal = refusal(Reason::UpstreamDown, RETRY_MS, detail);
-                self.state.refused(&self.request.head, refusal)
+                let refusal = refusal(Reason::UpstreamDown, DEFAULT_RETRY_MS, detail);
+                self.state.refusal_frame(&self.request.head, refusal)
             }
-            // The ticket is dropped unfinished: the engine may still run it for a moment.
-            Sent::Maybe => self.broken(Ran::Unknown, "call engine", &detail),
+            // The ticket is dropped unfinished: the engine may still run the request for a moment.
+            Sent::Maybe => self.broken_frame(Ran::Unknown, "call engine", &detail),
         }
     }
 
-    fn broken(&self, ran: Ran, step: &str, detail: &str) -> Frame {
-        self.state.broken(&self.request.head, ran, step, detail)
+    fn broken_frame(&self, ran: Ran, step: &str, detail: &str) -> Frame {
+        self.state
+            .broken_frame(&self.request.head, ran, step, detail)
     }
 
-    fn head(&self, status: u16, kind: &str) -> Frame {
+    fn head_frame(&self, status: u16, content_type: &str) -> Frame {
         Frame::Head {
             request: self.request.head.request.clone(),
             attempt: self.request.head.attempt,
-            model: Some(self.name.clone()),
+            model: Some(self.engine_name.clone()),
             status,
             headers: vec![HeaderField {
                 name: "content-type".to_owned(),
-                value: kind.to_owned(),
+                value: content_type.to_owned(),
             }],
             replayed: false,
         }
     }
 
-    fn left(&self) -> Duration {
-        let left = self.until.since(self.state.timer.now());
-        Duration::from_millis(left.0)
+    fn time_left(&self) -> Duration {
+        let time_left = self.deadline.since(self.state.timer.now());
+        Duration::from_millis(time_left.0)
     }
 }
 
@@ -185,7 +189,7 @@
         let fields = [
             field("request", &head.request),
             field("attempt", head.attempt),
-            field("target", &self.name),
+            field("target", &self.engine_name),
         ];
         self.state.log.emit(&events::RUN_CANCELLED, &fields);
     }
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -1,7 +1,7 @@
 //! An attempt at a plain service.
 //!
-//! An idempotent call lives as long as its entry waits. Any other is run by a task of its own, so
-//! that a call once sent has its outcome recorded; one whose entry left before that is not sent.
+//! An idempotent call runs only while its entry waits. Any other call runs in a task of its own, so
+//! that its outcome is recorded once it is sent; if its entry disconnects before, it is not sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 };
 use pumicecleat_upstream::{CallError, Service, ServiceAnswer, ServiceCall};
 
-use super::{Frames, RETRY_MS, refusal, whole_frames};
+use super::{DEFAULT_RETRY_MS, Frames, body_frames, refusal};
 use crate::dispatch::{Decision, JobSpec, Ticket};
 use crate::keys::{Claim, KeyCall, Keys, PartGuard};
 use crate::state::{State, Work};
 
-/// Longest body that is recorded whole with an outcome, bytes.
-const RECORDED: usize = 16 << 10;
+/// Longest body that is recorded whole with an outcome.
+const MAX_RECORDED_BYTES: usize = 16 << 10;
 
-/// Where a call goes.
-pub(super) struct Place {
+/// Service that is called, and the keys of its calls.
+pub(super) struct Destination {
     pub(super) service: Rc<dyn Service>,
     pub(super) keys: Keys,
 }
@@ -34,44 +34,44 @@
 pub(super) fn run(
     state: Rc<State>,
     work: Work,
-    place: Place,
+    destination: Destination,
     target: ServiceTarget,
     request: RunRequest,
 ) -> Frames {
     let idempotent = target.idempotent;
     let run = ServiceRun {
-        until: state.timer.now() + Millis(request.head.left_ms),
+        deadline: state.timer.now() + Millis(request.head.left_ms),
         state,
         work,
-        place,
+        destination,
         target,
         request,
     };
     if idempotent {
-        let frames = async move { run.once(None).await };
+        let frames = async move { run.run_to_end(None).await };
         return Box::pin(stream::once(frames).map(stream::iter).flatten());
     }
-    Box::pin(stream::once(detach(run)).map(stream::iter).flatten())
+    Box::pin(stream::once(run_detached(run)).map(stream::iter).flatten())
 }
 
-/// Runs in a task of its own, and waits for its frames.
-async fn detach(run: ServiceRun) -> Vec<Frame> {
+/// Runs the call in a task of its own, and waits for its frames.
+async fn run_detached(run: ServiceRun) -> Vec<Frame> {
     let (sender, frames) = async_channel::bounded(1);
     let state = Rc::clone(&run.state);
     let head = run.request.head.clone();
     monoio::spawn(async move {
-        let frames = run.once(Some(&sender)).await;
-        // The entry may have left; what came of the call is recorded with its key.
+        let frames = run.run_to_end(Some(&sender)).await;
+        // If the entry has disconnected, the outcome is still recorded with the key.
         let _ = sender.try_send(frames);
     });
     match frames.recv().await {
         Ok(frames) => frames,
-        Err(_) => vec![state.broken(&head, Ran::Unknown, "run call", "its task ended")],
+        Err(_) => vec![state.broken_frame(&head, Ran::Unknown, "run call", "its task ended")],
     }
 }
 
-/// A call's key, and the hold on its part.
-struct Keyed {
+/// Key of a call, and the guard of the key's part.
+struct CallKey {
     key: Key,
     part: PartGuard,
 }
@@ -79,39 +79,46 @@
 struct ServiceRun {
     state: Rc<State>,
     work: Work,
-    place: Place,
+    destination: Destination,
     target: ServiceTarget,
     request: RunRequest,
-    until: Millis,
+    deadline: Millis,
 }
 
 impl ServiceRun {
-    /// Frames of the whole answer; `entry` is closed once the entry has left.
-    async fn once(&self, entry: Option<&Sender<Vec<Frame>>>) -> Vec<Frame> {
+    /// Runs the call, and returns the frames of the whole answer. `entry` is closed once the entry
+    /// has disconnected.
+    async fn run_to_end(&self, entry: Option<&Sender<Vec<Frame>>>) -> Vec<Frame> {
         let _guard = self.state.drain.enter(&self.request.head.request);
-        // A part is opened before the call takes a place in the queue that others could use.
-        let keyed = match self.hold().await {
-            Ok(keyed) => keyed,
-            Err(refusal) => return self.refused(refusal),
+        // The part is opened before the call is queued, as its place in the queue could be used by
+        // others meanwhile.
+        let call_key = match self.acquire_key().await {
+            Ok(call_key) => call_key,
+            Err(refusal) => return self.refusal_frames(refusal),
         };
-        let mut ticket = match self.queue().await {
+        let mut ticket = match self.enqueue().await {
             Ok(ticket) => ticket,
-            Err(refusal) => return self.refused(refusal),
+            Err(refusal) => return self.refusal_frames(refusal),
         };
         if entry.is_some_and(Sender::is_closed) {
             ticket.finish(false);
-            return self.refused(refusal(Reason::Deadline, RETRY_MS, "its entry left"));
+            return self.refusal_frames(refusal(
+                Reason::Deadline,
+                DEFAULT_RETRY_MS,
+                "its entry left",
+            ));
         }
-        let frames = match &keyed {
-            Some(keyed) => self.keyed(keyed, entry).await,
-            None => self.plain().await,
+        let frames = match &call_key {
+            Some(call_key) => self.run_keyed(call_key, entry).await,
+            None => self.run_plain().await,
         };
         ticket.finish(true);
         frames
     }
 
-    /// The key, and the part of the service's keys that it is in, of a call with one.
-    async fn hold(&self) -> Result<Option<Keyed>, Refusal> {
+    /// Key of the call and the guard of the key's part; `None` if the call is idempotent or has no
+    /// key.
+    async fn acquire_key(&self) -> Result<Option<CallKey>, Refusal> {
         let head = &self.request.head;
         let text = head.key.as_deref().filter(|_| !self.target.idempotent);
         let Some(text) = text else {
@@ -119,54 +126,59 @@
         };
         let key = Key::parse(&head.caller, text);
         let key = key.map_err(|e| refusal(Reason::KeyInvalid, 0, e.to_string()))?;
-        let keys = &self.place.keys;
+        let keys = &self.destination.keys;
         let declared = self.state.config.pool(self.state.pool());
         if declared.is_none_or(|p| p.parts() != keys.parts()) {
             let detail = "this side deals the keys out by another declaration";
-            return Err(refusal(Reason::StaleConfig, RETRY_MS, detail));
+            return Err(refusal(Reason::StaleConfig, DEFAULT_RETRY_MS, detail));
         }
         let part = keys.acquire_part(&key, Millis(head.left_ms)).await;
         let detail = "its part of the keys is not open here";
-        let part = part.map_err(|reason| refusal(reason, RETRY_MS, detail))?;
-        Ok(Some(Keyed { key, part }))
+        let part = part.map_err(|reason| refusal(reason, DEFAULT_RETRY_MS, detail))?;
+        Ok(Some(CallKey { key, part }))
     }
 
-    async fn queue(&self) -> Result<Ticket, Refusal> {
+    /// Queues the call and waits until it may be sent.
+    async fn enqueue(&self) -> Result<Ticket, Refusal> {
         let head = &self.request.head;
         let spec = JobSpec {
             lora: None,
             caller: head.caller.as_str(),
-            claim: self.state.claim_of(head),
+            claim: self.state.caller_claim(head),
             priority: head.priority,
-            time_left: self.until.since(self.state.timer.now()),
+            time_left: self.deadline.since(self.state.timer.now()),
             tokens: 1,
         };
         let detail = "the queue can't meet it";
         let submitted = self.work.dispatcher.submit(&spec);
-        let mut ticket = submitted.map_err(|g| refusal(g.reason, g.retry_after.0, detail))?;
+        let mut ticket = submitted.map_err(|r| refusal(r.reason, r.retry_after.0, detail))?;
         match ticket.wait().await {
             Decision::Send => Ok(ticket),
-            Decision::Refused(g) => Err(refusal(g.reason, g.retry_after.0, detail)),
+            Decision::Refused(r) => Err(refusal(r.reason, r.retry_after.0, detail)),
         }
     }
 
-    /// A call without a key: sent once.
-    async fn plain(&self) -> Vec<Frame> {
+    /// Sends a call without a key, once.
+    async fn run_plain(&self) -> Vec<Frame> {
         match self.send().await {
-            Ok(answer) => self.answered(answer.status, answer.headers, &answer.body, false),
-            Err(e) => vec![self.failed(&e)],
+            Ok(answer) => self.answer_frames(answer.status, answer.headers, &answer.body, false),
+            Err(e) => vec![self.failure_frame(&e)],
         }
     }
 
-    /// A call with a key: sent only if its intent is the first in the log.
-    async fn keyed(&self, keyed: &Keyed, entry: Option<&Sender<Vec<Frame>>>) -> Vec<Frame> {
+    /// Runs a call with a key: it is sent only if its intent is the first in the log.
+    async fn run_keyed(
+        &self,
+        call_key: &CallKey,
+        entry: Option<&Sender<Vec<Frame>>>,
+    ) -> Vec<Frame> {
         let head = &self.request.head;
-        let Keyed { key, part } = keyed;
+        let CallKey { key, part } = call_key;
         let call = KeyCall {
             request: &head.request,
             key,
             digest: Digest::of_call(&self.target.method, &self.target.path, &self.request.body),
-            time_left: self.until.since(self.state.timer.now()),
+            time_left: self.deadline.since(self.state.timer.now()),
         };
         match part.claim(&call).await {
             Claim::Won(won) => {
@@ -174,14 +186,20 @@
                     return self.withdraw(part, &won);
                 }
                 match part.sent(won) {
-                    Ok(sent) => self.send_won(keyed, sent).await,
-                    Err(e) => self.refused(refusal(Reason::Deadline, RETRY_MS, e.to_string())),
+                    Ok(sent) => self.send_won(call_key, sent).await,
+                    Err(e) => self.refusal_frames(refusal(
+                        Reason::Deadline,
+                        DEFAULT_RETRY_MS,
+                        e.to_string(),
+                    )),
                 }
             }
             Claim::Replay(outcome) => self.replay(&outcome),
-            Claim::Refused(reason) => {
-                self.refused(refusal(reason, RETRY_MS, "decided by its idempotency key"))
-            }
+            Claim::Refused(reason) => self.refusal_frames(refusal(
+                reason,
+                DEFAULT_RETRY_MS,
+                "decided by its idempotency key",
+            )),
         }
     }
 
@@ -191,37 +209,37 @@
         } else {
             Reason::KeyUnknown
         };
-        self.refused(refusal(reason, RETRY_MS, "its entry left"))
+        self.refusal_frames(refusal(reason, DEFAULT_RETRY_MS, "its entry left"))
     }
 
-    async fn send_won(&self, keyed: &Keyed, sent: pumicecleat_ledger::Sent) -> Vec<Frame> {
+    async fn send_won(&self, call_key: &CallKey, sent: pumicecleat_ledger::Sent) -> Vec<Frame> {
         let request = &self.request.head.request;
-        let Keyed { key, part } = keyed;
+        let CallKey { key, part } = call_key;
         match self.send().await {
             Ok(answer) => {
                 let headers = answer.headers.clone();
-                let record = Answer::new(answer.status, headers, &answer.body, RECORDED);
+                let record = Answer::new(answer.status, headers, &answer.body, MAX_RECORDED_BYTES);
                 part.finish(request, key, sent, Outcome::Answer(record));
-                self.answered(answer.status, answer.headers, &answer.body, false)
+                self.answer_frames(answer.status, answer.headers, &answer.body, false)
             }
-            Err(e) if e.sent() == Sent::No => self.take_back(part, sent, &e),
+            Err(e) if e.sent() == Sent::No => self.void_unsent(part, sent, &e),
             Err(e) => {
                 part.finish(request, key, sent, Outcome::Unknown);
-                vec![self.unknown(&e)]
+                vec![self.unknown_outcome_frame(&e)]
             }
         }
     }
 
-    fn take_back(
+    fn void_unsent(
         &self,
         part: &PartGuard,
         sent: pumicecleat_ledger::Sent,
         error: &CallError,
     ) -> Vec<Frame> {
         if part.unsent(sent) {
-            return vec![self.failed(error)];
+            return vec![self.failure_frame(error)];
         }
-        vec![self.unknown(error)]
+        vec![self.unknown_outcome_frame(error)]
     }
 
     fn replay(&self, outcome: &Outcome) -> Vec<Frame> {
@@ -229,22 +247,24 @@
         match outcome {
             Outcome::Answer(answer) => match &answer.body {
                 Body::Whole(body) => {
-                    self.answered(answer.status, answer.headers.clone(), body, true)
+                    self.answer_frames(answer.status, answer.headers.clone(), body, true)
                 }
-                Body::Large { bytes, .. } => vec![self.not_kept(*bytes)],
+                Body::Large { bytes, .. } => vec![self.unrecorded_answer(*bytes)],
             },
-            Outcome::Unknown => {
-                self.refused(refusal(Reason::KeyUnknown, RETRY_MS, "outcome is unknown"))
-            }
+            Outcome::Unknown => self.refusal_frames(refusal(
+                Reason::KeyUnknown,
+                DEFAULT_RETRY_MS,
+                "outcome is unknown",
+            )),
         }
     }
 
-    /// An earlier attempt ran and was answered, but too long an answer is not recorded: nothing
-    /// could be passed on as whole.
-    fn not_kept(&self, bytes: u64) -> Frame {
+    /// Frame for a repeat of a call that was answered with a body too long to be recorded: there is
+    /// no whole answer to pass on.
+    fn unrecorded_answer(&self, bytes: u64) -> Frame {
         let detail = format!("an earlier attempt ran; its answer of {bytes} bytes was not kept");
         self.state
-            .broken(&self.request.head, Ran::Yes, "replay answer", &detail)
+            .broken_frame(&self.request.head, Ran::Yes, "replay answer", &detail)
     }
 
     async fn send(&self) -> Result<ServiceAnswer, CallError> {
@@ -258,28 +278,28 @@
             body: Bytes::copy_from_slice(&self.request.body),
             key: head.key.clone(),
         };
-        self.place.service.call(&call, self.left()).await
+        self.destination.service.call(&call, self.time_left()).await
     }
 
-    fn failed(&self, error: &CallError) -> Frame {
+    fn failure_frame(&self, error: &CallError) -> Frame {
         if error.sent() == Sent::No {
-            let refusal = refusal(Reason::UpstreamDown, RETRY_MS, error.to_string());
-            return self.state.refused(&self.request.head, refusal);
+            let refusal = refusal(Reason::UpstreamDown, DEFAULT_RETRY_MS, error.to_string());
+            return self.state.refusal_frame(&self.request.head, refusal);
         }
-        self.unknown(error)
+        self.unknown_outcome_frame(error)
     }
 
-    fn unknown(&self, error: &CallError) -> Frame {
+    fn unknown_outcome_frame(&self, error: &CallError) -> Frame {
         let detail = error.to_string();
         self.state
-            .broken(&self.request.head, Ran::Unknown, "call service", &detail)
+            .broken_frame(&self.request.head, Ran::Unknown, "call service", &detail)
     }
 
-    fn refused(&self, refusal: Refusal) -> Vec<Frame> {
-        vec![self.state.refused(&self.request.head, refusal)]
+    fn refusal_frames(&self, refusal: Refusal) -> Vec<Frame> {
+        vec![self.state.refusal_frame(&self.request.head, refusal)]
     }
 
-    fn answered(
+    fn answer_frames(
         &self,
         status: u16,
         headers: Vec<HeaderField>,
@@ -295,12 +315,12 @@
             headers,
             replayed,
         }];
-        frames.extend(whole_frames(&self.state, body));
+        frames.extend(body_frames(&self.state, body));
         frames
     }
 
-    fn left(&self) -> Duration {
-        let left = self.until.since(self.state.timer.now());
-        Duration::from_millis(left.0)
+    fn time_left(&self) -> Duration {
+        let time_left = self.deadline.since(self.state.timer.now());
+        Duration::from_millis(time_left.0)
     }
 }
