--- a/crates/side/src/dispatch/inputs.rs
+++ b/crates/side/src/dispatch/inputs.rs
@@ -44,7 +44,7 @@
         self.poll();
     }
 
-    /// Resets the scheduler after a restart of the side or its engine: `resident` lists the resident
+    /// Resets the state after a restart of the side or its engine. `resident` lists the resident
     /// adapters, `unaccounted` those of requests in flight that this side did not send.
     pub(crate) fn reset(&self, resident: &[Lora], unaccounted: &[Lora]) {
         let now = self.now();
--- a/crates/side/src/dispatch/mod.rs
+++ b/crates/side/src/dispatch/mod.rs
@@ -176,7 +176,8 @@
             Action::Load(lora) => Order::Load(self.lora_at(lora)),
             Action::Unload(lora) => Order::Unload(self.lora_at(lora)),
         };
-        // The receiver lives as long as the dispatcher; a failed send at process exit loses nothing.
+        // The receiver lives as long as the dispatcher; a failed send at the process's end loses
+        // nothing.
         let _ = self.state.orders.try_send(order);
     }
 
