--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -43,7 +43,7 @@
     async fn carry_out(&self, order: Order) {
         match order {
             Order::Bid(bid) => self.bid(&bid).await,
-            Order::GiveBack => self.release_turn().await,
+            Order::ReleaseTurn => self.release_turn().await,
             Order::Load(lora) => self.load(&lora).await,
             Order::Unload(lora) => self.unload(&lora).await,
         }
@@ -59,7 +59,7 @@
         };
         let turn = self.request_turn(&message).await;
         let seed = format!("{} {}", self.state.vm(), self.state.timer.now().0);
-        self.dispatcher.turn(turn, xxh3_64(seed.as_bytes()));
+        self.dispatcher.bid_ended(turn, xxh3_64(seed.as_bytes()));
     }
 
     async fn release_turn(&self) {
--- a/crates/side/src/peer.rs
+++ b/crates/side/src/peer.rs
@@ -54,7 +54,9 @@
 }
 
 fn handle_call(state: &State) -> LoadCalled {
-    let bids = state.backend().is_some_and(|b| b.dispatcher.called());
+    let bids = state
+        .backend()
+        .is_some_and(|b| b.dispatcher.bid_requested());
     LoadCalled { bids }
 }
 
--- a/crates/side/src/tune.rs
+++ b/crates/side/src/tune.rs
@@ -62,7 +62,9 @@
             return;
         };
         if let Some(pool) = self.config.pool(self.pool()) {
-            backend.dispatcher.retune(self.scheduler_options(&pool));
+            backend
+                .dispatcher
+                .set_options(self.scheduler_options(&pool));
         }
         let Upstream::Service(_, keys) = &backend.upstream else {
             return;
--- a/crates/side/src/watch.rs
+++ b/crates/side/src/watch.rs
@@ -179,7 +179,7 @@
             watched.unaccounted.drain(..).partition(is_running);
         watched.unaccounted = in_use;
         for lora in &unused {
-            backend.dispatcher.release(lora);
+            backend.dispatcher.unaccounted_finished(lora);
         }
         Ok(())
     }
