--- a/crates/cli/src/demo/world.rs
+++ b/crates/cli/src/demo/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicecleat_config::{Source, parse};
-use pumicecleat_entry::{Entry, EntrySettings, Parts};
+use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 use pumicecleat_net::Timer;
 use pumicecleat_ops::{Level, Log, LogOptions, Settings, Stop};
 use pumicecleat_side::{Side, SideSettings};
@@ -168,7 +168,7 @@
     ];
     let settings = EntrySettings::read("demo", &args, &BTreeMap::new());
     let settings = settings.map_err(|e| fault("settings of entry", &format!("{e:?}")))?;
-    let parts = Parts::over_http(&settings, timer);
+    let parts = EntryContext::over_http(&settings, timer);
     let entry = Entry::start(&settings, &parts, timer, quiet, stop);
     entry.map_err(|e| fault("start entry", &e))
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,14 +1,14 @@
 //! The process that meets callers: identity, choice of upstream, retry, and the whole answer.
 //!
 //! [`Entry::start`] puts an entry together on this thread's loop, from its [`EntrySettings`] and
-//! the platform's [`Parts`]; the daemon only reads settings and calls it.
+//! an [`EntryContext`]; the daemon only reads settings and calls it.
 //!
 //! `caller` takes requests, `request` makes attempts until one is whole, `stream` passes streams on
 //! and mends them, `directory` chooses among sides, `config` follows the log, and `peer` serves
 //! sides and other entries.
 //!
 //! ```no_run
-//! use pumicecleat_entry::{Entry, EntrySettings, Parts};
+//! use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 //! use pumicecleat_net::{Timer, run};
 //! use pumicecleat_ops::{Log, Settings, Stop};
 //!
@@ -17,8 +17,8 @@
 //! let end = run(async {
 //!     let timer = Timer::start();
 //!     let stop = Stop::listen().unwrap();
-//!     let parts = Parts::over_http(&settings, &timer);
-//!     let entry = Entry::start(&settings, &parts, &timer, &log, &stop).unwrap();
+//!     let context = EntryContext::over_http(&settings, &timer);
+//!     let entry = Entry::start(&settings, &context, &timer, &log, &stop).unwrap();
 //!     entry.run().await
 //! });
 //! assert!(end.unwrap().cut().is_empty());
@@ -39,4 +39,4 @@
 pub use config::ConfigDump;
 pub use directory::SideDump;
 pub use settings::EntrySettings;
-pub use start::{Addresses, Entry, EntryDump, OrderDump, Parts, StartError};
+pub use start::{Addresses, Entry, EntryContext, EntryDump, OrderDump, StartError};
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -3,7 +3,7 @@
 
 use std::process::ExitCode;
 
-use pumicecleat_entry::{Entry, EntrySettings, Parts};
+use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 use pumicecleat_net::{Timer, run};
 use pumicecleat_ops::{DrainEnd, Log, Settings, Stop, events, field};
 
@@ -40,9 +40,9 @@
             return None;
         }
     };
-    let parts = Parts::over_http(settings, &timer);
+    let context = EntryContext::over_http(settings, &timer);
     // A listener that can't be bound has logged why.
-    let entry = Entry::start(settings, &parts, &timer, log, &stop).ok()?;
+    let entry = Entry::start(settings, &context, &timer, log, &stop).ok()?;
     let at = entry.addresses();
     println!(
         "listening {} peers {} admin {}",
--- a/crates/entry/src/start/mod.rs
+++ b/crates/entry/src/start/mod.rs
@@ -53,11 +53,11 @@
 
 /// The platform as an entry needs it.
 #[derive(Clone)]
-pub struct Parts {
+pub struct EntryContext {
     /// Log service.
-    pub records: Rc<dyn Records>,
+    pub log_service: Rc<dyn Records>,
     /// VM list, if there is one.
-    pub vms: Option<Rc<dyn Vms>>,
+    pub vm_list: Option<Rc<dyn Vms>>,
 }
 
 /// An entry that can't start.
@@ -81,7 +81,7 @@
     },
 }
 
-impl Parts {
+impl EntryContext {
     /// The platform over HTTP.
     #[must_use]
     pub fn over_http(settings: &EntrySettings, timer: &Timer) -> Self {
@@ -92,8 +92,8 @@
             Rc::new(HttpVms::new(&client, Peers::parse(&list), PLATFORM_SPAN)) as Rc<dyn Vms>
         });
         Self {
-            records: Rc::new(log),
-            vms,
+            log_service: Rc::new(log),
+            vm_list: vms,
         }
     }
 }
@@ -105,7 +105,7 @@
     /// [`StartError`] if a listener can't be bound, or descriptors are lacking.
     pub fn start(
         settings: &EntrySettings,
-        parts: &Parts,
+        context: &EntryContext,
         timer: &Timer,
         log: &Log,
         stop: &Stop,
@@ -120,7 +120,7 @@
             admin: admin.address,
         };
         let options = options(settings, addresses.peers);
-        let shared = share(settings, options, parts, timer, log, stop, &metrics)?;
+        let shared = share(settings, options, context, timer, log, stop, &metrics)?;
         let state = Rc::new(dump::State::new(&shared));
         let handler = Admin::new(&metrics, &shared.readiness, state);
         let admin = serve(admin, Rc::new(handler), ServerOptions::default(), timer);
@@ -137,7 +137,7 @@
         };
         let peers = serve(peers, handler, limits, timer);
         shared.readiness.hold(LISTENERS);
-        spawn_loops(&shared, parts);
+        spawn_loops(&shared, context);
         let servers = running::Servers {
             callers,
             peers,
@@ -172,7 +172,7 @@
 fn share(
     settings: &EntrySettings,
     options: Options,
-    parts: &Parts,
+    context: &EntryContext,
     timer: &Timer,
     log: &Log,
     stop: &Stop,
@@ -190,7 +190,7 @@
         client: Client::new_ext(ClientOptions::default(), timer),
         runs: Client::new_ext(run_options(), timer),
         log: log.clone(),
-        records: Rc::clone(&parts.records),
+        records: Rc::clone(&context.log_service),
         current: Current::default(),
         directory: RefCell::new(Directory::new(seed)),
         budget: RefCell::new(RetryBudget::new_ext(budget)),
@@ -248,12 +248,12 @@
     server
 }
 
-fn spawn_loops(shared: &Rc<Shared>, parts: &Parts) {
+fn spawn_loops(shared: &Rc<Shared>, context: &EntryContext) {
     monoio::spawn(config::follow(Rc::clone(shared)));
     monoio::spawn(config::append_snapshots(Rc::clone(shared)));
     monoio::spawn(watch_silence(Rc::clone(shared)));
     monoio::spawn(call_idle(Rc::clone(shared)));
-    if let Some(vms) = &parts.vms {
+    if let Some(vms) = &context.vm_list {
         monoio::spawn(follow_vms(Rc::clone(shared), Rc::clone(vms)));
     }
 }
--- a/crates/entry/tests/entry/config.rs
+++ b/crates/entry/tests/entry/config.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicecleat_config::{Fold, FoldEvent, Record};
-use pumicecleat_entry::{Entry, Parts};
+use pumicecleat_entry::{Entry, EntryContext};
 use pumicecleat_infra::{AppendError, Appended, Batch, Local, Log, ReadError};
 use pumicecleat_standin::LogFaults;
 use pumicecleat_types::{ConfigAsk, ConfigReply};
@@ -166,9 +166,9 @@
         log: world.records(),
         deaf: Cell::new(false),
     });
-    let parts = Parts {
-        records: deaf.clone(),
-        vms: None,
+    let parts = EntryContext {
+        log_service: deaf.clone(),
+        vm_list: None,
     };
     let started = world.start_with(&[], &parts);
     world.until(|| started.entry.is_ready()).await;
--- a/crates/entry/tests/entry/listed.rs
+++ b/crates/entry/tests/entry/listed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use pumicecleat_entry::Parts;
+use pumicecleat_entry::EntryContext;
 use pumicecleat_infra::{HttpVms, Peers};
 use pumicecleat_standin::{VmList, VmListOptions};
 use pumicecleat_types::{VmEntry, VmRole, VmState};
@@ -77,9 +77,9 @@
             let list = VmList::start(options, &world.timer).unwrap();
             let peer = list.address.to_string();
             let vms = HttpVms::new(&world.client, Peers::parse(&peer), SPAN);
-            let parts = Parts {
-                records: world.records(),
-                vms: Some(Rc::new(vms)),
+            let parts = EntryContext {
+                log_service: world.records(),
+                vm_list: Some(Rc::new(vms)),
             };
             let started = world.start_with(&[], &parts);
             world.until(|| started.entry.is_ready()).await;
--- a/crates/entry/tests/entry/part.rs
+++ b/crates/entry/tests/entry/part.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_entry::Parts;
+use pumicecleat_entry::EntryContext;
 use pumicecleat_infra::{AppendError, Appended, Batch, Local, Log, ReadError};
 
 use crate::world::{World, case, config_with};
@@ -44,9 +44,9 @@
                 "[adapter.more]\nbase = 'magyar-7b'\nversion.v1.path = 'm'\n",
             ))
             .await;
-        let parts = Parts {
-            records: Rc::new(Broken(world.records())),
-            vms: None,
+        let parts = EntryContext {
+            log_service: Rc::new(Broken(world.records())),
+            vm_list: None,
         };
         let behind = world.start_with(&[], &parts);
         world.until(|| behind.entry.revision() == 1).await;
--- a/crates/entry/tests/entry/peers.rs
+++ b/crates/entry/tests/entry/peers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_entry::{EntryDump, Parts};
+use pumicecleat_entry::{EntryContext, EntryDump};
 use pumicecleat_infra::{Local, VmList, Vms, VmsError};
 use pumicecleat_net::post;
 use pumicecleat_types::{
@@ -152,9 +152,9 @@
         let world = World::new().await;
         let list = Rc::new(Listing::default());
         list.0.borrow_mut().push(upstream("side-1", VmState::Live));
-        let parts = Parts {
-            records: world.records(),
-            vms: Some(list.clone()),
+        let parts = EntryContext {
+            log_service: world.records(),
+            vm_list: Some(list.clone()),
         };
         let started = world.start_with(&[], &parts);
         world.until(|| started.entry.is_ready()).await;
--- a/crates/entry/tests/entry/stop.rs
+++ b/crates/entry/tests/entry/stop.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures_util::future::join;
-use pumicecleat_entry::Parts;
+use pumicecleat_entry::EntryContext;
 use pumicecleat_infra::{HttpVms, Peers};
 use pumicecleat_ops::DrainEnd;
 use pumicecleat_standin::{VmList, VmListOptions};
@@ -107,9 +107,9 @@
         let list = VmList::start(options, &world.timer).unwrap();
         let peers = Peers::parse(&list.address.to_string());
         let vms = HttpVms::new(&world.client, peers, Duration::from_secs(1));
-        let parts = Parts {
-            records: world.records(),
-            vms: Some(std::rc::Rc::new(vms)),
+        let parts = EntryContext {
+            log_service: world.records(),
+            vm_list: Some(std::rc::Rc::new(vms)),
         };
         let started = world.start_with(&[], &parts);
         world.until(|| started.stop.is_asked()).await;
--- a/crates/entry/tests/entry/world.rs
+++ b/crates/entry/tests/entry/world.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use pumicecleat_config::model::Config;
 use pumicecleat_config::{Change, ChangeId, Fold, Record, Source, hash_key, parse};
-use pumicecleat_entry::{Entry, EntrySettings, Parts};
+use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 use pumicecleat_infra::{HttpLog, Log as Records, Peers};
 use pumicecleat_net::{Client, ClientOptions, Timer, run};
 use pumicecleat_ops::{Level, Log, LogOptions, Settings, Stop};
@@ -145,15 +145,15 @@
 
     /// Starts an entry under further settings.
     pub(crate) fn start(&self, args: &[&str]) -> Started {
-        let parts = Parts {
-            records: self.records(),
-            vms: None,
+        let parts = EntryContext {
+            log_service: self.records(),
+            vm_list: None,
         };
         self.start_with(args, &parts)
     }
 
     /// Starts an entry on parts of the case's own.
-    pub(crate) fn start_with(&self, args: &[&str], parts: &Parts) -> Started {
+    pub(crate) fn start_with(&self, args: &[&str], parts: &EntryContext) -> Started {
         let settings = self.settings(args);
         let stop = Stop::by_hand();
         let log = quiet();
--- a/crates/measure/src/path/parts.rs
+++ b/crates/measure/src/path/parts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pumicecleat_config::{Change, ChangeId, Fold, Record, Source, parse};
-use pumicecleat_entry::{Entry, EntrySettings, Parts as EntryParts};
+use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 use pumicecleat_infra::{HttpLog, Log as Records, Peers};
 use pumicecleat_net::{Client, ClientOptions, Timer};
 use pumicecleat_ops::{Level, Log, LogOptions, Settings, Stop};
@@ -158,7 +158,7 @@
         &log,
     ];
     let settings = EntrySettings::read("entry", &args, &BTreeMap::new()).expect("settings");
-    let parts = EntryParts::over_http(&settings, &timer);
+    let parts = EntryContext::over_http(&settings, &timer);
     let stop = Stop::by_hand();
     let entry = Entry::start(&settings, &parts, &timer, &quiet(), &stop).expect("entry starts");
     while !entry.is_ready() {
--- a/crates/measure/src/slopes/world.rs
+++ b/crates/measure/src/slopes/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicecleat_config::{Change, ChangeId, Fold, Record};
-use pumicecleat_entry::{Entry, EntrySettings, Parts};
+use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 use pumicecleat_infra::{HttpLog, Log as Records, Peers};
 use pumicecleat_net::{Client, ClientOptions, Timer};
 use pumicecleat_ops::{Level, Log, LogOptions, Settings, Stop};
@@ -92,7 +92,7 @@
     ]
     .concat();
     let settings = EntrySettings::read("entry", &args, &BTreeMap::new()).expect("settings");
-    let parts = Parts::over_http(&settings, &timer);
+    let parts = EntryContext::over_http(&settings, &timer);
     let stop = Stop::by_hand();
     let entry = Entry::start(&settings, &parts, &timer, &quiet(), &stop).expect("entry starts");
     while !entry.is_ready() {
