--- a/crates/entry/src/fault.rs
+++ b/crates/entry/src/api_error.rs
@@ -8,11 +8,11 @@
 use serde::Serialize;
 
 /// Span to come back after, where nothing better is known.
-pub(crate) const RETRY: Millis = Millis(1_000);
+pub(crate) const DEFAULT_RETRY_AFTER: Millis = Millis(1_000);
 
 /// Final error answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Fault {
+pub(crate) struct ApiError {
     /// HTTP status.
     pub(crate) status: u16,
     /// Stable code.
@@ -22,7 +22,7 @@
     /// Whether the request ran.
     pub(crate) ran: Ran,
     /// When to come back.
-    pub(crate) retry: Option<Millis>,
+    pub(crate) retry_after: Option<Millis>,
 }
 
 #[derive(Serialize)]
@@ -40,42 +40,46 @@
     ran: Ran,
 }
 
-impl Fault {
+impl ApiError {
     /// Request that can't be right whatever the load: not run.
-    pub(crate) fn bad(status: u16, code: &'static str, message: impl Into<String>) -> Self {
+    pub(crate) fn rejected(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
             code,
             message: message.into(),
             ran: Ran::No,
-            retry: None,
+            retry_after: None,
         }
     }
 
     /// Request that was not run now and may be met later.
-    pub(crate) fn later(code: &'static str, message: impl Into<String>, retry: Millis) -> Self {
+    pub(crate) fn unavailable(
+        code: &'static str,
+        message: impl Into<String>,
+        retry: Millis,
+    ) -> Self {
         Self {
             status: 503,
             code,
             message: message.into(),
             ran: Ran::No,
-            retry: Some(retry),
+            retry_after: Some(retry),
         }
     }
 
     /// Request whose outcome nobody can tell.
-    pub(crate) fn unknown(message: impl Into<String>) -> Self {
+    pub(crate) fn outcome_unknown(message: impl Into<String>) -> Self {
         Self {
             status: 502,
             code: "outcome_unknown",
             message: message.into(),
             ran: Ran::Unknown,
-            retry: None,
+            retry_after: None,
         }
     }
 
     /// A side's refusal as a caller sees it.
-    pub(crate) fn of_refusal(refusal: &Refusal) -> Self {
+    pub(crate) fn from_refusal(refusal: &Refusal) -> Self {
         let face = Face::of(refusal.reason);
         let comes_back = matches!(face.status, 409 | 429 | 503 | 504);
         Self {
@@ -83,12 +87,12 @@
             code: face.code,
             message: refusal.detail.clone(),
             ran: face.ran,
-            retry: comes_back.then_some(Millis(refusal.retry_ms.max(1))),
+            retry_after: comes_back.then_some(Millis(refusal.retry_ms.max(1))),
         }
     }
 
     /// The same fault after an earlier attempt that may have run.
-    pub(crate) fn after_unknown(mut self) -> Self {
+    pub(crate) fn after_uncertain_attempt(mut self) -> Self {
         if self.ran == Ran::No {
             self.ran = Ran::Unknown;
         }
@@ -102,9 +106,9 @@
     }
 
     /// Answer.
-    pub(crate) fn reply(&self) -> Reply {
+    pub(crate) fn to_reply(&self) -> Reply {
         let mut reply = json_reply(self.status, &self.envelope());
-        if let Some(retry) = self.retry {
+        if let Some(retry) = self.retry_after {
             let secs = HeaderValue::from(retry.0.div_ceil(1_000).max(1));
             reply.headers_mut().insert(RETRY_AFTER, secs);
         }
@@ -115,7 +119,7 @@
         Envelope {
             error: Detail {
                 message: &self.message,
-                kind: kind(self.status),
+                kind: error_type(self.status),
                 param: None,
                 code: self.code,
                 ran: self.ran,
@@ -124,7 +128,7 @@
     }
 }
 
-fn kind(status: u16) -> &'static str {
+fn error_type(status: u16) -> &'static str {
     match status {
         401 => "authentication_error",
         403 => "permission_error",
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -4,27 +4,36 @@
 use pumicecleat_net::Incoming;
 use pumicecleat_types::CallerId;
 
-use crate::fault::{Fault, RETRY};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::shared::Shared;
 
 /// Scheme of the header.
 const SCHEME: &str = "bearer ";
 
 /// Refuses new work of a process that stops or has no configuration.
-pub(super) fn check_open(shared: &Shared) -> Result<(), Fault> {
+pub(super) fn check_open(shared: &Shared) -> Result<(), ApiError> {
     if shared.stop.is_asked() {
-        return Err(Fault::later("stopping", "this entry is stopping", RETRY));
+        return Err(ApiError::unavailable(
+            "stopping",
+            "this entry is stopping",
+            DEFAULT_RETRY_AFTER,
+        ));
     }
     if !shared.readiness.is_ready() {
-        return Err(Fault::later("not_ready", "this entry is not ready", RETRY));
+        return Err(ApiError::unavailable(
+            "not_ready",
+            "this entry is not ready",
+            DEFAULT_RETRY_AFTER,
+        ));
     }
     Ok(())
 }
 
 /// Caller of a request.
-pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, Fault> {
+pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, ApiError> {
     let caller = bearer(incoming).and_then(|key| shared.current.caller(key));
-    caller.ok_or_else(|| Fault::bad(401, "invalid_api_key", "no known key in Authorization"))
+    caller
+        .ok_or_else(|| ApiError::rejected(401, "invalid_api_key", "no known key in Authorization"))
 }
 
 fn bearer(incoming: &Incoming) -> Option<&str> {
--- a/crates/entry/src/caller/chat.rs
+++ b/crates/entry/src/caller/chat.rs
@@ -10,7 +10,7 @@
 
 use super::headers::{put_attempts, read_deadline, read_priority};
 use super::{Call, read_body};
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{Answer, Content, Exchange, Job, Repeat, read_prompt, resolve_model};
 use crate::shared::Shared;
 use crate::stream::{Opened, open};
@@ -26,7 +26,7 @@
 }
 
 /// Answers a chat request.
-pub(super) async fn answer(shared: &Rc<Shared>, mut call: Call) -> Result<Reply, Fault> {
+pub(super) async fn answer(shared: &Rc<Shared>, mut call: Call) -> Result<Reply, ApiError> {
     let bytes = read_body(shared, &mut call).await?;
     let chat = parse(&bytes)?;
     let mut job = make_job(shared, &call, chat)?;
@@ -42,13 +42,13 @@
     Ok(finish(exchange, result))
 }
 
-fn parse(bytes: &[u8]) -> Result<ChatBody, Fault> {
+fn parse(bytes: &[u8]) -> Result<ChatBody, ApiError> {
     let limits = ChatLimits {
         bytes: bytes.len().max(1),
         ..ChatLimits::default()
     };
     let parsed = ChatBody::parse(bytes, &limits);
-    parsed.map_err(|fault| Fault::bad(400, body_code(&fault), fault.to_string()))
+    parsed.map_err(|fault| ApiError::rejected(400, body_code(&fault), fault.to_string()))
 }
 
 fn body_code(fault: &BodyFault) -> &'static str {
@@ -61,7 +61,7 @@
     }
 }
 
-fn make_job(shared: &Shared, call: &Call, chat: ChatBody) -> Result<Job, Fault> {
+fn make_job(shared: &Shared, call: &Call, chat: ChatBody) -> Result<Job, ApiError> {
     let headers = call.incoming.headers();
     let resolved = resolve_model(shared, &call.caller, chat.model())?;
     let prompt = read_prompt(&chat, resolved.prefix_seed);
@@ -105,7 +105,7 @@
 }
 
 /// Reply by an answer's whole body, or by a fault.
-fn finish(mut exchange: Exchange, result: Result<Answer, Fault>) -> Reply {
+fn finish(mut exchange: Exchange, result: Result<Answer, ApiError>) -> Reply {
     let mut reply = match result {
         Ok(answer) => {
             exchange.note_first();
@@ -117,7 +117,7 @@
         }
         Err(fault) => {
             exchange.note_fault(&fault);
-            fault.reply()
+            fault.to_reply()
         }
     };
     put_attempts(reply.headers_mut(), &exchange);
--- a/crates/entry/src/caller/headers.rs
+++ b/crates/entry/src/caller/headers.rs
@@ -4,7 +4,7 @@
 use http::header::{HeaderName, HeaderValue};
 use pumicecleat_types::{CallerId, HeaderField, Millis};
 
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::Exchange;
 use crate::shared::Shared;
 
@@ -43,7 +43,7 @@
 ];
 
 /// Time that a request is given: what its caller asks, up to the declared maximum.
-pub(super) fn read_deadline(shared: &Shared, headers: &HeaderMap) -> Result<Millis, Fault> {
+pub(super) fn read_deadline(shared: &Shared, headers: &HeaderMap) -> Result<Millis, ApiError> {
     let limits = shared.current.with(|config| config.limits);
     let Some(value) = headers.get(DEADLINE) else {
         return Ok(Millis(limits.deadline_ms));
@@ -52,7 +52,7 @@
         Some(ms) if ms > 0 => Ok(Millis(ms.min(limits.longest_ms))),
         _ => {
             let message = "X-Deadline-Ms is not a number of milliseconds from 1";
-            Err(Fault::bad(400, "bad_deadline", message))
+            Err(ApiError::rejected(400, "bad_deadline", message))
         }
     }
 }
@@ -62,26 +62,26 @@
     shared: &Shared,
     caller: &CallerId,
     headers: &HeaderMap,
-) -> Result<u8, Fault> {
+) -> Result<u8, ApiError> {
     let Some(value) = headers.get(PRIORITY) else {
         return Ok(0);
     };
     let Some(asked) = read_number::<u8>(value) else {
         let message = "X-Priority is not a number from 0 to 255";
-        return Err(Fault::bad(400, "bad_priority", message));
+        return Err(ApiError::rejected(400, "bad_priority", message));
     };
     let most = shared
         .current
         .with(|config| config.callers.get(caller).map_or(0, |c| c.priority));
     if asked > most {
         let message = format!("X-Priority may be at most {most} for this caller");
-        return Err(Fault::bad(403, "priority_too_high", message));
+        return Err(ApiError::rejected(403, "priority_too_high", message));
     }
     Ok(asked)
 }
 
 /// Idempotency key, if the caller gives one.
-pub(super) fn read_key(headers: &HeaderMap) -> Result<Option<String>, Fault> {
+pub(super) fn read_key(headers: &HeaderMap) -> Result<Option<String>, ApiError> {
     let mut values = headers.get_all(KEY).iter();
     let Some(value) = values.next() else {
         return Ok(None);
@@ -89,7 +89,7 @@
     let text = value.to_str().ok().filter(|_| values.next().is_none());
     let Some(text) = text else {
         let message = "Idempotency-Key is not one line of ASCII";
-        return Err(Fault::bad(400, "key_invalid", message));
+        return Err(ApiError::rejected(400, "key_invalid", message));
     };
     Ok(Some(text.to_owned()))
 }
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -24,8 +24,8 @@
 
 use seen::Seen;
 
+use crate::api_error::ApiError;
 use crate::config::ensure_fresh;
-use crate::fault::Fault;
 use crate::shared::Shared;
 
 /// Header with the request's id.
@@ -77,7 +77,7 @@
     let result = take(shared, &mut seen, incoming).await;
     let mut reply = result.unwrap_or_else(|fault| {
         seen.refused(shared, &fault);
-        fault.reply()
+        fault.to_reply()
     });
     let headers = reply.headers_mut();
     if let Ok(id) = HeaderValue::from_str(seen.request.as_str()) {
@@ -89,7 +89,7 @@
     reply
 }
 
-async fn take(shared: &Rc<Shared>, seen: &mut Seen, incoming: Incoming) -> Result<Reply, Fault> {
+async fn take(shared: &Rc<Shared>, seen: &mut Seen, incoming: Incoming) -> Result<Reply, ApiError> {
     admit::check_open(shared)?;
     let guard = shared.drain.enter(&seen.request);
     // Boxed, as each waiting request would hold room for it.
@@ -107,13 +107,17 @@
     match (call.incoming.method(), path) {
         (&Method::POST, CHAT) => Box::pin(chat::answer(shared, call)).await,
         (&Method::GET, MODELS) => Ok(models::answer(shared, &call.caller)),
-        (_, CHAT | MODELS) => Err(Fault::bad(405, "method_not_allowed", "no such method here")),
+        (_, CHAT | MODELS) => Err(ApiError::rejected(
+            405,
+            "method_not_allowed",
+            "no such method here",
+        )),
         _ => Box::pin(service::answer(shared, call)).await,
     }
 }
 
 /// Whole body of a request.
-async fn read_body(shared: &Shared, call: &mut Call) -> Result<Vec<u8>, Fault> {
+async fn read_body(shared: &Shared, call: &mut Call) -> Result<Vec<u8>, ApiError> {
     let limit = shared.current.with(|config| config.limits.body);
     let span = shared.options.body_span;
     let body = call.incoming.body_mut();
@@ -126,11 +130,11 @@
     read.map_err(|error| body_fault(&error))
 }
 
-fn body_fault(error: &BodyError) -> Fault {
+fn body_fault(error: &BodyError) -> ApiError {
     let (status, code) = match error {
         BodyError::TooLong { .. } => (413, "body_too_long"),
         BodyError::TooSlow { .. } => (408, "body_too_slow"),
         BodyError::Broken { .. } => (400, "body_broken"),
     };
-    Fault::bad(status, code, error.to_string())
+    ApiError::rejected(status, code, error.to_string())
 }
--- a/crates/entry/src/caller/seen.rs
+++ b/crates/entry/src/caller/seen.rs
@@ -5,7 +5,7 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{CallerId, Millis, RequestId};
 
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::meters::End;
 use crate::shared::Shared;
 
@@ -21,7 +21,7 @@
 
 impl Seen {
     /// Counts and logs a refusal before any attempt.
-    pub(super) fn refused(&self, shared: &Shared, fault: &Fault) {
+    pub(super) fn refused(&self, shared: &Shared, fault: &ApiError) {
         let took = shared.timer.now().since(self.arrived);
         shared.meters.ended(End::Fault, fault.code, took);
         match fault.status {
@@ -31,7 +31,7 @@
         }
     }
 
-    fn note_caller(&self, shared: &Shared, fault: &Fault) {
+    fn note_caller(&self, shared: &Shared, fault: &ApiError) {
         let fields = [
             field("peer", &self.peer),
             field("caller", self.caller()),
@@ -41,7 +41,7 @@
         shared.log.emit(&events::CALLER_REFUSED, &fields);
     }
 
-    fn note_later(&self, shared: &Shared, fault: &Fault) {
+    fn note_later(&self, shared: &Shared, fault: &ApiError) {
         let fields = [
             field("request", &self.request),
             field("caller", self.caller()),
@@ -53,7 +53,7 @@
         shared.log.emit(&events::REQUEST_REFUSED, &fields);
     }
 
-    fn note_malformed(&self, shared: &Shared, fault: &Fault) {
+    fn note_malformed(&self, shared: &Shared, fault: &ApiError) {
         let fields = [
             field("peer", &self.peer),
             field("request", &self.request),
--- a/crates/entry/src/caller/service.rs
+++ b/crates/entry/src/caller/service.rs
@@ -11,12 +11,12 @@
     KEY, passed_on, put_attempts, put_passed, read_deadline, read_key, read_priority,
 };
 use super::{Call, read_body};
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{Answer, Content, Exchange, Job, Repeat, ServiceRoute, resolve_service};
 use crate::shared::Shared;
 
 /// Answers a call of a plain service.
-pub(super) async fn answer(shared: &Rc<Shared>, mut call: Call) -> Result<Reply, Fault> {
+pub(super) async fn answer(shared: &Rc<Shared>, mut call: Call) -> Result<Reply, ApiError> {
     let job = make_job(shared, &call)?;
     let body = read_body(shared, &mut call).await?;
     let job = Job {
@@ -30,7 +30,7 @@
     Ok(finish(exchange, result))
 }
 
-fn make_job(shared: &Shared, call: &Call) -> Result<Job, Fault> {
+fn make_job(shared: &Shared, call: &Call) -> Result<Job, ApiError> {
     let headers = call.incoming.headers();
     let uri = call.incoming.uri();
     let path = uri.path_and_query().map_or(uri.path(), |p| p.as_str());
@@ -59,14 +59,14 @@
     Ok(job)
 }
 
-fn read_repeat(route: &ServiceRoute, key: Option<&str>) -> Result<Repeat, Fault> {
+fn read_repeat(route: &ServiceRoute, key: Option<&str>) -> Result<Repeat, ApiError> {
     match (route.idempotent, key, route.key) {
         (true, _, _) => Ok(Repeat::Freely),
         (false, Some(_), _) => Ok(Repeat::ByKey),
         (false, None, KeyRule::Optional) => Ok(Repeat::Never),
         (false, None, KeyRule::Required) => {
             let message = "this route wants an Idempotency-Key";
-            Err(Fault::bad(400, "key_required", message))
+            Err(ApiError::rejected(400, "key_required", message))
         }
     }
 }
@@ -82,7 +82,7 @@
     }
 }
 
-fn finish(mut exchange: Exchange, result: Result<Answer, Fault>) -> Reply {
+fn finish(mut exchange: Exchange, result: Result<Answer, ApiError>) -> Reply {
     let mut reply = match result {
         Ok(answer) => {
             exchange.note_first();
@@ -95,7 +95,7 @@
         }
         Err(fault) => {
             exchange.note_fault(&fault);
-            fault.reply()
+            fault.to_reply()
         }
     };
     put_attempts(reply.headers_mut(), &exchange);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -24,10 +24,10 @@
 //! assert!(end.unwrap().cut().is_empty());
 //! ```
 
+mod api_error;
 mod caller;
 mod config;
 mod directory;
-mod fault;
 mod meters;
 mod peer;
 mod request;
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -11,8 +11,8 @@
 
 use super::outgoing::Outgoing;
 use super::{AnswerHead, Attempt, Failure, History, Job};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::directory::{Chosen, Destination};
-use crate::fault::{Fault, RETRY};
 use crate::meters::End;
 use crate::shared::Shared;
 
@@ -107,13 +107,13 @@
     }
 
     /// Fault at the entry's own time limit.
-    pub(crate) fn late(&self) -> Fault {
+    pub(crate) fn late(&self) -> ApiError {
         let ran = self.history.ran();
         let message = "no whole answer before the deadline";
-        Fault {
+        ApiError {
             status: 504,
             ran,
-            ..Fault::later("deadline_exceeded", message, RETRY)
+            ..ApiError::unavailable("deadline_exceeded", message, DEFAULT_RETRY_AFTER)
         }
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Notes the fault that answers the request.
-    pub(crate) fn note_fault(&mut self, fault: &Fault) {
+    pub(crate) fn note_fault(&mut self, fault: &ApiError) {
         self.close(End::Fault, fault.code);
         if fault.ran != Ran::No {
             return self.note_broken("answer", fault.ran, &fault.message);
@@ -155,7 +155,7 @@
     }
 
     /// Notes that the stream ends visibly broken.
-    pub(crate) fn note_cut(&mut self, fault: &Fault, error: &str) {
+    pub(crate) fn note_cut(&mut self, fault: &ApiError, error: &str) {
         self.close(End::Broken, fault.code);
         self.note_broken("stream", fault.ran, error);
     }
--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -3,7 +3,7 @@
 use pumicecleat_policy::AttemptOutcome;
 use pumicecleat_types::{Millis, Ran, Reason, Refusal};
 
-use crate::fault::{Fault, RETRY, reason_code};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER, reason_code};
 
 /// How an attempt failed, or why there was none.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     pub(crate) fn ran(&self) -> Ran {
         match self {
             Self::Nowhere { .. } | Self::Late { .. } => Ran::No,
-            Self::Refused(refusal) => Fault::of_refusal(refusal).ran,
+            Self::Refused(refusal) => ApiError::from_refusal(refusal).ran,
             Self::Lost(loss) => loss.ran,
             Self::Mismatch { .. } => Ran::Unknown,
         }
@@ -66,18 +66,20 @@
     }
 
     /// What the caller is told if nothing follows.
-    pub(crate) fn fault(&self) -> Fault {
+    pub(crate) fn fault(&self) -> ApiError {
         match self {
             Self::Nowhere { retry } => {
-                Fault::later("no_upstream", "no upstream may take work", *retry)
+                ApiError::unavailable("no_upstream", "no upstream may take work", *retry)
             }
-            Self::Late { retry } => Fault {
+            Self::Late { retry } => ApiError {
                 status: 429,
-                ..Fault::later("overloaded", "no upstream can meet the deadline", *retry)
+                ..ApiError::unavailable("overloaded", "no upstream can meet the deadline", *retry)
             },
-            Self::Refused(refusal) => Fault::of_refusal(refusal),
+            Self::Refused(refusal) => ApiError::from_refusal(refusal),
             Self::Lost(loss) => Self::lost(loss),
-            Self::Mismatch { .. } => Fault::unknown("the upstream answered another request"),
+            Self::Mismatch { .. } => {
+                ApiError::outcome_unknown("the upstream answered another request")
+            }
         }
     }
 
@@ -90,13 +92,13 @@
         }
     }
 
-    fn lost(loss: &Loss) -> Fault {
+    fn lost(loss: &Loss) -> ApiError {
         if loss.ran == Ran::No {
-            return Fault::later("upstream_unreachable", &loss.step, RETRY);
+            return ApiError::unavailable("upstream_unreachable", &loss.step, DEFAULT_RETRY_AFTER);
         }
-        Fault {
+        ApiError {
             ran: loss.ran,
-            ..Fault::unknown(format!("the upstream's answer broke off: {}", loss.step))
+            ..ApiError::outcome_unknown(format!("the upstream's answer broke off: {}", loss.step))
         }
     }
 }
--- a/crates/entry/src/request/history.rs
+++ b/crates/entry/src/request/history.rs
@@ -3,7 +3,7 @@
 use pumicecleat_policy::UpstreamIx;
 use pumicecleat_types::{Ran, VmId};
 
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 
 /// What became of a request so far, over all its attempts.
 pub(crate) struct History {
@@ -22,7 +22,7 @@
     /// The one more attempt at the same side after differing configurations was made.
     pub(crate) stale: bool,
     /// Fault of the last attempt that failed.
-    pub(crate) last: Option<Fault>,
+    pub(crate) last: Option<ApiError>,
 }
 
 impl History {
@@ -63,10 +63,10 @@
     }
 
     /// A fault made truthful over all attempts.
-    pub(crate) fn truthful(&self, fault: Fault) -> Fault {
+    pub(crate) fn truthful(&self, fault: ApiError) -> ApiError {
         match self.ran() {
             Ran::No => fault,
-            _ => fault.after_unknown(),
+            _ => fault.after_uncertain_attempt(),
         }
     }
 }
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -7,7 +7,7 @@
     VersionId,
 };
 
-use crate::fault::{Fault, RETRY};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::shared::Shared;
 
 /// Target of a request under one revision.
@@ -48,7 +48,7 @@
     shared: &Shared,
     caller: &CallerId,
     model: &str,
-) -> Result<Resolved, Fault> {
+) -> Result<Resolved, ApiError> {
     let found = shared
         .current
         .with(|config| find_model(config, caller, model));
@@ -57,7 +57,11 @@
     };
     let Some(pool) = shared.directory.borrow_mut().best_pool(pools) else {
         let message = format!("no pool runs the base model of {model:?}");
-        return Err(Fault::later("no_upstream", message, RETRY));
+        return Err(ApiError::unavailable(
+            "no_upstream",
+            message,
+            DEFAULT_RETRY_AFTER,
+        ));
     };
     let lora = Lora {
         base: target.base.clone(),
@@ -78,9 +82,9 @@
 }
 
 /// The same answer for what does not exist and what the caller may not reach.
-fn unknown_model(model: &str) -> Fault {
+fn unknown_model(model: &str) -> ApiError {
     let message = format!("model {model:?} does not exist or is not open to this caller");
-    Fault::bad(404, "model_not_found", message)
+    ApiError::rejected(404, "model_not_found", message)
 }
 
 /// What a name means, and the pools that may run it.
@@ -142,7 +146,7 @@
     method: &str,
     path: &str,
     headers: Vec<HeaderField>,
-) -> Result<ServiceRoute, Fault> {
+) -> Result<ServiceRoute, ApiError> {
     let found = shared
         .current
         .with(|config| find_route(config, caller, method, path))?;
@@ -185,7 +189,7 @@
     caller: &CallerId,
     method: &str,
     path: &str,
-) -> Result<Found, Fault> {
+) -> Result<Found, ApiError> {
     let matches = config.services.iter().filter_map(|(id, service)| {
         let route = service.route(method, path)?;
         Some(Found {
@@ -198,12 +202,12 @@
         })
     });
     let Some(found) = matches.max_by_key(|f| f.length) else {
-        return Err(Fault::bad(404, "route_not_found", "no such route"));
+        return Err(ApiError::rejected(404, "route_not_found", "no such route"));
     };
     let caller = config.callers.get(caller);
     if !caller.is_some_and(|c| c.may_service(&found.service)) {
         let message = "this caller may not call this service";
-        return Err(Fault::bad(403, "forbidden", message));
+        return Err(ApiError::rejected(403, "forbidden", message));
     }
     Ok(found)
 }
--- a/crates/entry/src/request/settle.rs
+++ b/crates/entry/src/request/settle.rs
@@ -10,8 +10,8 @@
 use pumicecleat_types::{Millis, Ran, Reason, Target};
 
 use super::{Exchange, Failure, Repeat, Resolved, resolve_model, resolve_service};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::config::refresh;
-use crate::fault::{Fault, RETRY};
 
 /// Attempts of one request at most.
 const ATTEMPTS: u32 = 5;
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     /// The fault for the caller, if nothing follows.
-    pub(crate) async fn settle(&mut self, failure: Failure) -> Result<(), Fault> {
+    pub(crate) async fn settle(&mut self, failure: Failure) -> Result<(), ApiError> {
         self.note_failure(&failure);
         let fault = failure.fault();
         if !self.may_follow(&failure) {
@@ -122,7 +122,7 @@
 
     /// Finds the target again under the newest configuration. The same side is asked once more, as
     /// it may have been the one behind.
-    async fn resolve_anew(&mut self) -> Result<(), Fault> {
+    async fn resolve_anew(&mut self) -> Result<(), ApiError> {
         refresh(&self.shared).await;
         if !mem::replace(&mut self.history.stale, true) {
             self.history.tried.pop();
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    fn resolved_anew(&self) -> Result<Resolved, Fault> {
+    fn resolved_anew(&self) -> Result<Resolved, ApiError> {
         let (shared, caller) = (&self.shared, &self.job.caller);
         let service = match &self.job.resolved.target {
             Target::Model(_) => {
@@ -147,7 +147,11 @@
         let route = resolve_service(shared, caller, &service.method, &service.path, headers)?;
         if route.idempotent != service.idempotent {
             let message = "the route's declaration changed";
-            return Err(Fault::later("config_changing", message, RETRY));
+            return Err(ApiError::unavailable(
+                "config_changing",
+                message,
+                DEFAULT_RETRY_AFTER,
+            ));
         }
         Ok(route.resolved)
     }
--- a/crates/entry/src/request/whole.rs
+++ b/crates/entry/src/request/whole.rs
@@ -6,7 +6,7 @@
 
 use super::attempt::{Part, lost};
 use super::{AnswerHead, Attempt, Exchange, Failure};
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 
 /// A whole answer.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// The fault for the caller.
-    pub(crate) async fn whole(&mut self) -> Result<Answer, Fault> {
+    pub(crate) async fn whole(&mut self) -> Result<Answer, ApiError> {
         let timer = self.timer().clone();
         let work = timer
             .within(self.patience(), Box::pin(self.try_whole()))
@@ -50,7 +50,7 @@
         result
     }
 
-    async fn try_whole(&mut self) -> Result<Answer, Fault> {
+    async fn try_whole(&mut self) -> Result<Answer, ApiError> {
         loop {
             match self.one_whole().await {
                 Ok(answer) => return self.accept(answer),
@@ -130,13 +130,13 @@
     }
 
     /// An engine's word on a body that it can't take becomes a fault; all else is passed on.
-    pub(crate) fn accept(&self, answer: Answer) -> Result<Answer, Fault> {
+    pub(crate) fn accept(&self, answer: Answer) -> Result<Answer, ApiError> {
         if self.job.engine().is_none() || answer.is_success() {
             return Ok(answer);
         }
         let message = engine_words(&answer.body);
         let message = message.unwrap_or_else(|| "the engine can't take this body".to_owned());
-        let fault = Fault::bad(answer.status, "engine_refused", message);
+        let fault = ApiError::rejected(answer.status, "engine_refused", message);
         Err(self.history.truthful(fault))
     }
 }
--- a/crates/entry/src/stream/open.rs
+++ b/crates/entry/src/stream/open.rs
@@ -4,7 +4,7 @@
 
 use super::feed::{Fed, Feed};
 use super::relay::Relay;
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{Answer, Exchange, Failure};
 
 /// What a streamed request comes to before anything is sent to its caller.
@@ -14,7 +14,7 @@
     /// The upstream answered by something else than a stream.
     Whole(Answer, Exchange),
     /// Nothing follows.
-    Fault(Fault, Exchange),
+    Fault(ApiError, Exchange),
 }
 
 /// One attempt's beginning.
@@ -41,7 +41,7 @@
     }
 }
 
-async fn try_open(exchange: &mut Exchange) -> Result<Begun, Fault> {
+async fn try_open(exchange: &mut Exchange) -> Result<Begun, ApiError> {
     loop {
         match one_open(exchange).await {
             Ok(begun) => return Ok(begun),
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -12,7 +12,7 @@
 
 use super::feed::{Fed, Feed};
 use super::splice::Splice;
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{Exchange, Failure};
 
 /// Time for the error event to leave before the connection closes.
@@ -139,10 +139,10 @@
 
     /// Ends the stream visibly broken.
     fn cut(&mut self, error: &str) {
-        let fault = Fault {
+        let fault = ApiError {
             code: "stream_broken",
             ran: Ran::Yes,
-            ..Fault::unknown("the answer broke off and can't be gone on with")
+            ..ApiError::outcome_unknown("the answer broke off and can't be gone on with")
         };
         self.exchange.note_cut(&fault, error);
         let mut event = b"data: ".to_vec();
