--- a/crates/entry/src/caller/headers.rs
+++ b/crates/entry/src/caller/headers.rs
@@ -44,7 +44,7 @@
 
 /// Time that a request is given: what its caller asks, up to the declared maximum.
 pub(super) fn read_deadline(shared: &Shared, headers: &HeaderMap) -> Result<Millis, ApiError> {
-    let limits = shared.current.with(|config| config.limits);
+    let limits = shared.config.with(|config| config.limits);
     let Some(value) = headers.get(DEADLINE) else {
         return Ok(Millis(limits.deadline_ms));
     };
@@ -71,7 +71,7 @@
         return Err(ApiError::rejected(400, "bad_priority", message));
     };
     let most = shared
-        .current
+        .config
         .with(|config| config.callers.get(caller).map_or(0, |c| c.priority));
     if asked > most {
         let message = format!("X-Priority may be at most {most} for this caller");
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -118,8 +118,8 @@
 
 /// Whole body of a request.
 async fn read_body(shared: &Shared, call: &mut Call) -> Result<Vec<u8>, ApiError> {
-    let limit = shared.current.with(|config| config.limits.body);
-    let span = shared.options.body_span;
+    let limit = shared.config.with(|config| config.limits.body);
+    let span = shared.options.body_timeout;
     let body = call.incoming.body_mut();
     let declared = http_body::Body::size_hint(body).lower();
     let read = if declared > limit {
--- a/crates/entry/src/caller/models.rs
+++ b/crates/entry/src/caller/models.rs
@@ -24,7 +24,7 @@
 
 /// Lists every version that a caller may reach, and each adapter that has a default one.
 pub(super) fn answer(shared: &Shared, caller: &CallerId) -> Reply {
-    let data = shared.current.with(|config| list(config, caller));
+    let data = shared.config.with(|config| list(config, caller));
     let object = "list";
     json_reply(200, &ModelList { object, data })
 }
--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -13,7 +13,7 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{LogRecord, Millis};
 
-use super::{Current, STREAM, peers};
+use super::{Configuration, STREAM, peers};
 use crate::shared::Shared;
 
 /// Records of one read.
@@ -46,11 +46,11 @@
 /// Follows the stream until the process ends.
 pub(crate) async fn follow(shared: Rc<Shared>) {
     loop {
-        let before = shared.current.next();
+        let before = shared.config.next();
         if !read_on(&shared, READ_WAIT).await {
             peers::ask(&shared).await;
             shared.timer.sleep(PAUSE).await;
-        } else if shared.current.next() == before {
+        } else if shared.config.next() == before {
             // Neither a log that does not wait by itself nor a record that can't be judged may
             // make this loop spin.
             shared.timer.sleep(SHORT_PAUSE).await;
@@ -60,7 +60,7 @@
 
 /// Reads what the log holds now, if it was not read lately: after a pause of the process.
 pub(crate) async fn ensure_fresh(shared: &Shared) {
-    let current = &shared.current;
+    let current = &shared.config;
     if current.outage.get().is_some() || current.is_fresh(shared.timer.now(), FRESH) {
         return;
     }
@@ -81,8 +81,11 @@
 
 /// Reads once from the offset wanted; false if the log did not answer.
 async fn read_on(shared: &Shared, wait: Duration) -> bool {
-    let from = shared.current.next();
-    let read = shared.records.read(STREAM, from, READ_RECORDS, wait).await;
+    let from = shared.config.next();
+    let read = shared
+        .log_service
+        .read(STREAM, from, READ_RECORDS, wait)
+        .await;
     match read {
         Ok(batch) => take(shared, &batch).await,
         Err(ReadError::Trimmed { first, .. }) => {
@@ -104,14 +107,14 @@
             return;
         }
     }
-    if shared.current.next() >= batch.next {
+    if shared.config.next() >= batch.next {
         confirm(shared);
     }
 }
 
 /// Goes through a snapshot record in slices: in one step it would hold up every stream.
 async fn scan<'r>(shared: &Shared, record: &'r LogRecord) -> Option<Scan<'r>> {
-    if record.offset != shared.current.next() {
+    if record.offset != shared.config.next() {
         return None;
     }
     let mut scan = Scan::open(&record.data)?;
@@ -132,7 +135,7 @@
     let mut from = first;
     loop {
         let read = shared
-            .records
+            .log_service
             .read(STREAM, from, READ_RECORDS, Duration::ZERO)
             .await;
         let batch = match read {
@@ -158,14 +161,14 @@
 
 /// Takes a record in; false if it lies behind a gap that it can't close.
 fn apply(shared: &Shared, record: &LogRecord, scan: Option<Scan<'_>>) -> bool {
-    let Ok(event) = shared.current.apply(record, scan) else {
+    let Ok(event) = shared.config.apply(record, scan) else {
         return false;
     };
     let offset = field("offset", record.offset);
     match &event {
         FoldEvent::Accepted { .. } | FoldEvent::Started { .. } => in_force(shared, "log"),
         FoldEvent::Refused { cause, .. } => {
-            let revision = field("revision", shared.current.revision());
+            let revision = field("revision", shared.config.revision());
             let fields = [revision, offset, field("reason", cause)];
             shared.log.emit(&events::CONFIG_REFUSED, &fields);
         }
@@ -180,13 +183,13 @@
         }
         _ => {}
     }
-    shared.current.next() > record.offset || matches!(event, FoldEvent::Started { .. })
+    shared.config.next() > record.offset || matches!(event, FoldEvent::Started { .. })
 }
 
 /// Logs once that this process can't follow. It serves on by the revision held; sides that know
 /// more refuse what differs.
 fn note_newer(shared: &Shared, offset: u64, format: u32) {
-    if shared.current.newer.replace(Some(offset)) == Some(offset) {
+    if shared.config.newer.replace(Some(offset)) == Some(offset) {
         return;
     }
     let error = format!("format {format} is newer than this program");
@@ -196,10 +199,10 @@
 
 /// Notes that a newer revision is in force.
 pub(super) fn in_force(shared: &Shared, source: &str) {
-    let revision = shared.current.revision();
+    let revision = shared.config.revision();
     let fields = [
         field("revision", revision),
-        field("offset", shared.current.next()),
+        field("offset", shared.config.next()),
         field("source", source),
     ];
     shared.log.emit(&events::CONFIG_IN_FORCE, &fields);
@@ -212,50 +215,50 @@
 /// Becomes ready with a configuration that is read to its end.
 fn confirm(shared: &Shared) {
     let now = shared.timer.now();
-    shared.current.confirmed.set(Some(now));
+    shared.config.confirmed.set(Some(now));
     hold(shared);
 }
 
 fn hold(shared: &Shared) {
-    if shared.current.revision() > 0 {
-        shared.current.vouched.set(true);
+    if shared.config.revision() > 0 {
+        shared.config.vouched.set(true);
         shared.readiness.hold(CONDITION);
     }
 }
 
 fn note_down(shared: &Shared, error: &ReadError) {
-    if shared.current.outage.get().is_some() {
+    if shared.config.outage.get().is_some() {
         return;
     }
-    shared.current.outage.set(Some(shared.timer.now()));
-    let address = field("address", shared.options.log.as_str());
+    shared.config.outage.set(Some(shared.timer.now()));
+    let address = field("address", shared.options.log_addresses.as_str());
     let fields = [address, field("step", "read"), field("error", error)];
     shared.log.emit(&events::LOG_DOWN, &fields);
 }
 
 fn note_up(shared: &Shared) {
-    let Some(since) = shared.current.outage.take() else {
+    let Some(since) = shared.config.outage.take() else {
         return;
     };
     let down = shared.timer.now().since(since).0;
-    let address = field("address", shared.options.log.as_str());
+    let address = field("address", shared.options.log_addresses.as_str());
     let fields = [address, field("down_ms", down)];
     shared.log.emit(&events::LOG_UP, &fields);
 }
 
 /// Reads the log at once, as a side holds a newer revision; one read serves all that say so.
 pub(crate) fn catch_up(shared: &Rc<Shared>) {
-    if shared.current.catching_up.replace(true) {
+    if shared.config.catching_up.replace(true) {
         return;
     }
     let shared = Rc::clone(shared);
     monoio::spawn(async move {
         refresh(&shared).await;
-        shared.current.catching_up.set(false);
+        shared.config.catching_up.set(false);
     });
 }
 
-impl Current {
+impl Configuration {
     /// Whether another process speaks of a newer revision than the one in force here.
     pub(crate) fn is_behind(&self, revision: u64) -> bool {
         revision > self.revision()
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -26,7 +26,7 @@
 
 /// Configuration in force.
 #[derive(Default)]
-pub(crate) struct Current {
+pub(crate) struct Configuration {
     state: RefCell<State>,
     confirmed: Cell<Option<Millis>>,
     /// What is held was the newest when it was read: to the log's end, or from a peer that vouches.
@@ -62,7 +62,7 @@
     pub outage: bool,
 }
 
-impl Current {
+impl Configuration {
     /// Revision in force, 0 for none.
     pub(crate) fn revision(&self) -> u64 {
         self.state.borrow().fold.revision()
--- a/crates/entry/src/config/peers.rs
+++ b/crates/entry/src/config/peers.rs
@@ -28,26 +28,30 @@
 }
 
 async fn ask_one(shared: &Shared, peer: &str) -> bool {
-    let from = match shared.current.revision() {
+    let from = match shared.config.revision() {
         0 => None,
-        _ => Some(shared.current.next()),
+        _ => Some(shared.config.next()),
     };
     let ask = ConfigAsk { from };
-    let reply = match post(&shared.client, peer, PATH, &ask, SPAN).await {
+    let reply = match post(&shared.entry_client, peer, PATH, &ask, SPAN).await {
         Ok(reply) => reply,
         Err(e) => {
             note_down(shared, peer, &e);
             return false;
         }
     };
-    if shared.silent.borrow_mut().remove(peer) {
+    if shared.unreachable_peers.borrow_mut().remove(peer) {
         shared.log.emit(&events::PEER_UP, &[field("peer", peer)]);
     }
     take(shared, peer, reply)
 }
 
 fn note_down(shared: &Shared, peer: &str, error: &NetError) {
-    if !shared.silent.borrow_mut().insert(peer.to_owned()) {
+    if !shared
+        .unreachable_peers
+        .borrow_mut()
+        .insert(peer.to_owned())
+    {
         return;
     }
     let fields = [
@@ -59,24 +63,24 @@
 }
 
 fn take(shared: &Shared, peer: &str, reply: ConfigReply) -> bool {
-    let before = shared.current.revision();
+    let before = shared.config.revision();
     match reply {
         ConfigReply::NotReady => {}
         ConfigReply::Records(records) => {
             // A gap ends the batch; the next ask starts from what is wanted then.
             let _ = records.iter().try_for_each(|r| {
-                let applied = shared.current.apply(r, None);
+                let applied = shared.config.apply(r, None);
                 applied.map(drop)
             });
         }
         ConfigReply::Snapshot(bytes) => {
-            if let Err(e) = shared.current.adopt(&bytes) {
+            if let Err(e) = shared.config.adopt(&bytes) {
                 let fields = [field("peer", peer), field("error", &e)];
                 shared.log.emit(&events::PEER_BAD, &fields);
             }
         }
     }
-    let newer = shared.current.revision() > before;
+    let newer = shared.config.revision() > before;
     if newer {
         in_force(shared, "peer");
     }
--- a/crates/entry/src/config/snapshots.rs
+++ b/crates/entry/src/config/snapshots.rs
@@ -27,7 +27,7 @@
 fn is_turn(shared: &Shared) -> bool {
     let now = wall_ms();
     let retention = shared.options.retention_ms;
-    let Some(due) = shared.current.due(now, retention) else {
+    let Some(due) = shared.config.due(now, retention) else {
         return false;
     };
     let entries = shared.directory.borrow().entries();
@@ -37,10 +37,10 @@
 /// Appends a snapshot; false if it may not stand.
 async fn append(shared: &Shared) -> bool {
     let (revision, bytes) = {
-        let state = shared.current.state.borrow();
+        let state = shared.config.state.borrow();
         (state.fold.revision(), state.fold.snapshot_record())
     };
-    match shared.records.append(STREAM, vec![bytes]).await {
+    match shared.log_service.append(STREAM, vec![bytes]).await {
         Ok(at) => {
             let fields = [field("offset", at.first), field("revision", revision)];
             shared.log.emit(&events::SNAPSHOT_WRITTEN, &fields);
--- a/crates/entry/src/directory/vms.rs
+++ b/crates/entry/src/directory/vms.rs
@@ -60,7 +60,7 @@
         }
     }
     for up in &change.gone {
-        shared.order.borrow_mut().remove_side(*up);
+        shared.load_order.borrow_mut().remove_side(*up);
     }
 }
 
@@ -69,7 +69,7 @@
         return;
     }
     *down = Some(shared.timer.now());
-    let address = field("address", shared.options.vms.as_str());
+    let address = field("address", shared.options.vm_list_addresses.as_str());
     let fields = [address, field("step", "list"), field("error", error)];
     shared.log.emit(&events::VM_LIST_DOWN, &fields);
 }
@@ -79,7 +79,7 @@
         return;
     };
     let took = shared.timer.now().since(since).0;
-    let address = field("address", shared.options.vms.as_str());
+    let address = field("address", shared.options.vm_list_addresses.as_str());
     let fields = [address, field("down_ms", took)];
     shared.log.emit(&events::VM_LIST_UP, &fields);
 }
--- a/crates/entry/src/peer/config.rs
+++ b/crates/entry/src/peer/config.rs
@@ -5,5 +5,5 @@
 use crate::shared::Shared;
 
 pub(super) fn answer(shared: &Shared, ask: ConfigAsk) -> ConfigReply {
-    shared.current.reply(ask)
+    shared.config.reply(ask)
 }
--- a/crates/entry/src/peer/load.rs
+++ b/crates/entry/src/peer/load.rs
@@ -30,20 +30,20 @@
 /// Calls the side that should bid now; true if it does not, so that another should be called.
 async fn call_next(shared: &Shared) -> bool {
     let now = shared.timer.now();
-    let Some(up) = shared.order.borrow_mut().side_to_call(now) else {
+    let Some(up) = shared.load_order.borrow_mut().side_to_call(now) else {
         return false;
     };
     let address = shared.directory.borrow().address(up);
     let call = LoadCall { at_ms: now.0 };
     let reply = match address {
-        Some(side) => post(&shared.runs, &side, CALL_PATH, &call, CALL_SPAN)
+        Some(side) => post(&shared.side_client, &side, CALL_PATH, &call, CALL_SPAN)
             .await
             .ok(),
         None => None,
     };
     let bids = reply.is_some_and(|called: LoadCalled| called.bids);
     if !bids {
-        shared.order.borrow_mut().remove_bid(up);
+        shared.load_order.borrow_mut().remove_bid(up);
     }
     !bids
 }
@@ -57,9 +57,9 @@
         left: Millis(bid.left_ms),
         waited: Millis(bid.waited_ms),
     });
-    let before = shared.order.borrow().holder();
-    let turn = shared.order.borrow_mut().bid(up, wanted.as_ref(), now);
-    let load = shared.order.borrow().load_time();
+    let before = shared.load_order.borrow().holder();
+    let turn = shared.load_order.borrow_mut().bid(up, wanted.as_ref(), now);
+    let load = shared.load_order.borrow().load_time();
     shared.directory.borrow_mut().set_load(load);
     if let LoadTurn::Go { .. } = turn {
         note(shared, bid, before, up);
@@ -91,7 +91,7 @@
 /// Index of an engine name; its base model is the one declared, as the order compares names only.
 fn lora(shared: &Shared, engine: &str) -> LoraIx {
     let (adapter, version) = engine.rsplit_once('@').unwrap_or((engine, ""));
-    let base = shared.current.with(|config| {
+    let base = shared.config.with(|config| {
         let declared = config.adapters.get(adapter);
         declared.map(|a| a.base.clone()).unwrap_or_default()
     });
--- a/crates/entry/src/peer/report.rs
+++ b/crates/entry/src/peer/report.rs
@@ -23,20 +23,20 @@
     }
     pace.borrow_mut().count(message.length);
     let now = shared.timer.now();
-    let taken = shared.current.with(|config| {
+    let taken = shared.config.with(|config| {
         let mut directory = shared.directory.borrow_mut();
         directory.report(report, config, now)
     });
-    if shared.current.is_behind(report.revision) {
+    if shared.config.is_behind(report.revision) {
         catch_up(shared);
     }
     let sides = shared.directory.borrow().len();
     shared.meters.report(sides);
-    let next = pace.borrow().next(sides, shared.options.report_rate);
+    let next = pace.borrow().next(sides, shared.options.report_bytes_per_s);
     shared.directory.borrow_mut().expect(&report.vm, next);
     Ok(ReportReply {
         next_ms: next.0,
-        revision: shared.current.revision(),
+        revision: shared.config.revision(),
         whole: note(shared, report, &taken),
     })
 }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -77,7 +77,7 @@
         let request = outgoing.into_request();
         let address = &destination.address;
         // Boxed, as it is large and ends long before the answer's start may come.
-        let response = Box::pin(shared.runs.send(address, request, HEAD_SPAN)).await;
+        let response = Box::pin(shared.side_client.send(address, request, HEAD_SPAN)).await;
         let response = match response {
             Ok(response) => response,
             Err(e) => return Err(sent.fail(net_failure(&e))),
@@ -90,7 +90,7 @@
         let mut attempt = Self {
             destination,
             frames: FrameReader::new(response),
-            stall: Stall::new(&shared.timer, shared.options.stall),
+            stall: Stall::new(&shared.timer, shared.options.stall_timeout),
             sent,
         };
         match attempt.read_head(shared, job, number).await {
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -38,8 +38,8 @@
             field("target", job.resolved.name()),
         ];
         shared.log.emit(&events::REQUEST_TAKEN, &fields);
-        shared.budget.borrow_mut().record_request();
-        shared.losses.borrow_mut().record_request();
+        shared.refusal_budget.borrow_mut().record_request();
+        shared.loss_budget.borrow_mut().record_request();
         Self {
             shared: Rc::clone(shared),
             job,
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -50,7 +50,7 @@
     model: &str,
 ) -> Result<Resolved, ApiError> {
     let found = shared
-        .current
+        .config
         .with(|config| find_model(config, caller, model));
     let Some(Asked { target, pools }) = found else {
         return Err(unknown_model(model));
@@ -75,7 +75,7 @@
         engine: Some(lora.engine_name()),
         prefix_seed: lora_key(&lora),
         parts: 1,
-        revision: shared.current.revision(),
+        revision: shared.config.revision(),
         target: Target::Model(target),
         pool,
     })
@@ -148,7 +148,7 @@
     headers: Vec<HeaderField>,
 ) -> Result<ServiceRoute, ApiError> {
     let found = shared
-        .current
+        .config
         .with(|config| find_route(config, caller, method, path))?;
     let target = Target::Service(ServiceTarget {
         service: found.service,
@@ -165,7 +165,7 @@
         engine: None,
         prefix_seed: 0,
         parts: found.parts,
-        revision: shared.current.revision(),
+        revision: shared.config.revision(),
     };
     Ok(ServiceRoute {
         resolved,
--- a/crates/entry/src/request/settle.rs
+++ b/crates/entry/src/request/settle.rs
@@ -79,8 +79,8 @@
 
     fn is_within_budget(&self, failure: &Failure) -> bool {
         let budget = match failure {
-            Failure::Lost(_) | Failure::Mismatch { .. } => &self.shared.losses,
-            _ => &self.shared.budget,
+            Failure::Lost(_) | Failure::Mismatch { .. } => &self.shared.loss_budget,
+            _ => &self.shared.refusal_budget,
         };
         budget.borrow_mut().try_retry()
     }
--- a/crates/entry/src/request/whole.rs
+++ b/crates/entry/src/request/whole.rs
@@ -103,7 +103,7 @@
                 Part::Data(bytes) if body.is_empty() => body = bytes,
                 Part::Data(bytes) => body.extend_from_slice(&bytes),
             }
-            let limit = self.shared.options.answer;
+            let limit = self.shared.options.max_answer_bytes;
             if body.len() > limit {
                 let error = format!("peer {}: over {limit} bytes", attempt.destination.address);
                 return Err(lost(Ran::Yes, "read answer", error));
--- a/crates/entry/src/start/dump.rs
+++ b/crates/entry/src/start/dump.rs
@@ -72,24 +72,24 @@
         EntryDump {
             role: "entry".to_owned(),
             vm: shared.options.vm.clone(),
-            address: shared.options.own.to_string(),
+            address: shared.options.own_address.to_string(),
             ready: shared.readiness.is_ready(),
             stopping: shared.stop.is_asked(),
-            config: shared.current.dump(now),
+            config: shared.config.dump(now),
             sides: directory.dump(now),
             loras: directory.loras(),
             listed: directory.listed(),
-            retries: shared.budget.borrow().available(),
-            losses: shared.losses.borrow().available(),
+            retries: shared.refusal_budget.borrow().available(),
+            losses: shared.loss_budget.borrow().available(),
             order: self.order(),
             open: shared.drain.open(),
         }
     }
 
     fn order(&self) -> OrderDump {
-        let order = self.shared.order.borrow();
+        let order = self.shared.load_order.borrow();
         OrderDump {
-            store: self.shared.options.store.clone(),
+            store: self.shared.options.weight_store.clone(),
             waiting: order.waiting_sides(),
             held: order.holder().is_some(),
             load_ms: order.load_time().0,
--- a/crates/entry/src/start/mod.rs
+++ b/crates/entry/src/start/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_infra::{HttpLog, HttpVms, Log as Records, Peers, Vms};
+use pumicecleat_infra::{HttpLog, HttpVms, Log as LogService, Peers, Vms};
 use pumicecleat_net::{
     Client, ClientOptions, Handler, Protocol, Server, ServerOptions, Timer, Turns, bind,
 };
@@ -19,7 +19,7 @@
 
 use crate::EntrySettings;
 use crate::caller::CallerHandler;
-use crate::config::{self, Current};
+use crate::config::{self, Configuration};
 use crate::directory::{Directory, follow_vms, watch_silence};
 use crate::meters::Meters;
 use crate::peer::{PeerHandler, call_idle};
@@ -55,7 +55,7 @@
 #[derive(Clone)]
 pub struct EntryContext {
     /// Log service.
-    pub log_service: Rc<dyn Records>,
+    pub log_service: Rc<dyn LogService>,
     /// VM list, if there is one.
     pub vm_list: Option<Rc<dyn Vms>>,
 }
@@ -156,16 +156,16 @@
     Options {
         vm: settings.common.vm.clone(),
         region: settings.common.region.clone(),
-        log: settings.log.clone(),
-        vms: join(&settings.vms),
-        peers: settings.peers.clone(),
-        own: settings.peer_address.unwrap_or(bound),
-        store: settings.store.clone(),
+        log_addresses: settings.log.clone(),
+        vm_list_addresses: join(&settings.vms),
+        entry_addresses: settings.peers.clone(),
+        own_address: settings.peer_address.unwrap_or(bound),
+        weight_store: settings.store.clone(),
         retention_ms: saturating_ms(settings.retention.0),
-        body_span: settings.body_span.0,
-        stall: settings.stall.0,
-        answer: usize::try_from(settings.answer.0).unwrap_or(usize::MAX),
-        report_rate: settings.report_rate.0,
+        body_timeout: settings.body_span.0,
+        stall_timeout: settings.stall.0,
+        max_answer_bytes: usize::try_from(settings.answer.0).unwrap_or(usize::MAX),
+        report_bytes_per_s: settings.report_rate.0,
     }
 }
 
@@ -187,22 +187,22 @@
         options,
         timer: timer.clone(),
         turns: Turns::start(TURN).context(TurnsSnafu)?,
-        client: Client::new_ext(ClientOptions::default(), timer),
-        runs: Client::new_ext(run_options(), timer),
+        entry_client: Client::new_ext(ClientOptions::default(), timer),
+        side_client: Client::new_ext(run_options(), timer),
         log: log.clone(),
-        records: Rc::clone(&context.log_service),
-        current: Current::default(),
+        log_service: Rc::clone(&context.log_service),
+        config: Configuration::default(),
         directory: RefCell::new(Directory::new(seed)),
-        budget: RefCell::new(RetryBudget::new_ext(budget)),
-        losses: RefCell::new(RetryBudget::new_ext(LOSSES)),
-        order: RefCell::new(LoadOrder::new_ext(LoadOrderOptions::default())),
+        refusal_budget: RefCell::new(RetryBudget::new_ext(budget)),
+        loss_budget: RefCell::new(RetryBudget::new_ext(LOSSES)),
+        load_order: RefCell::new(LoadOrder::new_ext(LoadOrderOptions::default())),
         readiness: Readiness::new(&[config::CONDITION, LISTENERS, running::RUNNING], log),
         drain: Drain::new(),
         stop: stop.clone(),
         meters: Meters::new(metrics),
         leaving: Cell::new(false),
-        silent: RefCell::default(),
-        turn: Cell::new(0),
+        unreachable_peers: RefCell::default(),
+        next_peer: Cell::new(0),
     };
     Ok(Rc::new(shared))
 }
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -71,7 +71,7 @@
     /// Revision of the configuration in force, 0 for none.
     #[must_use]
     pub fn revision(&self) -> u64 {
-        self.shared.current.revision()
+        self.shared.config.revision()
     }
 
     /// Serves until a stop is asked for and every request under way has ended, or the stop is
