--- a/crates/entry/src/config/snapshots.rs
+++ b/crates/entry/src/config/snapshots.rs
@@ -30,7 +30,7 @@
     let Some(due) = shared.config.due(now, retention) else {
         return false;
     };
-    let entries = shared.directory.borrow().entries();
+    let entries = shared.directory.borrow().entry_vms();
     due.turn(&shared.options.vm, &entries) <= now
 }
 
--- a/crates/entry/src/directory/expire.rs
+++ b/crates/entry/src/directory/expire.rs
@@ -36,7 +36,7 @@
             ];
             shared.log.emit(&events::SIDE_SILENT, &fields);
         }
-        let sides = shared.directory.borrow().len();
+        let sides = shared.directory.borrow().side_count();
         shared.meters.sides(sides);
     }
 }
@@ -45,7 +45,7 @@
     /// Moves silent sides behind the others, and forgets them later.
     fn expire(&mut self, now: Millis) -> Vec<Silence> {
         // Where reports are rare, more time passes before one is missed.
-        let now = now.since(self.patience());
+        let now = now.since(self.missed_report_age());
         for up in self.router.expire(now) {
             let place = self.by_index.get_mut(up.0 as usize);
             if let Some(vm) = place.and_then(Option::take) {
--- a/crates/entry/src/directory/mod.rs
+++ b/crates/entry/src/directory/mod.rs
@@ -22,7 +22,7 @@
 
 pub use dump::SideDump;
 pub(crate) use expire::watch_silence;
-pub(crate) use report::{Pace, Taken};
+pub(crate) use report::{ReportOutcome, ReportPacer};
 pub(crate) use vms::follow_vms;
 
 use listed::Listed;
@@ -38,7 +38,7 @@
     by_index: Vec<Option<VmId>>,
     listed: Listed,
     /// Time between two reports of a side.
-    pace: Millis,
+    report_interval: Millis,
 }
 
 /// Where one attempt goes.
@@ -51,13 +51,13 @@
 
 /// Choice of a destination.
 #[derive(Clone, Debug)]
-pub(crate) enum Chosen {
+pub(crate) enum DestinationChoice {
     /// Send it there.
     Send(Destination),
     /// Every upstream is too late.
-    Late { retry: Millis },
+    TooLate { retry_after: Millis },
     /// No upstream may get work.
-    Nowhere { retry: Millis },
+    NoUpstream { retry_after: Millis },
 }
 
 impl Directory {
@@ -73,12 +73,12 @@
             sides: BTreeMap::new(),
             by_index: Vec::new(),
             listed: Listed::default(),
-            pace: Millis(0),
+            report_interval: Millis(0),
         }
     }
 
     /// Index of a pool.
-    pub(crate) fn pool(&mut self, pool: &PoolId) -> PoolIx {
+    pub(crate) fn pool_index(&mut self, pool: &PoolId) -> PoolIx {
         self.names.pool(pool)
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Index of an adapter's version.
-    pub(crate) fn lora(&mut self, lora: &Lora) -> LoraIx {
+    pub(crate) fn lora_index(&mut self, lora: &Lora) -> LoraIx {
         let given = self.names.lora(lora.base.as_str(), &lora.engine_name());
         if given.fresh {
             self.router.set_lora_key(given.lora, lora_key(lora));
@@ -110,33 +110,33 @@
         ask: &RouteQuery<'_>,
         home: Option<u64>,
         now: Millis,
-    ) -> Chosen {
+    ) -> DestinationChoice {
         let ranked = home.and_then(|home| self.router.choose_by_rank(ask, home, now));
         let choice = match ranked {
             Some(pick) => RouteDecision::Send(pick),
             None => self.router.choose(ask, now),
         };
         match choice {
-            RouteDecision::Refuse { retry_after: retry }
-                if self.router.usable_count(ask.pool) == 0 =>
-            {
-                Chosen::Nowhere { retry }
+            RouteDecision::Refuse { retry_after } if self.router.usable_count(ask.pool) == 0 => {
+                DestinationChoice::NoUpstream { retry_after }
             }
-            RouteDecision::Refuse { retry_after: retry } => Chosen::Late { retry },
+            RouteDecision::Refuse { retry_after } => DestinationChoice::TooLate { retry_after },
             RouteDecision::Send(pick) => match self.destination(pick.up) {
-                Some(destination) => Chosen::Send(destination),
-                None => Chosen::Nowhere { retry: Millis(0) },
+                Some(destination) => DestinationChoice::Send(destination),
+                None => DestinationChoice::NoUpstream {
+                    retry_after: Millis(0),
+                },
             },
         }
     }
 
     /// Counts an attempt sent.
-    pub(crate) fn sent(&mut self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) {
+    pub(crate) fn record_send(&mut self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) {
         self.router.record_send(up, lora, now);
     }
 
     /// Learns from the end of an attempt.
-    pub(crate) fn ended(
+    pub(crate) fn record_outcome(
         &mut self,
         up: UpstreamIx,
         lora: Option<LoraIx>,
@@ -147,17 +147,17 @@
     }
 
     /// Takes in load figures that came with an answer.
-    pub(crate) fn heard(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
+    pub(crate) fn update_load(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
         self.router.update_load(up, load, now);
     }
 
     /// Expected time of a load.
-    pub(crate) fn set_load(&mut self, load: Millis) {
+    pub(crate) fn set_load_time(&mut self, load: Millis) {
         self.router.set_load_time(load);
     }
 
     /// VM of an upstream, for logs.
-    pub(crate) fn vm(&self, up: UpstreamIx) -> &str {
+    pub(crate) fn vm_name(&self, up: UpstreamIx) -> &str {
         let vm = self.by_index.get(up.0 as usize).and_then(Option::as_ref);
         vm.map_or("", VmId::as_str)
     }
@@ -168,27 +168,27 @@
     }
 
     /// Engine name of an adapter's version, for logs.
-    pub(crate) fn engine(&self, lora: LoraIx) -> &str {
+    pub(crate) fn engine_name(&self, lora: LoraIx) -> &str {
         self.names.engine(lora)
     }
 
     /// Sides known.
-    pub(crate) fn len(&self) -> usize {
+    pub(crate) fn side_count(&self) -> usize {
         self.sides.len()
     }
 
     /// Adapters' versions seen so far.
-    pub(crate) fn loras(&self) -> usize {
+    pub(crate) fn lora_count(&self) -> usize {
         self.names.loras()
     }
 
     /// VMs listed.
-    pub(crate) fn listed(&self) -> usize {
+    pub(crate) fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
     /// Entries by the VM list.
-    pub(crate) fn entries(&self) -> BTreeSet<VmId> {
+    pub(crate) fn entry_vms(&self) -> BTreeSet<VmId> {
         self.listed.entries()
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Forgets a side; its index may go to another.
-    fn forget(&mut self, vm: &VmId) -> Option<UpstreamIx> {
+    fn remove_side(&mut self, vm: &VmId) -> Option<UpstreamIx> {
         let side = self.sides.remove(vm)?;
         self.router.forget(side.up);
         if let Some(place) = self.by_index.get_mut(side.up.0 as usize) {
--- a/crates/entry/src/directory/report.rs
+++ b/crates/entry/src/directory/report.rs
@@ -31,25 +31,25 @@
 
 /// Pace of reports, so that all together stay under a rate.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct ReportPacer {
     length: u64,
 }
 
-impl Default for Pace {
+impl Default for ReportPacer {
     fn default() -> Self {
         Self { length: LENGTH }
     }
 }
 
-impl Pace {
+impl ReportPacer {
     /// Counts a report of `length` bytes.
-    pub(crate) fn count(&mut self, length: usize) {
+    pub(crate) fn record_length(&mut self, length: usize) {
         let kept = self.length * (NEW - 1);
         self.length = (kept + length as u64) / NEW;
     }
 
     /// Time until a side's next report, where `sides` share `rate` bytes a second.
-    pub(crate) fn next(self, sides: usize, rate: u64) -> Millis {
+    pub(crate) fn next_interval(self, sides: usize, rate: u64) -> Millis {
         let all = (self.length + WIRE) * sides as u64 * SECOND;
         Millis(all / rate.max(1)).clamp(SHORTEST, LONGEST)
     }
@@ -57,18 +57,18 @@
 
 /// What became of a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum ReportOutcome {
     /// Of an older incarnation, or overtaken.
-    Old,
+    Outdated,
     /// Taken in.
-    Known {
+    Updated {
         /// The next must be whole.
         whole: bool,
         /// Takes no new work since this report.
         leaves: bool,
     },
     /// First one of this incarnation, or after a silence.
-    Seen {
+    Appeared {
         /// The next must be whole.
         whole: bool,
         /// Takes no new work since this report.
@@ -78,7 +78,12 @@
 
 impl Directory {
     /// Takes a report in.
-    pub(crate) fn report(&mut self, report: &Report, config: &Config, now: Millis) -> Taken {
+    pub(crate) fn apply_report(
+        &mut self,
+        report: &Report,
+        config: &Config,
+        now: Millis,
+    ) -> ReportOutcome {
         self.router.set_weights(ObjectiveWeights {
             stall: config.tuning.stall,
             batch: config.tuning.batch,
@@ -86,7 +91,7 @@
         let known = self.sides.get(&report.vm);
         let same = known.is_some_and(|s| s.incarnation == report.incarnation);
         if known.is_some_and(|s| is_old(s, report)) {
-            return Taken::Old;
+            return ReportOutcome::Outdated;
         }
         let silent = known.is_none_or(|s| s.silent);
         let left = same && known.is_some_and(|s| s.leaving);
@@ -98,15 +103,15 @@
         let whole = resident.is_none();
         if !same {
             // What was learned of an earlier process, such as that it leaves, is void.
-            self.forget(&report.vm);
+            self.remove_side(&report.vm);
         }
         let side = self.side(report, resident, config, now);
         let leaves = side.leaving && !left;
         self.put(&report.vm, side, now);
         if same && !silent {
-            return Taken::Known { whole, leaves };
+            return ReportOutcome::Updated { whole, leaves };
         }
-        Taken::Seen { whole, leaves }
+        ReportOutcome::Appeared { whole, leaves }
     }
 
     fn side(
@@ -119,7 +124,7 @@
         let loading = report.loading.as_ref();
         let loading = loading.and_then(|name| self.resident(name, report, config));
         Side {
-            up: self.upstream(&report.vm),
+            up: self.upstream_index(&report.vm),
             address: report.address.clone(),
             incarnation: report.incarnation,
             seq: report.seq,
@@ -133,7 +138,7 @@
             loading,
             revision: report.revision,
             seen: now,
-            next: self.pace,
+            next: self.report_interval,
             silent: false,
         }
     }
@@ -164,12 +169,12 @@
         };
         let (adapter, version) = engine.rsplit_once('@')?;
         let lora = Lora::new(base.as_str(), adapter, version);
-        Some(self.lora(&lora))
+        Some(self.lora_index(&lora))
     }
 
     /// Notes when a side was told to report next, which is the pace of all.
-    pub(crate) fn expect(&mut self, vm: &VmId, next: Millis) {
-        self.pace = next;
+    pub(crate) fn set_report_interval(&mut self, vm: &VmId, next: Millis) {
+        self.report_interval = next;
         if let Some(side) = self.sides.get_mut(vm) {
             side.next = next;
         }
@@ -182,12 +187,12 @@
     }
 
     /// Time beyond which reports are missed, at the pace that holds now.
-    pub(super) fn patience(&self) -> Millis {
-        missed(self.pace)
+    pub(super) fn missed_report_age(&self) -> Millis {
+        missed(self.report_interval)
     }
 
     /// Index of an upstream: the one it has, or a free one.
-    pub(crate) fn upstream(&mut self, vm: &VmId) -> UpstreamIx {
+    pub(crate) fn upstream_index(&mut self, vm: &VmId) -> UpstreamIx {
         if let Some(side) = self.sides.get(vm) {
             return side.up;
         }
--- a/crates/entry/src/directory/vms.rs
+++ b/crates/entry/src/directory/vms.rs
@@ -32,7 +32,7 @@
             }
             Err(e) => note_down(&shared, &mut down, &e.to_string()),
         }
-        let listed = shared.directory.borrow().listed();
+        let listed = shared.directory.borrow().listed_count();
         shared.timer.sleep(pace(listed)).await;
     }
 }
@@ -100,7 +100,7 @@
                 self.router.mark_leaving(side.up);
             }
         }
-        let gone = gone.iter().filter_map(|vm| self.forget(vm)).collect();
+        let gone = gone.iter().filter_map(|vm| self.remove_side(vm)).collect();
         Moved { leaving, gone }
     }
 
--- a/crates/entry/src/peer/load.rs
+++ b/crates/entry/src/peer/load.rs
@@ -50,7 +50,7 @@
 
 pub(super) fn answer(shared: &Shared, bid: &LoadBid) -> LoadTurn {
     let now = shared.timer.now();
-    let up = shared.directory.borrow_mut().upstream(&bid.vm);
+    let up = shared.directory.borrow_mut().upstream_index(&bid.vm);
     let wanted = bid.lora.as_deref().map(|name| Bid {
         lora: lora(shared, name),
         waiting: bid.waiting,
@@ -60,7 +60,7 @@
     let before = shared.load_order.borrow().holder();
     let turn = shared.load_order.borrow_mut().bid(up, wanted.as_ref(), now);
     let load = shared.load_order.borrow().load_time();
-    shared.directory.borrow_mut().set_load(load);
+    shared.directory.borrow_mut().set_load_time(load);
     if let LoadTurn::Go { .. } = turn {
         note(shared, bid, before, up);
     }
@@ -75,8 +75,8 @@
         }
         let directory = shared.directory.borrow();
         let fields = [
-            field("upstream", directory.vm(holder)),
-            field("lora", directory.engine(lora)),
+            field("upstream", directory.vm_name(holder)),
+            field("lora", directory.engine_name(lora)),
         ];
         shared.log.emit(&events::TURN_LAPSED, &fields);
     }
@@ -96,5 +96,5 @@
         declared.map(|a| a.base.clone()).unwrap_or_default()
     });
     let lora = Lora::new(base.as_str(), adapter, version);
-    shared.directory.borrow_mut().lora(&lora)
+    shared.directory.borrow_mut().lora_index(&lora)
 }
--- a/crates/entry/src/peer/mod.rs
+++ b/crates/entry/src/peer/mod.rs
@@ -20,7 +20,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::directory::Pace;
+use crate::directory::ReportPacer;
 use crate::shared::Shared;
 
 /// Longest message, bytes: a report of many slots.
@@ -32,7 +32,7 @@
 /// Handler of the peer listener.
 pub(crate) struct PeerHandler {
     shared: Rc<Shared>,
-    pace: Rc<RefCell<Pace>>,
+    pace: Rc<RefCell<ReportPacer>>,
 }
 
 /// A message as it came.
@@ -60,7 +60,7 @@
 
 async fn answer(
     shared: &Rc<Shared>,
-    pace: &RefCell<Pace>,
+    pace: &RefCell<ReportPacer>,
     request: Incoming,
     peer: SocketAddr,
 ) -> Reply {
--- a/crates/entry/src/peer/report.rs
+++ b/crates/entry/src/peer/report.rs
@@ -9,31 +9,36 @@
 
 use super::Message;
 use crate::config::catch_up;
-use crate::directory::{Pace, Taken};
+use crate::directory::{ReportOutcome, ReportPacer};
 use crate::shared::Shared;
 
 pub(super) fn answer(
     shared: &Rc<Shared>,
-    pace: &RefCell<Pace>,
+    pace: &RefCell<ReportPacer>,
     message: &Message<Report>,
 ) -> Result<ReportReply, String> {
     let report = &message.value;
     if report.address.parse::<SocketAddr>().is_err() {
         return Err(format!("address {:?} of {}", report.address, report.vm));
     }
-    pace.borrow_mut().count(message.length);
+    pace.borrow_mut().record_length(message.length);
     let now = shared.timer.now();
     let taken = shared.config.with(|config| {
         let mut directory = shared.directory.borrow_mut();
-        directory.report(report, config, now)
+        directory.apply_report(report, config, now)
     });
     if shared.config.is_behind(report.revision) {
         catch_up(shared);
     }
-    let sides = shared.directory.borrow().len();
+    let sides = shared.directory.borrow().side_count();
     shared.meters.report(sides);
-    let next = pace.borrow().next(sides, shared.options.report_bytes_per_s);
-    shared.directory.borrow_mut().expect(&report.vm, next);
+    let next = pace
+        .borrow()
+        .next_interval(sides, shared.options.report_bytes_per_s);
+    shared
+        .directory
+        .borrow_mut()
+        .set_report_interval(&report.vm, next);
     Ok(ReportReply {
         next_ms: next.0,
         revision: shared.config.revision(),
@@ -42,11 +47,11 @@
 }
 
 /// Logs what a report changed; gives whether the next must be whole.
-fn note(shared: &Shared, report: &Report, taken: &Taken) -> bool {
+fn note(shared: &Shared, report: &Report, taken: &ReportOutcome) -> bool {
     let (whole, leaves) = match *taken {
-        Taken::Old => return false,
-        Taken::Known { whole, leaves } => (whole, leaves),
-        Taken::Seen { whole, leaves } => {
+        ReportOutcome::Outdated => return false,
+        ReportOutcome::Updated { whole, leaves } => (whole, leaves),
+        ReportOutcome::Appeared { whole, leaves } => {
             note_seen(shared, report);
             (whole, leaves)
         }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -132,7 +132,7 @@
         if let Some(load) = load {
             let now = shared.timer.now();
             let up = self.destination.up;
-            shared.directory.borrow_mut().heard(up, load, now);
+            shared.directory.borrow_mut().update_load(up, load, now);
         }
     }
 
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -12,7 +12,7 @@
 use super::outgoing::Outgoing;
 use super::{AnswerHead, Attempt, Failure, History, Job};
 use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
-use crate::directory::{Chosen, Destination};
+use crate::directory::{Destination, DestinationChoice};
 use crate::meters::End;
 use crate::shared::Shared;
 
@@ -93,9 +93,9 @@
         let now = self.timer().now();
         let home = self.job.home();
         match self.shared.directory.borrow_mut().choose(&ask, home, now) {
-            Chosen::Send(destination) => Ok(destination),
-            Chosen::Late { retry } => Err(Failure::Late { retry }),
-            Chosen::Nowhere { retry } => Err(Failure::Nowhere { retry }),
+            DestinationChoice::Send(destination) => Ok(destination),
+            DestinationChoice::TooLate { retry_after: retry } => Err(Failure::Late { retry }),
+            DestinationChoice::NoUpstream { retry_after: retry } => Err(Failure::Nowhere { retry }),
         }
     }
 
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -70,8 +70,8 @@
     };
     let mut directory = shared.directory.borrow_mut();
     Ok(Resolved {
-        pool_ix: directory.pool(&pool),
-        lora_ix: Some(directory.lora(&lora)),
+        pool_ix: directory.pool_index(&pool),
+        lora_ix: Some(directory.lora_index(&lora)),
         engine: Some(lora.engine_name()),
         prefix_seed: lora_key(&lora),
         parts: 1,
@@ -159,7 +159,7 @@
     });
     let resolved = Resolved {
         target,
-        pool_ix: shared.directory.borrow_mut().pool(&found.pool),
+        pool_ix: shared.directory.borrow_mut().pool_index(&found.pool),
         pool: found.pool,
         lora_ix: None,
         engine: None,
--- a/crates/entry/src/request/sent.rs
+++ b/crates/entry/src/request/sent.rs
@@ -19,7 +19,7 @@
 impl SentGuard {
     pub(super) fn new(shared: &Rc<Shared>, up: UpstreamIx, lora: Option<LoraIx>) -> Self {
         let now = shared.timer.now();
-        shared.directory.borrow_mut().sent(up, lora, now);
+        shared.directory.borrow_mut().record_send(up, lora, now);
         shared.meters.attempt();
         Self {
             shared: Rc::clone(shared),
@@ -42,6 +42,6 @@
         let given_up = AttemptOutcome::Refused(Reason::Deadline, None);
         let outcome = self.outcome.unwrap_or(given_up);
         let mut directory = self.shared.directory.borrow_mut();
-        directory.ended(self.up, self.lora, outcome, now);
+        directory.record_outcome(self.up, self.lora, outcome, now);
     }
 }
