--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -31,7 +31,7 @@
 
 /// Caller of a request.
 pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, ApiError> {
-    let caller = bearer(incoming).and_then(|key| shared.config.caller(key));
+    let caller = bearer(incoming).and_then(|key| shared.config.caller_by_key(key));
     caller
         .ok_or_else(|| ApiError::rejected(401, "invalid_api_key", "no known key in Authorization"))
 }
--- a/crates/entry/src/caller/seen.rs
+++ b/crates/entry/src/caller/seen.rs
@@ -6,7 +6,7 @@
 use pumicecleat_types::{CallerId, Millis, RequestId};
 
 use crate::api_error::ApiError;
-use crate::meters::End;
+use crate::meters::RequestEnd;
 use crate::shared::Shared;
 
 /// What is known of a request so far.
@@ -23,7 +23,9 @@
     /// Counts and logs a refusal before any attempt.
     pub(super) fn refused(&self, shared: &Shared, fault: &ApiError) {
         let took = shared.timer.now().since(self.arrived);
-        shared.meters.ended(End::Fault, fault.code, took);
+        shared
+            .meters
+            .record_end(RequestEnd::Failed, fault.code, took);
         match fault.status {
             401 | 403 | 404 => self.note_caller(shared, fault),
             503 => self.note_later(shared, fault),
--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -41,7 +41,7 @@
 const REFRESH_SPAN: Duration = Duration::from_millis(500);
 
 /// Name of the readiness condition.
-pub(crate) const CONDITION: &str = "config";
+pub(crate) const CONFIG_CONDITION: &str = "config";
 
 /// Follows the stream until the process ends.
 pub(crate) async fn follow(shared: Rc<Shared>) {
@@ -206,7 +206,7 @@
         field("source", source),
     ];
     shared.log.emit(&events::CONFIG_IN_FORCE, &fields);
-    shared.meters.revision(revision);
+    shared.meters.set_revision(revision);
     if source != "log" {
         hold(shared);
     }
@@ -222,7 +222,7 @@
 fn hold(shared: &Shared) {
     if shared.config.revision() > 0 {
         shared.config.vouched.set(true);
-        shared.readiness.hold(CONDITION);
+        shared.readiness.hold(CONFIG_CONDITION);
     }
 }
 
@@ -260,7 +260,7 @@
 
 impl Configuration {
     /// Whether another process speaks of a newer revision than the one in force here.
-    pub(crate) fn is_behind(&self, revision: u64) -> bool {
+    pub(crate) fn is_older_than(&self, revision: u64) -> bool {
         revision > self.revision()
     }
 }
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -16,7 +16,7 @@
 use pumicecleat_types::{CallerId, ConfigAsk, ConfigReply, LogRecord, Millis};
 use serde::{Deserialize, Serialize};
 
-pub(crate) use follow::{CONDITION, catch_up, ensure_fresh, follow, refresh};
+pub(crate) use follow::{CONFIG_CONDITION, catch_up, ensure_fresh, follow, refresh};
 pub(crate) use snapshots::append_snapshots;
 
 use recent::Recent;
@@ -79,7 +79,7 @@
     }
 
     /// Caller that holds a bearer key.
-    pub(crate) fn caller(&self, bearer: &str) -> Option<CallerId> {
+    pub(crate) fn caller_by_key(&self, bearer: &str) -> Option<CallerId> {
         self.state.borrow().keys.caller(bearer).cloned()
     }
 
--- a/crates/entry/src/directory/expire.rs
+++ b/crates/entry/src/directory/expire.rs
@@ -37,7 +37,7 @@
             shared.log.emit(&events::SIDE_SILENT, &fields);
         }
         let sides = shared.directory.borrow().side_count();
-        shared.meters.sides(sides);
+        shared.meters.set_sides(sides);
     }
 }
 
--- a/crates/entry/src/meters.rs
+++ b/crates/entry/src/meters.rs
@@ -14,44 +14,44 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum RequestEnd {
     /// Answered whole.
-    Whole,
+    Completed,
     /// Answered by an error.
-    Fault,
+    Failed,
     /// Stream ended visibly broken.
     Broken,
     /// Caller went away.
-    Gone,
+    CallerGone,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct EndLabel {
+struct RequestLabels {
     outcome: &'static str,
     code: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct ReasonLabel {
+struct ReasonLabels {
     reason: &'static str,
 }
 
 /// Handles of the metrics.
 pub(crate) struct Meters {
-    requests: Family<EndLabel, Counter>,
+    requests: Family<RequestLabels, Counter>,
     attempts: Counter,
-    retries: Family<ReasonLabel, Counter>,
-    refusals: Family<ReasonLabel, Counter>,
+    retries: Family<ReasonLabels, Counter>,
+    refusals: Family<ReasonLabels, Counter>,
     resumes: Counter,
     mismatches: Counter,
-    first: Histogram,
-    total: Histogram,
+    first_byte_time: Histogram,
+    total_time: Histogram,
     streams: Gauge,
     sides: Gauge,
     reports: Counter,
     revision: Gauge,
-    prompt: Counter,
-    cached: Counter,
+    prompt_tokens: Counter,
+    cached_tokens: Counter,
 }
 
 impl fmt::Debug for Meters {
@@ -73,12 +73,12 @@
                 "entry_mismatches",
                 "Answers of another request, adapter or version",
             ),
-            first: metrics.histogram(
+            first_byte_time: metrics.histogram(
                 "entry_first_seconds",
                 "Time from a request's head to the first bytes of its answer",
                 &LATENCY,
             ),
-            total: metrics.histogram(
+            total_time: metrics.histogram(
                 "entry_total_seconds",
                 "Time from a request's head to its end",
                 &LATENCY,
@@ -87,52 +87,52 @@
             sides: metrics.gauge("entry_sides", "Sides known"),
             reports: metrics.counter("entry_reports", "Reports of sides taken in"),
             revision: metrics.gauge("entry_revision", "Revision of the configuration in force"),
-            prompt: metrics.counter(
+            prompt_tokens: metrics.counter(
                 "entry_prompt_tokens",
                 "Prompt tokens, of whole answers that tell",
             ),
-            cached: metrics.counter(
+            cached_tokens: metrics.counter(
                 "entry_prompt_cached_tokens",
                 "Those of them that engines had cached",
             ),
         }
     }
 
-    pub(crate) fn ended(&self, end: End, code: &'static str, took: Millis) {
+    pub(crate) fn record_end(&self, end: RequestEnd, code: &'static str, took: Millis) {
         let outcome = match end {
-            End::Whole => "whole",
-            End::Fault => "fault",
-            End::Broken => "broken",
-            End::Gone => "gone",
+            RequestEnd::Completed => "whole",
+            RequestEnd::Failed => "fault",
+            RequestEnd::Broken => "broken",
+            RequestEnd::CallerGone => "gone",
         };
         self.requests
-            .get_or_create(&EndLabel { outcome, code })
+            .get_or_create(&RequestLabels { outcome, code })
             .inc();
-        self.total.observe(took.as_secs());
+        self.total_time.observe(took.as_secs());
     }
 
-    pub(crate) fn attempt(&self) {
+    pub(crate) fn count_attempt(&self) {
         self.attempts.inc();
     }
 
-    pub(crate) fn retried(&self, reason: &'static str) {
-        self.retries.get_or_create(&ReasonLabel { reason }).inc();
+    pub(crate) fn count_retry(&self, reason: &'static str) {
+        self.retries.get_or_create(&ReasonLabels { reason }).inc();
     }
 
-    pub(crate) fn refused(&self, reason: &'static str) {
-        self.refusals.get_or_create(&ReasonLabel { reason }).inc();
+    pub(crate) fn count_refusal(&self, reason: &'static str) {
+        self.refusals.get_or_create(&ReasonLabels { reason }).inc();
     }
 
-    pub(crate) fn resumed(&self) {
+    pub(crate) fn count_resume(&self) {
         self.resumes.inc();
     }
 
-    pub(crate) fn mismatch(&self) {
+    pub(crate) fn count_mismatch(&self) {
         self.mismatches.inc();
     }
 
-    pub(crate) fn first(&self, took: Millis) {
-        self.first.observe(took.as_secs());
+    pub(crate) fn record_first_byte(&self, took: Millis) {
+        self.first_byte_time.observe(took.as_secs());
     }
 
     pub(crate) fn stream_opened(&self) {
@@ -143,23 +143,23 @@
         self.streams.dec();
     }
 
-    pub(crate) fn report(&self, sides: usize) {
+    pub(crate) fn count_report(&self, sides: usize) {
         self.reports.inc();
-        self.sides(sides);
+        self.set_sides(sides);
     }
 
-    pub(crate) fn sides(&self, sides: usize) {
+    pub(crate) fn set_sides(&self, sides: usize) {
         self.sides.set(i64::try_from(sides).unwrap_or(i64::MAX));
     }
 
-    pub(crate) fn prompt(&self, usage: &Usage) {
-        self.prompt.inc_by(usage.prompt);
+    pub(crate) fn count_tokens(&self, usage: &Usage) {
+        self.prompt_tokens.inc_by(usage.prompt);
         // No engine can have found more than there was.
         let cached = usage.details.cached.unwrap_or(0).min(usage.prompt);
-        self.cached.inc_by(cached);
+        self.cached_tokens.inc_by(cached);
     }
 
-    pub(crate) fn revision(&self, revision: u64) {
+    pub(crate) fn set_revision(&self, revision: u64) {
         self.revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
     }
--- a/crates/entry/src/peer/report.rs
+++ b/crates/entry/src/peer/report.rs
@@ -27,11 +27,11 @@
         let mut directory = shared.directory.borrow_mut();
         directory.apply_report(report, config, now)
     });
-    if shared.config.is_behind(report.revision) {
+    if shared.config.is_older_than(report.revision) {
         catch_up(shared);
     }
     let sides = shared.directory.borrow().side_count();
-    shared.meters.report(sides);
+    shared.meters.count_report(sides);
     let next = pace
         .borrow()
         .next_interval(sides, shared.options.report_bytes_per_s);
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -13,7 +13,7 @@
 use super::{AnswerHead, Attempt, Failure, History, Job};
 use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::directory::{Destination, DestinationChoice};
-use crate::meters::End;
+use crate::meters::RequestEnd;
 use crate::shared::Shared;
 
 /// Time beyond the deadline for a side's own word on it.
@@ -102,7 +102,7 @@
     /// Counts the tokens of a whole answer, if its engine tells.
     pub(crate) fn note_usage(&self, usage: Option<Usage>) {
         if let Some(usage) = usage {
-            self.shared.meters.prompt(&usage);
+            self.shared.meters.count_tokens(&usage);
         }
     }
 
@@ -120,12 +120,12 @@
     /// Notes that the first bytes of the answer are there.
     pub(crate) fn note_first(&self) {
         let took = self.timer().now().since(self.job.arrived);
-        self.shared.meters.first(took);
+        self.shared.meters.record_first_byte(took);
     }
 
     /// Notes that the answer is whole.
     pub(crate) fn note_whole(&mut self) {
-        let took = self.close(End::Whole, "");
+        let took = self.close(RequestEnd::Completed, "");
         let fields = [
             field("request", &self.job.request),
             field("caller", &self.job.caller),
@@ -139,7 +139,7 @@
 
     /// Notes the fault that answers the request.
     pub(crate) fn note_fault(&mut self, fault: &ApiError) {
-        self.close(End::Fault, fault.code);
+        self.close(RequestEnd::Failed, fault.code);
         if fault.ran != Ran::No {
             return self.note_broken("answer", fault.ran, &fault.message);
         }
@@ -156,7 +156,7 @@
 
     /// Notes that the stream ends visibly broken.
     pub(crate) fn note_cut(&mut self, fault: &ApiError, error: &str) {
-        self.close(End::Broken, fault.code);
+        self.close(RequestEnd::Broken, fault.code);
         self.note_broken("stream", fault.ran, error);
     }
 
@@ -173,10 +173,10 @@
         self.shared.log.emit(&events::REQUEST_BROKEN, &fields);
     }
 
-    fn close(&mut self, end: End, code: &'static str) -> Millis {
+    fn close(&mut self, end: RequestEnd, code: &'static str) -> Millis {
         self.ended = true;
         let took = self.timer().now().since(self.job.arrived);
-        self.shared.meters.ended(end, code, took);
+        self.shared.meters.record_end(end, code, took);
         took
     }
 
@@ -192,7 +192,7 @@
         if self.ended {
             return;
         }
-        self.close(End::Gone, "caller_gone");
+        self.close(RequestEnd::CallerGone, "caller_gone");
         let fields = [
             field("request", &self.job.request),
             field("caller", &self.job.caller),
--- a/crates/entry/src/request/sent.rs
+++ b/crates/entry/src/request/sent.rs
@@ -20,7 +20,7 @@
     pub(super) fn new(shared: &Rc<Shared>, up: UpstreamIx, lora: Option<LoraIx>) -> Self {
         let now = shared.timer.now();
         shared.directory.borrow_mut().record_send(up, lora, now);
-        shared.meters.attempt();
+        shared.meters.count_attempt();
         Self {
             shared: Rc::clone(shared),
             up,
--- a/crates/entry/src/request/settle.rs
+++ b/crates/entry/src/request/settle.rs
@@ -45,7 +45,7 @@
     pub(crate) fn note_failure(&mut self, failure: &Failure) {
         self.history.end(failure.ran());
         if let Failure::Refused(_) = failure {
-            self.shared.meters.refused(failure.cause());
+            self.shared.meters.count_refusal(failure.cause());
         }
         if let Failure::Lost(loss) = failure
             && loss.stalled
@@ -58,7 +58,7 @@
         let Failure::Mismatch { asked, answered } = failure else {
             return;
         };
-        self.shared.meters.mismatch();
+        self.shared.meters.count_mismatch();
         let fields = [
             field("request", &self.job.request),
             field("attempt", self.history.attempts),
@@ -97,7 +97,7 @@
     }
 
     fn note_retry(&self, failure: &Failure) {
-        self.shared.meters.retried(failure.cause());
+        self.shared.meters.count_retry(failure.cause());
         let fields = [
             field("request", &self.job.request),
             field("attempt", self.history.attempts),
--- a/crates/entry/src/start/mod.rs
+++ b/crates/entry/src/start/mod.rs
@@ -49,7 +49,7 @@
 const TURN: usize = 16;
 
 /// Readiness condition of the listeners.
-const LISTENERS: &str = "listeners";
+const LISTENERS_CONDITION: &str = "listeners";
 
 /// The platform as an entry needs it.
 #[derive(Clone)]
@@ -136,7 +136,7 @@
             ..ServerOptions::default()
         };
         let peers = serve(peers, handler, limits, timer);
-        shared.readiness.hold(LISTENERS);
+        shared.readiness.hold(LISTENERS_CONDITION);
         spawn_loops(&shared, context);
         let servers = running::Servers {
             callers,
@@ -196,7 +196,14 @@
         refusal_budget: RefCell::new(RetryBudget::new_ext(budget)),
         loss_budget: RefCell::new(RetryBudget::new_ext(LOSSES)),
         load_order: RefCell::new(LoadOrder::new_ext(LoadOrderOptions::default())),
-        readiness: Readiness::new(&[config::CONDITION, LISTENERS, running::RUNNING], log),
+        readiness: Readiness::new(
+            &[
+                config::CONFIG_CONDITION,
+                LISTENERS_CONDITION,
+                running::RUNNING_CONDITION,
+            ],
+            log,
+        ),
         drain: Drain::new(),
         stop: stop.clone(),
         meters: Meters::new(metrics),
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -10,7 +10,7 @@
 use crate::shared::Shared;
 
 /// Readiness condition that a stop takes away.
-pub(super) const RUNNING: &str = "running";
+pub(super) const RUNNING_CONDITION: &str = "running";
 
 /// Longest wait for the last bytes of answers that have ended to leave.
 const FLUSH: Duration = Duration::from_secs(1);
@@ -47,7 +47,7 @@
         servers: Servers,
         limit: Duration,
     ) -> Self {
-        shared.readiness.hold(RUNNING);
+        shared.readiness.hold(RUNNING_CONDITION);
         Self {
             shared,
             addresses,
@@ -85,7 +85,7 @@
         };
         let fields = [field("source", source)];
         self.shared.log.emit(&events::STOP_ASKED, &fields);
-        self.shared.readiness.fail(RUNNING, "stopping");
+        self.shared.readiness.fail(RUNNING_CONDITION, "stopping");
         let drain = &self.shared.drain;
         let end = drain
             .finish(
--- a/crates/entry/src/stream/resume.rs
+++ b/crates/entry/src/stream/resume.rs
@@ -73,7 +73,7 @@
 
     fn note_resumed(&self, from: &str) {
         let exchange = &self.exchange;
-        exchange.shared.meters.resumed();
+        exchange.shared.meters.count_resume();
         let fields = [
             field("request", &exchange.job.request),
             field("attempt", exchange.history.attempts),
