--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -1,9 +1,10 @@
-//! Reading on in the log.
+//! Following the configuration stream of the log.
 //!
-//! The fold only moves forward, so that a process which was paused, or reads twice at once, takes
-//! nothing back. During an outage the revision held stays in force; other entries are asked for a
-//! newer one. The platform's `Follower` is not used here: it tells only once that it has caught up,
-//! while requests need to know when the log was last read to its end.
+//! The fold only moves forward, so a process that was paused or runs two reads at once never goes
+//! back to an older revision. During an outage the current revision stays in force, and other
+//! entries are queried for a newer one. The platform's `Follower` is not used here because it
+//! reports only once that it has caught up, whereas requests need to know when the log was last
+//! read to its end.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,115 +17,115 @@
 use super::{Configuration, STREAM, peers};
 use crate::shared::Shared;
 
-/// Records of one read.
-const READ_RECORDS: u32 = 256;
+const MAX_RECORDS_PER_READ: u32 = 256;
 
-/// Longest wait of a read for a record.
-const READ_WAIT: Duration = Duration::from_secs(2);
+/// Time for which a read waits for a record.
+const MAX_READ_WAIT: Duration = Duration::from_secs(2);
 
-/// Pause after a read that failed.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Pause after a read that gave nothing.
-const SHORT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a read that did not advance the fold.
+const EMPTY_READ_DELAY: Duration = Duration::from_millis(50);
 
-/// Items of a snapshot checked in a row, about two milliseconds of work.
-const SLICE_ITEMS: u32 = 256;
+/// Snapshot items checked without yielding, about two milliseconds of work.
+const MAX_SLICE_ITEMS: u32 = 256;
 
-/// Pause between two slices.
+/// Pause between two slices of a snapshot.
 const SLICE_PAUSE: Duration = Duration::from_millis(1);
 
-/// Age of the last read up to which a request is decided without another.
-const FRESH: Millis = Millis(5_000);
+/// Maximum age of the last read to the log's end for serving a request without another read.
+const MAX_READ_AGE: Millis = Millis(5_000);
 
-/// Longest wait of a request for a read.
-const REFRESH_SPAN: Duration = Duration::from_millis(500);
+/// Time for which a request waits for a read.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Name of the readiness condition.
+/// Readiness condition of the configuration.
 pub(crate) const CONFIG_CONDITION: &str = "config";
 
 /// Follows the stream until the process ends.
 pub(crate) async fn follow(shared: Rc<Shared>) {
     loop {
-        let before = shared.config.next();
-        if !read_on(&shared, READ_WAIT).await {
-            peers::ask(&shared).await;
-            shared.timer.sleep(PAUSE).await;
-        } else if shared.config.next() == before {
-            // Neither a log that does not wait by itself nor a record that can't be judged may
-            // make this loop spin.
-            shared.timer.sleep(SHORT_PAUSE).await;
+        let before = shared.config.next_offset();
+        if !read_batch(&shared, MAX_READ_WAIT).await {
+            peers::fetch_from_peers(&shared).await;
+            shared.timer.sleep(RETRY_DELAY).await;
+        } else if shared.config.next_offset() == before {
+            // Prevents a busy loop if the log returns without waiting, or if a record can't be
+            // applied.
+            shared.timer.sleep(EMPTY_READ_DELAY).await;
         }
     }
 }
 
-/// Reads what the log holds now, if it was not read lately: after a pause of the process.
+/// Reads the log to its end if that was not done recently, such as after a pause of the process.
 pub(crate) async fn ensure_fresh(shared: &Shared) {
     let current = &shared.config;
-    if current.outage.get().is_some() || current.is_fresh(shared.timer.now(), FRESH) {
+    if current.outage_since.get().is_some() || current.is_fresh(shared.timer.now(), MAX_READ_AGE) {
         return;
     }
-    // Boxed, as each request would hold room for it.
+    // Boxed to keep the future of each request small.
     Box::pin(refresh(shared)).await;
 }
 
-/// Reads what the log holds now; during an outage asks other entries.
+/// Reads the log without waiting for new records, or queries other entries during an outage.
 pub(crate) async fn refresh(shared: &Shared) {
     let read = async {
-        if !read_on(shared, Duration::ZERO).await {
-            peers::ask(shared).await;
+        if !read_batch(shared, Duration::ZERO).await {
+            peers::fetch_from_peers(shared).await;
         }
     };
-    // Out of time, the revision held decides; sides refuse what is older than theirs.
-    let _ = shared.timer.within(REFRESH_SPAN, read).await;
+    // After a timeout the current revision is used. Sides reject requests with an older revision
+    // than theirs.
+    let _ = shared.timer.within(REFRESH_TIMEOUT, read).await;
 }
 
-/// Reads once from the offset wanted; false if the log did not answer.
-async fn read_on(shared: &Shared, wait: Duration) -> bool {
-    let from = shared.config.next();
+/// Reads one batch from the next offset. Returns false if the read failed.
+async fn read_batch(shared: &Shared, wait: Duration) -> bool {
+    let from = shared.config.next_offset();
     let read = shared
         .log_service
-        .read(STREAM, from, READ_RECORDS, wait)
+        .read(STREAM, from, MAX_RECORDS_PER_READ, wait)
         .await;
     match read {
-        Ok(batch) => take(shared, &batch).await,
+        Ok(batch) => apply_batch(shared, &batch).await,
         Err(ReadError::Trimmed { first, .. }) => {
             return skip_to_snapshot(shared, from, first).await;
         }
         Err(e) => {
-            note_down(shared, &e);
+            record_outage(shared, &e);
             return false;
         }
     }
     true
 }
 
-async fn take(shared: &Shared, batch: &Batch) {
-    note_up(shared);
+async fn apply_batch(shared: &Shared, batch: &Batch) {
+    clear_outage(shared);
     for record in &batch.records {
         let scan = scan(shared, record).await;
-        if !apply(shared, record, scan) {
+        if !apply_record(shared, record, scan) {
             return;
         }
     }
-    if shared.config.next() >= batch.next {
-        confirm(shared);
+    if shared.config.next_offset() >= batch.next {
+        on_read_to_end(shared);
     }
 }
 
-/// Goes through a snapshot record in slices: in one step it would hold up every stream.
+/// Scans a snapshot record in slices, because a scan in one step would delay every stream.
 async fn scan<'r>(shared: &Shared, record: &'r LogRecord) -> Option<Scan<'r>> {
-    if record.offset != shared.config.next() {
+    if record.offset != shared.config.next_offset() {
         return None;
     }
     let mut scan = Scan::open(&record.data)?;
-    while scan.step(SLICE_ITEMS) {
+    while scan.step(MAX_SLICE_ITEMS) {
         shared.timer.sleep(SLICE_PAUSE).await;
     }
     Some(scan)
 }
 
-/// Reads from the oldest record kept up to a snapshot that starts the fold anew.
+/// Reads from the oldest retained record up to a snapshot that restarts the fold.
 async fn skip_to_snapshot(shared: &Shared, wanted: u64, first: u64) -> bool {
     let fields = [
         field("stream", STREAM),
@@ -136,19 +137,19 @@
     loop {
         let read = shared
             .log_service
-            .read(STREAM, from, READ_RECORDS, Duration::ZERO)
+            .read(STREAM, from, MAX_RECORDS_PER_READ, Duration::ZERO)
             .await;
         let batch = match read {
             Ok(batch) => batch,
             Err(e) => {
-                note_down(shared, &e);
+                record_outage(shared, &e);
                 return false;
             }
         };
         let started = batch
             .records
             .iter()
-            .any(|record| apply(shared, record, None));
+            .any(|record| apply_record(shared, record, None));
         if started {
             return true;
         }
@@ -159,20 +160,20 @@
     }
 }
 
-/// Takes a record in; false if it lies behind a gap that it can't close.
-fn apply(shared: &Shared, record: &LogRecord, scan: Option<Scan<'_>>) -> bool {
+/// Applies a record. Returns false if it lies beyond a gap that it does not close.
+fn apply_record(shared: &Shared, record: &LogRecord, scan: Option<Scan<'_>>) -> bool {
     let Ok(event) = shared.config.apply(record, scan) else {
         return false;
     };
     let offset = field("offset", record.offset);
     match &event {
-        FoldEvent::Accepted { .. } | FoldEvent::Started { .. } => in_force(shared, "log"),
+        FoldEvent::Accepted { .. } | FoldEvent::Started { .. } => on_new_revision(shared, "log"),
         FoldEvent::Refused { cause, .. } => {
             let revision = field("revision", shared.config.revision());
             let fields = [revision, offset, field("reason", cause)];
             shared.log.emit(&events::CONFIG_REFUSED, &fields);
         }
-        FoldEvent::Newer { format, .. } => note_newer(shared, record.offset, *format),
+        FoldEvent::Newer { format, .. } => log_unsupported_format(shared, record.offset, *format),
         FoldEvent::Garbage { detail, .. } => {
             let fields = [offset, field("error", detail)];
             shared.log.emit(&events::RECORD_BAD, &fields);
@@ -183,13 +184,13 @@
         }
         _ => {}
     }
-    shared.config.next() > record.offset || matches!(event, FoldEvent::Started { .. })
+    shared.config.next_offset() > record.offset || matches!(event, FoldEvent::Started { .. })
 }
 
-/// Logs once that this process can't follow. It serves on by the revision held; sides that know
-/// more refuse what differs.
-fn note_newer(shared: &Shared, offset: u64, format: u32) {
-    if shared.config.newer.replace(Some(offset)) == Some(offset) {
+/// Logs once per record that its format is not supported. The process continues with its current
+/// revision, and sides with a newer one reject requests that differ from it.
+fn log_unsupported_format(shared: &Shared, offset: u64, format: u32) {
+    if shared.config.unsupported_offset.replace(Some(offset)) == Some(offset) {
         return;
     }
     let error = format!("format {format} is newer than this program");
@@ -197,47 +198,47 @@
     shared.log.emit(&events::RECORD_BAD, &fields);
 }
 
-/// Notes that a newer revision is in force.
-pub(super) fn in_force(shared: &Shared, source: &str) {
+/// Logs and counts a new revision. One received from a peer also makes the entry ready.
+pub(super) fn on_new_revision(shared: &Shared, source: &str) {
     let revision = shared.config.revision();
     let fields = [
         field("revision", revision),
-        field("offset", shared.config.next()),
+        field("offset", shared.config.next_offset()),
         field("source", source),
     ];
     shared.log.emit(&events::CONFIG_IN_FORCE, &fields);
     shared.meters.set_revision(revision);
     if source != "log" {
-        hold(shared);
+        mark_ready(shared);
     }
 }
 
-/// Becomes ready with a configuration that is read to its end.
-fn confirm(shared: &Shared) {
+/// Records that the log was read to its end, which makes the entry ready.
+fn on_read_to_end(shared: &Shared) {
     let now = shared.timer.now();
-    shared.config.confirmed.set(Some(now));
-    hold(shared);
+    shared.config.read_to_end_at.set(Some(now));
+    mark_ready(shared);
 }
 
-fn hold(shared: &Shared) {
+fn mark_ready(shared: &Shared) {
     if shared.config.revision() > 0 {
-        shared.config.vouched.set(true);
+        shared.config.authoritative.set(true);
         shared.readiness.hold(CONFIG_CONDITION);
     }
 }
 
-fn note_down(shared: &Shared, error: &ReadError) {
-    if shared.config.outage.get().is_some() {
+fn record_outage(shared: &Shared, error: &ReadError) {
+    if shared.config.outage_since.get().is_some() {
         return;
     }
-    shared.config.outage.set(Some(shared.timer.now()));
+    shared.config.outage_since.set(Some(shared.timer.now()));
     let address = field("address", shared.options.log_addresses.as_str());
     let fields = [address, field("step", "read"), field("error", error)];
     shared.log.emit(&events::LOG_DOWN, &fields);
 }
 
-fn note_up(shared: &Shared) {
-    let Some(since) = shared.config.outage.take() else {
+fn clear_outage(shared: &Shared) {
+    let Some(since) = shared.config.outage_since.take() else {
         return;
     };
     let down = shared.timer.now().since(since).0;
@@ -246,20 +247,21 @@
     shared.log.emit(&events::LOG_UP, &fields);
 }
 
-/// Reads the log at once, as a side holds a newer revision; one read serves all that say so.
-pub(crate) fn catch_up(shared: &Rc<Shared>) {
-    if shared.config.catching_up.replace(true) {
+/// Reads the log at once because a side has a newer revision. Calls during such a read start no
+/// other one.
+pub(crate) fn spawn_refresh(shared: &Rc<Shared>) {
+    if shared.config.refreshing.replace(true) {
         return;
     }
     let shared = Rc::clone(shared);
     monoio::spawn(async move {
         refresh(&shared).await;
-        shared.config.catching_up.set(false);
+        shared.config.refreshing.set(false);
     });
 }
 
 impl Configuration {
-    /// Whether another process speaks of a newer revision than the one in force here.
+    /// Whether `revision`, reported by another process, is newer than the one in force here.
     pub(crate) fn is_older_than(&self, revision: u64) -> bool {
         revision > self.revision()
     }
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The configuration in force at this entry: the fold, what is derived from it, and how it is kept
-//! up to date.
+//! Configuration in force at this entry: the fold, the state derived from it, and how both are
+//! kept up to date.
 //!
-//! `follow` reads the log, `peers` asks other entries while the log is down, `snapshots` appends
-//! snapshot records, and `recent` keeps the last records for sides and starting entries.
+//! `follow` reads the log, `peers` queries other entries while the log is down, `snapshots` appends
+//! snapshot records, and `recent` buffers the latest records for sides and starting entries.
 
 mod follow;
 mod peers;
@@ -16,49 +16,51 @@
 use pumicecleat_types::{CallerId, ConfigAsk, ConfigReply, LogRecord, Millis};
 use serde::{Deserialize, Serialize};
 
-pub(crate) use follow::{CONFIG_CONDITION, catch_up, ensure_fresh, follow, refresh};
+pub(crate) use follow::{CONFIG_CONDITION, ensure_fresh, follow, refresh, spawn_refresh};
 pub(crate) use snapshots::append_snapshots;
 
-use recent::Recent;
+use recent::RecentRecords;
 
-/// Stream of the configuration.
+/// Log stream of the configuration.
 const STREAM: &str = "config";
 
 /// Configuration in force.
 #[derive(Default)]
 pub(crate) struct Configuration {
-    state: RefCell<State>,
-    confirmed: Cell<Option<Millis>>,
-    /// What is held was the newest when it was read: to the log's end, or from a peer that vouches.
-    vouched: Cell<bool>,
-    /// Offset of a record that only a later version of this program can judge.
-    newer: Cell<Option<u64>>,
-    outage: Cell<Option<Millis>>,
-    /// A read for a side that is ahead is under way.
-    catching_up: Cell<bool>,
+    state: RefCell<FoldState>,
+    /// When the log was last read to its end.
+    read_to_end_at: Cell<Option<Millis>>,
+    /// Whether the configuration was the newest one when it was read, either from the log up to its
+    /// end or from a peer with an authoritative configuration.
+    authoritative: Cell<bool>,
+    /// Offset of a record whose format only a later version of this program supports.
+    unsupported_offset: Cell<Option<u64>>,
+    outage_since: Cell<Option<Millis>>,
+    /// Whether a read is in progress because a side reported a newer revision.
+    refreshing: Cell<bool>,
 }
 
 #[derive(Default)]
-struct State {
+struct FoldState {
     fold: Fold,
     keys: KeyIndex,
-    recent: Recent,
+    recent: RecentRecords,
 }
 
-/// State of the configuration for people.
+/// State of the configuration, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDump {
     /// Revision in force, 0 for none.
     pub revision: u64,
     /// Digest of the configuration.
     pub digest: String,
-    /// Offset of the record wanted next.
+    /// Offset of the next record to read.
     pub next: u64,
-    /// Records kept for sides.
+    /// Number of records buffered for sides.
     pub recent: usize,
-    /// Time since the log was last read, milliseconds.
+    /// Time since the log was last read to its end, in milliseconds.
     pub age_ms: Option<u64>,
-    /// Log does not answer.
+    /// Whether the log is unreachable.
     pub outage: bool,
 }
 
@@ -68,36 +70,38 @@
         self.state.borrow().fold.revision()
     }
 
-    /// Offset of the record wanted next.
-    fn next(&self) -> u64 {
+    /// Offset of the next record to read.
+    fn next_offset(&self) -> u64 {
         self.state.borrow().fold.next()
     }
 
-    /// Reads the configuration.
+    /// Calls `read` with the configuration in force.
     pub(crate) fn with<T>(&self, read: impl FnOnce(&Config) -> T) -> T {
         read(self.state.borrow().fold.config())
     }
 
-    /// Caller that holds a bearer key.
+    /// Caller to which a bearer key belongs.
     pub(crate) fn caller_by_key(&self, bearer: &str) -> Option<CallerId> {
         self.state.borrow().keys.caller(bearer).cloned()
     }
 
-    /// Answers a side or a starting entry, once this entry vouches for what it holds: one that has
-    /// read a part of the log may hold an older revision than the one in force.
-    pub(crate) fn reply(&self, ask: ConfigAsk) -> ConfigReply {
+    /// Reply to a side or a starting entry. Not ready until the configuration is authoritative: after
+    /// reading only a part of the log, its revision may be older than the one in force.
+    pub(crate) fn reply(&self, request: ConfigAsk) -> ConfigReply {
         let state = self.state.borrow();
-        if state.fold.revision() == 0 || !self.vouched.get() {
+        if state.fold.revision() == 0 || !self.authoritative.get() {
             return ConfigReply::NotReady;
         }
-        let records = ask.from.and_then(|from| state.recent.from(from));
+        let records = request
+            .from
+            .and_then(|from| state.recent.records_from(from));
         records.map_or_else(
             || ConfigReply::Snapshot(state.fold.snapshot_bytes()),
             ConfigReply::Records,
         )
     }
 
-    /// State for people.
+    /// State of the configuration, as shown to operators.
     pub(crate) fn dump(&self, now: Millis) -> ConfigDump {
         let state = self.state.borrow();
         ConfigDump {
@@ -105,23 +109,23 @@
             digest: state.fold.digest().to_string(),
             next: state.fold.next(),
             recent: state.recent.len(),
-            age_ms: self.confirmed.get().map(|at| now.since(at).0),
-            outage: self.outage.get().is_some(),
+            age_ms: self.read_to_end_at.get().map(|at| now.since(at).0),
+            outage: self.outage_since.get().is_some(),
         }
     }
 
-    /// Whether the log was read to its end within `span`.
-    fn is_fresh(&self, now: Millis, span: Millis) -> bool {
-        let confirmed = self.confirmed.get();
-        confirmed.is_some_and(|at| now.since(at) <= span)
+    /// Whether the log was read to its end within the last `max_age`.
+    fn is_fresh(&self, now: Millis, max_age: Millis) -> bool {
+        let read_to_end_at = self.read_to_end_at.get();
+        read_to_end_at.is_some_and(|at| now.since(at) <= max_age)
     }
 
-    /// Snapshot record that is due, with the time by the caller's clock.
-    fn due(&self, now: u64, retention: u64) -> Option<Due> {
+    /// Snapshot record that is due at `now`, a Unix time in milliseconds like `retention`.
+    fn snapshot_due(&self, now: u64, retention: u64) -> Option<Due> {
         self.state.borrow().fold.snapshot_due(now, retention)
     }
 
-    /// Takes a record in, with the scan of it if there was one.
+    /// Applies a record, using its scan if there is one.
     fn apply(&self, record: &LogRecord, scan: Option<Scan<'_>>) -> Result<FoldEvent, GapError> {
         let mut state = self.state.borrow_mut();
         let event = match scan {
@@ -134,24 +138,24 @@
             FoldEvent::Accepted { touched, .. } => {
                 state.recent.push(record);
                 if touched.iter().any(|key| matches!(key, Key::Caller(_))) {
-                    state.index();
+                    state.rebuild_key_index();
                 }
             }
-            // Sides hold the state; what they need is that it is the one checked here.
+            // Sides already have this state; they get a short record that confirms the check.
             FoldEvent::Confirmed => {
                 let data = state.fold.checked_record(record.offset);
                 let (offset, at) = (record.offset, record.at);
                 state.recent.push(&LogRecord { offset, at, data });
             }
-            // A snapshot from behind a gap that was refused moves nothing.
+            // A rejected snapshot beyond a gap does not advance the fold.
             FoldEvent::Ignored(_) if state.fold.next() <= record.offset => {}
             _ => state.recent.push(record),
         }
         Ok(event)
     }
 
-    /// Takes a peer's snapshot in; tells whether it was newer.
-    fn adopt(&self, bytes: &[u8]) -> Result<bool, SnapshotError> {
+    /// Applies a peer's snapshot and returns whether it was newer.
+    fn adopt_snapshot(&self, bytes: &[u8]) -> Result<bool, SnapshotError> {
         let mut state = self.state.borrow_mut();
         let newer = state.fold.adopt(bytes)?;
         if newer {
@@ -161,13 +165,13 @@
     }
 }
 
-impl State {
+impl FoldState {
     fn restart(&mut self) {
         self.recent.restart(self.fold.next());
-        self.index();
+        self.rebuild_key_index();
     }
 
-    fn index(&mut self) {
+    fn rebuild_key_index(&mut self) {
         self.keys = KeyIndex::new(self.fold.config());
     }
 }
--- a/crates/entry/src/config/peers.rs
+++ b/crates/entry/src/config/peers.rs
@@ -1,4 +1,4 @@
-//! The configuration from other entries, while the log does not answer.
+//! Reads the configuration from other entries while the log is unreachable.
 
 use std::time::Duration;
 
@@ -6,47 +6,54 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{ConfigAsk, ConfigReply};
 
-use super::follow::in_force;
+use super::follow::on_new_revision;
 use crate::shared::Shared;
 
-/// Path of the exchange.
-const PATH: &str = "/peer/v1/config";
+/// Path of configuration requests.
+const CONFIG_PATH: &str = "/peer/v1/config";
 
-/// Time for one peer to answer.
-const SPAN: Duration = Duration::from_secs(2);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Peers asked at a time.
-const ASKED: usize = 3;
+/// Maximum number of peers queried in one attempt.
+const MAX_PEERS: usize = 3;
 
-/// Asks a few entries in turn until one has something newer.
-pub(super) async fn ask(shared: &Shared) {
-    for peer in shared.next_peers(ASKED) {
-        if ask_one(shared, &peer).await {
+/// Queries a few entries in turn until one returns a newer revision.
+pub(super) async fn fetch_from_peers(shared: &Shared) {
+    for peer in shared.next_peers(MAX_PEERS) {
+        if fetch_from_peer(shared, &peer).await {
             return;
         }
     }
 }
 
-async fn ask_one(shared: &Shared, peer: &str) -> bool {
+async fn fetch_from_peer(shared: &Shared, peer: &str) -> bool {
     let from = match shared.config.revision() {
         0 => None,
-        _ => Some(shared.config.next()),
+        _ => Some(shared.config.next_offset()),
     };
-    let ask = ConfigAsk { from };
-    let reply = match post(&shared.entry_client, peer, PATH, &ask, SPAN).await {
+    let request = ConfigAsk { from };
+    let reply = match post(
+        &shared.entry_client,
+        peer,
+        CONFIG_PATH,
+        &request,
+        REPLY_TIMEOUT,
+    )
+    .await
+    {
         Ok(reply) => reply,
         Err(e) => {
-            note_down(shared, peer, &e);
+            record_unreachable(shared, peer, &e);
             return false;
         }
     };
     if shared.unreachable_peers.borrow_mut().remove(peer) {
         shared.log.emit(&events::PEER_UP, &[field("peer", peer)]);
     }
-    take(shared, peer, reply)
+    apply_reply(shared, peer, reply)
 }
 
-fn note_down(shared: &Shared, peer: &str, error: &NetError) {
+fn record_unreachable(shared: &Shared, peer: &str, error: &NetError) {
     if !shared
         .unreachable_peers
         .borrow_mut()
@@ -62,19 +69,19 @@
     shared.log.emit(&events::PEER_DOWN, &fields);
 }
 
-fn take(shared: &Shared, peer: &str, reply: ConfigReply) -> bool {
+fn apply_reply(shared: &Shared, peer: &str, reply: ConfigReply) -> bool {
     let before = shared.config.revision();
     match reply {
         ConfigReply::NotReady => {}
         ConfigReply::Records(records) => {
-            // A gap ends the batch; the next ask starts from what is wanted then.
+            // A gap ends the batch. The next request starts from the offset reached.
             let _ = records.iter().try_for_each(|r| {
                 let applied = shared.config.apply(r, None);
                 applied.map(drop)
             });
         }
         ConfigReply::Snapshot(bytes) => {
-            if let Err(e) = shared.config.adopt(&bytes) {
+            if let Err(e) = shared.config.adopt_snapshot(&bytes) {
                 let fields = [field("peer", peer), field("error", &e)];
                 shared.log.emit(&events::PEER_BAD, &fields);
             }
@@ -82,7 +89,7 @@
     }
     let newer = shared.config.revision() > before;
     if newer {
-        in_force(shared, "peer");
+        on_new_revision(shared, "peer");
     }
     newer
 }
--- a/crates/entry/src/config/snapshots.rs
+++ b/crates/entry/src/config/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshot records, appended well before the records they cover are trimmed.
+//! Appends snapshot records well before the records they cover are trimmed.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -8,34 +8,33 @@
 use super::STREAM;
 use crate::shared::Shared;
 
-/// Time between two looks.
-const PACE: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause after an append that failed.
-const PAUSE: Duration = Duration::from_secs(10);
+/// Delay after a failed append.
+const RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// Appends snapshots when it is this entry's turn, until the process ends.
+/// Appends snapshots whenever one is due and it is this entry's turn, until the process ends.
 pub(crate) async fn append_snapshots(shared: Rc<Shared>) {
     loop {
-        shared.timer.sleep(PACE).await;
-        if is_turn(&shared) && !append(&shared).await {
-            shared.timer.sleep(PAUSE).await;
+        shared.timer.sleep(CHECK_INTERVAL).await;
+        if is_own_turn(&shared) && !append_snapshot(&shared).await {
+            shared.timer.sleep(RETRY_DELAY).await;
         }
     }
 }
 
-fn is_turn(shared: &Shared) -> bool {
-    let now = wall_ms();
+fn is_own_turn(shared: &Shared) -> bool {
+    let now = unix_time_ms();
     let retention = shared.options.retention_ms;
-    let Some(due) = shared.config.due(now, retention) else {
+    let Some(due) = shared.config.snapshot_due(now, retention) else {
         return false;
     };
     let entries = shared.directory.borrow().entry_vms();
     due.turn(&shared.options.vm, &entries) <= now
 }
 
-/// Appends a snapshot; false if it may not stand.
-async fn append(shared: &Shared) -> bool {
+/// Appends a snapshot. Returns false if it may not be in the log.
+async fn append_snapshot(shared: &Shared) -> bool {
     let (revision, bytes) = {
         let state = shared.config.state.borrow();
         (state.fold.revision(), state.fold.snapshot_record())
@@ -46,7 +45,7 @@
             shared.log.emit(&events::SNAPSHOT_WRITTEN, &fields);
             true
         }
-        // It stays due until one stands in the log, whoever wrote it.
+        // A snapshot stays due until the log contains one, from whichever entry.
         Err(e) => {
             let fields = [
                 field("stream", STREAM),
@@ -59,8 +58,8 @@
     }
 }
 
-/// Time of this VM's clock, milliseconds since 1970, to compare with the log's.
-fn wall_ms() -> u64 {
+/// Unix time in milliseconds by this VM's clock, for comparison with the timestamps of the log.
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |s| u64::try_from(s.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/entry/src/peer/report.rs
+++ b/crates/entry/src/peer/report.rs
@@ -8,7 +8,7 @@
 use pumicecleat_types::{Report, ReportReply};
 
 use super::Message;
-use crate::config::catch_up;
+use crate::config::spawn_refresh;
 use crate::directory::{ReportOutcome, ReportPacer};
 use crate::shared::Shared;
 
@@ -28,7 +28,7 @@
         directory.apply_report(report, config, now)
     });
     if shared.config.is_older_than(report.revision) {
-        catch_up(shared);
+        spawn_refresh(shared);
     }
     let sides = shared.directory.borrow().side_count();
     shared.meters.count_report(sides);
