--- a/crates/entry/src/directory/dump.rs
+++ b/crates/entry/src/directory/dump.rs
@@ -1,11 +1,11 @@
-//! The directory for people.
+//! State of the directory, as shown to operators.
 
 use pumicecleat_types::{DataCentre, LoadFigures, Millis, PoolId, VmId};
 use serde::{Deserialize, Serialize};
 
 use super::Directory;
 
-/// A side as this entry sees it.
+/// State that this entry knows of a side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SideDump {
     /// VM.
@@ -16,26 +16,26 @@
     pub pool: PoolId,
     /// Data centre.
     pub centre: DataCentre,
-    /// Start of the process.
+    /// Start of the side's process, a Unix time in milliseconds.
     pub incarnation: u64,
-    /// Takes no new work.
+    /// Whether it takes no new work.
     pub leaving: bool,
-    /// Upstream answers.
+    /// Whether its upstream responds.
     pub healthy: bool,
-    /// Load by its last report.
+    /// Load according to its last report.
     pub load: LoadFigures,
-    /// Engine names resident.
+    /// Engine names of the resident adapters.
     pub resident: Vec<String>,
-    /// Engine name being loaded.
+    /// Engine name of the adapter being loaded.
     pub loading: Option<String>,
-    /// Revision of the configuration there.
+    /// Revision of the configuration in force at the side.
     pub revision: u64,
-    /// Time since its last report, milliseconds.
+    /// Time since its last report, in milliseconds.
     pub age_ms: u64,
 }
 
 impl Directory {
-    /// Sides for people, by VM.
+    /// State of the sides, in the order of their VMs.
     pub(crate) fn dump(&self, now: Millis) -> Vec<SideDump> {
         let sides = self.sides.iter();
         sides
@@ -49,15 +49,15 @@
                 healthy: side.healthy,
                 load: side.load,
                 resident: self.engine_names(side.resident.as_deref().unwrap_or_default()),
-                loading: side.loading.map(|l| self.names.engine(l).to_owned()),
+                loading: side.loading.map(|l| self.names.engine_name(l).to_owned()),
                 revision: side.revision,
-                age_ms: now.since(side.seen).0,
+                age_ms: now.since(side.last_report_at).0,
             })
             .collect()
     }
 
     fn engine_names(&self, loras: &[pumicecleat_policy::LoraIx]) -> Vec<String> {
-        let names = loras.iter().map(|l| self.names.engine(*l).to_owned());
+        let names = loras.iter().map(|l| self.names.engine_name(*l).to_owned());
         names.collect()
     }
 }
--- a/crates/entry/src/directory/expire.rs
+++ b/crates/entry/src/directory/expire.rs
@@ -1,4 +1,4 @@
-//! Sides that fall silent.
+//! Detects sides that stop reporting.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,30 +9,28 @@
 use super::Directory;
 use crate::shared::Shared;
 
-/// Time between two looks.
-const PACE: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Age of a report from which on its side counts as silent, beyond the reports it may miss.
-const SILENT: Millis = Millis(15_000);
+/// Time without a report after which a side counts as silent, beyond the reports it may miss.
+const SILENT_AFTER: Millis = Millis(15_000);
 
-/// A side that fell silent.
-struct Silence {
+struct SilentSide {
     vm: VmId,
     address: String,
-    silent: Millis,
+    silent_for: Millis,
 }
 
 /// Watches for silent sides until the process ends.
 pub(crate) async fn watch_silence(shared: Rc<Shared>) {
     loop {
-        shared.timer.sleep(PACE).await;
+        shared.timer.sleep(CHECK_INTERVAL).await;
         let now = shared.timer.now();
-        let found = shared.directory.borrow_mut().expire(now);
-        for silence in found {
+        let newly_silent = shared.directory.borrow_mut().mark_silent_sides(now);
+        for side in newly_silent {
             let fields = [
-                field("upstream", &silence.vm),
-                field("address", &silence.address),
-                field("silent_ms", silence.silent.0),
+                field("upstream", &side.vm),
+                field("address", &side.address),
+                field("silent_ms", side.silent_for.0),
             ];
             shared.log.emit(&events::SIDE_SILENT, &fields);
         }
@@ -42,29 +40,30 @@
 }
 
 impl Directory {
-    /// Moves silent sides behind the others, and forgets them later.
-    fn expire(&mut self, now: Millis) -> Vec<Silence> {
-        // Where reports are rare, more time passes before one is missed.
+    /// Marks sides without recent reports as silent, and removes those that the router has dropped.
+    /// Returns the newly silent ones.
+    fn mark_silent_sides(&mut self, now: Millis) -> Vec<SilentSide> {
+        // With a longer report interval, a side counts as silent later.
         let now = now.since(self.missed_report_age());
         for up in self.router.expire(now) {
-            let place = self.by_index.get_mut(up.0 as usize);
-            if let Some(vm) = place.and_then(Option::take) {
+            let entry = self.by_index.get_mut(up.0 as usize);
+            if let Some(vm) = entry.and_then(Option::take) {
                 self.sides.remove(&vm);
             }
         }
-        let mut found = Vec::new();
+        let mut newly_silent = Vec::new();
         for (vm, side) in &mut self.sides {
-            let silent = now.since(side.seen);
-            if side.silent || silent <= SILENT {
+            let silent_for = now.since(side.last_report_at);
+            if side.silent || silent_for <= SILENT_AFTER {
                 continue;
             }
             side.silent = true;
-            found.push(Silence {
+            newly_silent.push(SilentSide {
                 vm: vm.clone(),
                 address: side.address.clone(),
-                silent,
+                silent_for,
             });
         }
-        found
+        newly_silent
     }
 }
--- a/crates/entry/src/directory/listed.rs
+++ b/crates/entry/src/directory/listed.rs
@@ -1,86 +1,89 @@
-//! What the VM list said last.
+//! Contents of the latest VM list.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use pumicecleat_types::{VmEntry, VmId, VmRole, VmState};
 
-/// Lists in a row that must lack a VM before it counts as gone.
-const AGREE: u32 = 2;
+/// Number of consecutive lists without a VM after which it counts as gone.
+const MIN_ABSENT_LISTS: u32 = 2;
 
-/// What the VM list said last.
+/// Contents of the latest VM list.
 #[derive(Debug, Default)]
-pub(crate) struct Listed {
-    /// Version of the last list taken.
+pub(crate) struct ListedVms {
+    /// Version of the last list applied.
     version: u64,
     leaving: BTreeSet<VmId>,
-    /// Peer addresses of entries.
+    /// Peer address of each entry.
     entries: BTreeMap<VmId, String>,
-    /// Upstreams' VMs, with the lists in a row that lacked each.
-    upstreams: BTreeMap<VmId, u32>,
+    /// For the VM of each upstream, the number of consecutive lists without it.
+    absent_lists: BTreeMap<VmId, u32>,
 }
 
-/// What a list changed.
+/// Changes from the previous list.
 #[derive(Debug, Default)]
-pub(crate) struct Change {
-    /// VMs that leave since this list.
-    pub(crate) leaving: Vec<VmId>,
-    /// VMs that are gone.
+pub(crate) struct ListChange {
+    /// VMs that this list is the first to mark as leaving.
+    pub(crate) newly_leaving: Vec<VmId>,
+    /// VMs of upstreams that are gone.
     pub(crate) gone: Vec<VmId>,
 }
 
-impl Listed {
-    /// Takes a list in; one older than the last changes nothing.
-    pub(super) fn take(&mut self, vms: &[VmEntry], version: u64) -> Change {
+impl ListedVms {
+    /// Applies a list. One that is older than the last is ignored.
+    pub(super) fn apply_list(&mut self, vms: &[VmEntry], version: u64) -> ListChange {
         if version < self.version {
-            return Change::default();
+            return ListChange::default();
         }
         self.version = version;
-        let leaving: BTreeSet<VmId> = of_state(vms, VmState::Leaving);
-        let fresh = leaving.difference(&self.leaving).cloned().collect();
+        let leaving: BTreeSet<VmId> = vms_in_state(vms, VmState::Leaving);
+        let newly_leaving = leaving.difference(&self.leaving).cloned().collect();
         self.leaving = leaving;
         let entries = vms.iter().filter(|v| v.role == VmRole::Entry);
         self.entries = entries.map(|v| (v.vm.clone(), v.address.clone())).collect();
-        Change {
-            leaving: fresh,
-            gone: self.count_absent(vms),
+        ListChange {
+            newly_leaving,
+            gone: self.remove_absent(vms),
         }
     }
 
-    fn count_absent(&mut self, vms: &[VmEntry]) -> Vec<VmId> {
-        for count in self.upstreams.values_mut() {
+    /// Updates the counts of absences and removes the VMs that are gone.
+    fn remove_absent(&mut self, vms: &[VmEntry]) -> Vec<VmId> {
+        for count in self.absent_lists.values_mut() {
             *count += 1;
         }
         for vm in vms.iter().filter(|v| v.role == VmRole::Upstream) {
-            self.upstreams.insert(vm.vm.clone(), 0);
+            self.absent_lists.insert(vm.vm.clone(), 0);
         }
-        let absent = self.upstreams.iter().filter(|(_, count)| **count >= AGREE);
+        let absent = self
+            .absent_lists
+            .iter()
+            .filter(|(_, count)| **count >= MIN_ABSENT_LISTS);
         let gone: Vec<VmId> = absent.map(|(vm, _)| vm.clone()).collect();
-        self.upstreams.retain(|_, count| *count < AGREE);
+        self.absent_lists
+            .retain(|_, count| *count < MIN_ABSENT_LISTS);
         gone
     }
 
-    /// Whether the list names a VM as leaving.
+    /// Whether the list marks a VM as leaving.
     pub(super) fn is_leaving(&self, vm: &VmId) -> bool {
         self.leaving.contains(vm)
     }
 
-    /// Entries' VMs.
-    pub(super) fn entries(&self) -> BTreeSet<VmId> {
+    pub(super) fn entry_vms(&self) -> BTreeSet<VmId> {
         self.entries.keys().cloned().collect()
     }
 
-    /// Entries' peer addresses.
-    pub(super) fn addresses(&self) -> Vec<String> {
+    pub(super) fn entry_addresses(&self) -> Vec<String> {
         self.entries.values().cloned().collect()
     }
 
-    /// VMs listed.
-    pub(super) fn len(&self) -> usize {
-        self.entries.len() + self.upstreams.len()
+    /// Number of entries and upstreams listed.
+    pub(super) fn vm_count(&self) -> usize {
+        self.entries.len() + self.absent_lists.len()
     }
 }
 
-fn of_state(vms: &[VmEntry], state: VmState) -> BTreeSet<VmId> {
+fn vms_in_state(vms: &[VmEntry], state: VmState) -> BTreeSet<VmId> {
     let found = vms.iter().filter(|v| v.state == state);
     found.map(|v| v.vm.clone()).collect()
 }
--- a/crates/entry/src/directory/mod.rs
+++ b/crates/entry/src/directory/mod.rs
@@ -1,8 +1,9 @@
-//! Sides and adapters by name, and the choice among them.
+//! Sides and adapters by name, and the choice of a side for a request.
 //!
-//! Soft state: it may be wrong for seconds, and the sides' refusals correct it. `names` gives
-//! indices, `side` and `listed` keep what reports and the VM list said, `report` takes reports in,
-//! `vms` reads the list, `expire` watches for silence and `dump` shows it all.
+//! This is soft state: it may be wrong for seconds, and refusals of sides correct it. `names`
+//! assigns indices, `side` and `listed` hold the state from reports and from the VM list, `report`
+//! applies reports, `vms` polls the list, `expire` detects silent sides, and `dump` exports the
+//! state.
 
 mod dump;
 mod expire;
@@ -25,7 +26,7 @@
 pub(crate) use report::{ReportOutcome, ReportPacer};
 pub(crate) use vms::follow_vms;
 
-use listed::Listed;
+use listed::ListedVms;
 use names::Names;
 use side::Side;
 
@@ -34,14 +35,14 @@
     router: Router,
     names: Names,
     sides: BTreeMap<VmId, Side>,
-    /// VM of each upstream in use, by index.
+    /// VM of each upstream, by index. Free indices are `None`.
     by_index: Vec<Option<VmId>>,
-    listed: Listed,
-    /// Time between two reports of a side.
+    listed: ListedVms,
+    /// Current interval between two reports of a side.
     report_interval: Millis,
 }
 
-/// Where one attempt goes.
+/// Side to which an attempt is sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Destination {
     pub(crate) up: UpstreamIx,
@@ -49,19 +50,19 @@
     pub(crate) address: String,
 }
 
-/// Choice of a destination.
+/// Result of the choice of a destination.
 #[derive(Clone, Debug)]
 pub(crate) enum DestinationChoice {
-    /// Send it there.
+    /// The attempt should be sent to this side.
     Send(Destination),
-    /// Every upstream is too late.
+    /// No upstream can meet the deadline.
     TooLate { retry_after: Millis },
-    /// No upstream may get work.
+    /// No upstream is usable.
     NoUpstream { retry_after: Millis },
 }
 
 impl Directory {
-    /// Directory without sides; `seed` differs between entries.
+    /// Creates a directory without sides. The `seed` should differ between entries.
     pub(crate) fn new(seed: u64) -> Self {
         let options = RouterOptions {
             seed,
@@ -72,21 +73,21 @@
             names: Names::default(),
             sides: BTreeMap::new(),
             by_index: Vec::new(),
-            listed: Listed::default(),
+            listed: ListedVms::default(),
             report_interval: Millis(0),
         }
     }
 
     /// Index of a pool.
     pub(crate) fn pool_index(&mut self, pool: &PoolId) -> PoolIx {
-        self.names.pool(pool)
+        self.names.pool_index(pool)
     }
 
-    /// Of pools that could take a request, the one with most upstreams that may get work.
+    /// Of pools that can serve a request, the one with the most usable upstreams.
     pub(crate) fn best_pool(&mut self, pools: Vec<PoolId>) -> Option<PoolId> {
         let mut best: Option<(usize, PoolId)> = None;
         for pool in pools {
-            let count = self.router.usable_count(self.names.pool(&pool));
+            let count = self.router.usable_count(self.names.pool_index(&pool));
             if best.as_ref().is_none_or(|(most, _)| count > *most) {
                 best = Some((count, pool));
             }
@@ -94,34 +95,36 @@
         best.map(|(_, pool)| pool)
     }
 
-    /// Index of an adapter's version.
+    /// Index of an adapter version.
     pub(crate) fn lora_index(&mut self, lora: &Lora) -> LoraIx {
-        let given = self.names.lora(lora.base.as_str(), &lora.engine_name());
-        if given.fresh {
-            self.router.set_lora_key(given.lora, lora_key(lora));
+        let assigned = self
+            .names
+            .lora_index(lora.base.as_str(), &lora.engine_name());
+        if assigned.is_new {
+            self.router.set_lora_key(assigned.lora, lora_key(lora));
         }
-        given.lora
+        assigned.lora
     }
 
-    /// Where a request should go: to the first side by rank for its `home`, if it has one and a
-    /// side is ready for it, else by load.
+    /// Chooses a side for a request: the ready one with the highest rank for its `rank_key`, or by
+    /// load if it has no key or no side is ready.
     pub(crate) fn choose(
         &mut self,
-        ask: &RouteQuery<'_>,
-        home: Option<u64>,
+        query: &RouteQuery<'_>,
+        rank_key: Option<u64>,
         now: Millis,
     ) -> DestinationChoice {
-        let ranked = home.and_then(|home| self.router.choose_by_rank(ask, home, now));
-        let choice = match ranked {
-            Some(pick) => RouteDecision::Send(pick),
-            None => self.router.choose(ask, now),
+        let by_rank = rank_key.and_then(|key| self.router.choose_by_rank(query, key, now));
+        let decision = match by_rank {
+            Some(selected) => RouteDecision::Send(selected),
+            None => self.router.choose(query, now),
         };
-        match choice {
-            RouteDecision::Refuse { retry_after } if self.router.usable_count(ask.pool) == 0 => {
+        match decision {
+            RouteDecision::Refuse { retry_after } if self.router.usable_count(query.pool) == 0 => {
                 DestinationChoice::NoUpstream { retry_after }
             }
             RouteDecision::Refuse { retry_after } => DestinationChoice::TooLate { retry_after },
-            RouteDecision::Send(pick) => match self.destination(pick.up) {
+            RouteDecision::Send(selected) => match self.destination(selected.up) {
                 Some(destination) => DestinationChoice::Send(destination),
                 None => DestinationChoice::NoUpstream {
                     retry_after: Millis(0),
@@ -130,12 +133,12 @@
         }
     }
 
-    /// Counts an attempt sent.
+    /// Records that an attempt was sent.
     pub(crate) fn record_send(&mut self, up: UpstreamIx, lora: Option<LoraIx>, now: Millis) {
         self.router.record_send(up, lora, now);
     }
 
-    /// Learns from the end of an attempt.
+    /// Records the outcome of an attempt.
     pub(crate) fn record_outcome(
         &mut self,
         up: UpstreamIx,
@@ -146,12 +149,12 @@
         self.router.record_outcome(up, lora, outcome, now);
     }
 
-    /// Takes in load figures that came with an answer.
+    /// Updates the load of an upstream from the figures in an answer.
     pub(crate) fn update_load(&mut self, up: UpstreamIx, load: LoadFigures, now: Millis) {
         self.router.update_load(up, load, now);
     }
 
-    /// Expected time of a load.
+    /// Sets the expected time of an adapter load.
     pub(crate) fn set_load_time(&mut self, load: Millis) {
         self.router.set_load_time(load);
     }
@@ -167,34 +170,34 @@
         self.destination(up).map(|d| d.address)
     }
 
-    /// Engine name of an adapter's version, for logs.
+    /// Engine name of an adapter version, for logs.
     pub(crate) fn engine_name(&self, lora: LoraIx) -> &str {
-        self.names.engine(lora)
+        self.names.engine_name(lora)
     }
 
-    /// Sides known.
+    /// Number of known sides.
     pub(crate) fn side_count(&self) -> usize {
         self.sides.len()
     }
 
-    /// Adapters' versions seen so far.
+    /// Number of adapter versions seen so far.
     pub(crate) fn lora_count(&self) -> usize {
-        self.names.loras()
+        self.names.lora_count()
     }
 
-    /// VMs listed.
+    /// Number of entries and upstreams in the VM list.
     pub(crate) fn listed_count(&self) -> usize {
-        self.listed.len()
+        self.listed.vm_count()
     }
 
-    /// Entries by the VM list.
+    /// VMs of the entries in the VM list.
     pub(crate) fn entry_vms(&self) -> BTreeSet<VmId> {
-        self.listed.entries()
+        self.listed.entry_vms()
     }
 
-    /// Peer addresses of entries by the VM list.
+    /// Peer addresses of the entries in the VM list.
     pub(crate) fn entry_addresses(&self) -> Vec<String> {
-        self.listed.addresses()
+        self.listed.entry_addresses()
     }
 
     fn destination(&self, up: UpstreamIx) -> Option<Destination> {
@@ -207,12 +210,12 @@
         })
     }
 
-    /// Forgets a side; its index may go to another.
+    /// Removes a side. Its index may be reused for another one.
     fn remove_side(&mut self, vm: &VmId) -> Option<UpstreamIx> {
         let side = self.sides.remove(vm)?;
         self.router.forget(side.up);
-        if let Some(place) = self.by_index.get_mut(side.up.0 as usize) {
-            *place = None;
+        if let Some(entry) = self.by_index.get_mut(side.up.0 as usize) {
+            *entry = None;
         }
         Some(side.up)
     }
--- a/crates/entry/src/directory/names.rs
+++ b/crates/entry/src/directory/names.rs
@@ -1,4 +1,4 @@
-//! Names and their indices, given as they are first seen.
+//! Indices of names, assigned in the order in which the names are first seen.
 
 use std::collections::BTreeMap;
 
@@ -9,65 +9,64 @@
 #[derive(Debug, Default)]
 pub(super) struct Names {
     pools: BTreeMap<PoolId, PoolIx>,
-    /// By base model and engine name.
     loras: BTreeMap<LoraName, LoraIx>,
-    by_index: Vec<LoraName>,
+    /// Name of each adapter version, by index.
+    loras_by_index: Vec<LoraName>,
 }
 
-/// Base model and engine name.
+/// Name of an adapter version on its base model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LoraName {
-    /// Base model.
     pub(super) base: String,
     /// Engine name, `adapter@version`.
     pub(super) engine: String,
 }
 
-/// Index of an adapter, and whether it was given just now.
-pub(super) struct Given {
+/// Index of an adapter version, and whether this call assigned it.
+pub(super) struct AssignedIndex {
     pub(super) lora: LoraIx,
-    pub(super) fresh: bool,
+    pub(super) is_new: bool,
 }
 
 impl Names {
-    /// Index of a pool.
-    pub(super) fn pool(&mut self, pool: &PoolId) -> PoolIx {
+    /// Index of a pool, assigned if it has none.
+    pub(super) fn pool_index(&mut self, pool: &PoolId) -> PoolIx {
         if let Some(ix) = self.pools.get(pool) {
             return *ix;
         }
-        let ix = PoolIx(count(self.pools.len()));
+        let ix = PoolIx(to_index(self.pools.len()));
         self.pools.insert(pool.clone(), ix);
         ix
     }
 
-    /// Index of an adapter's version.
-    pub(super) fn lora(&mut self, base: &str, engine: &str) -> Given {
+    /// Index of an adapter version, assigned if it has none.
+    pub(super) fn lora_index(&mut self, base: &str, engine: &str) -> AssignedIndex {
         let name = LoraName {
             base: base.to_owned(),
             engine: engine.to_owned(),
         };
         if let Some(lora) = self.loras.get(&name) {
-            let (lora, fresh) = (*lora, false);
-            return Given { lora, fresh };
+            let (lora, is_new) = (*lora, false);
+            return AssignedIndex { lora, is_new };
         }
-        let lora = LoraIx(count(self.by_index.len()));
-        self.by_index.push(name.clone());
+        let lora = LoraIx(to_index(self.loras_by_index.len()));
+        self.loras_by_index.push(name.clone());
         self.loras.insert(name, lora);
-        Given { lora, fresh: true }
+        AssignedIndex { lora, is_new: true }
     }
 
-    /// Engine name of an index given here.
-    pub(super) fn engine(&self, lora: LoraIx) -> &str {
-        let name = self.by_index.get(lora.0 as usize);
+    /// Engine name of an adapter version.
+    pub(super) fn engine_name(&self, lora: LoraIx) -> &str {
+        let name = self.loras_by_index.get(lora.0 as usize);
         name.map_or("", |n| n.engine.as_str())
     }
 
-    /// Adapters' versions seen so far.
-    pub(super) fn loras(&self) -> usize {
-        self.by_index.len()
+    /// Number of adapter versions seen so far.
+    pub(super) fn lora_count(&self) -> usize {
+        self.loras_by_index.len()
     }
 }
 
-fn count(n: usize) -> u32 {
+fn to_index(n: usize) -> u32 {
     u32::try_from(n).unwrap_or(u32::MAX)
 }
--- a/crates/entry/src/directory/report.rs
+++ b/crates/entry/src/directory/report.rs
@@ -1,4 +1,4 @@
-//! Sides' reports.
+//! Reports of sides, and the interval between them.
 
 use pumicecleat_config::model::{Config, PoolKind};
 use pumicecleat_policy::{LoraIx, ObjectiveWeights, UpstreamIx, UpstreamStatus, upstream_key};
@@ -7,77 +7,75 @@
 use super::Directory;
 use super::side::Side;
 
-/// Weight of the newest report in the mean length, as one over.
-const NEW: u64 = 8;
+/// Inverse of the weight that the newest report has in the mean length.
+const SMOOTHING_DIVISOR: u64 = 8;
 
-/// Shortest time between two reports of a side.
-const SHORTEST: Millis = Millis(500);
+const MIN_REPORT_INTERVAL: Millis = Millis(500);
 
-/// Longest time between two reports of a side.
-const LONGEST: Millis = Millis(60_000);
+const MAX_REPORT_INTERVAL: Millis = Millis(60_000);
 
-/// Reports missed from which on a side is overdue.
-const MISSED: u64 = 3;
+/// Number of report intervals without a report after which a side is overdue.
+const MAX_MISSED_REPORTS: u64 = 3;
 
-/// What a report takes beside its own length, bytes: its head, and the reply with its head
-/// (`pumicecleat-measure slopes`).
-const WIRE: u64 = 192;
+/// Bytes that a report takes on the wire besides its body: the request head and the whole reply,
+/// see `pumicecleat-measure slopes`.
+const REPORT_OVERHEAD_BYTES: u64 = 192;
 
-/// Length assumed before the first report, bytes.
-const LENGTH: u64 = 400;
+/// Mean report length assumed before the first report.
+const INITIAL_REPORT_BYTES: u64 = 400;
 
-/// Milliseconds in a second.
-const SECOND: u64 = 1_000;
+const MS_PER_S: u64 = 1_000;
 
-/// Pace of reports, so that all together stay under a rate.
+/// Computes the report interval at which the reports of all sides together stay below a byte rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportPacer {
-    length: u64,
+    mean_length: u64,
 }
 
 impl Default for ReportPacer {
     fn default() -> Self {
-        Self { length: LENGTH }
+        Self {
+            mean_length: INITIAL_REPORT_BYTES,
+        }
     }
 }
 
 impl ReportPacer {
-    /// Counts a report of `length` bytes.
+    /// Updates the mean with a report of `length` bytes.
     pub(crate) fn record_length(&mut self, length: usize) {
-        let kept = self.length * (NEW - 1);
-        self.length = (kept + length as u64) / NEW;
+        let previous = self.mean_length * (SMOOTHING_DIVISOR - 1);
+        self.mean_length = (previous + length as u64) / SMOOTHING_DIVISOR;
     }
 
-    /// Time until a side's next report, where `sides` share `rate` bytes a second.
-    pub(crate) fn next_interval(self, sides: usize, rate: u64) -> Millis {
-        let all = (self.length + WIRE) * sides as u64 * SECOND;
-        Millis(all / rate.max(1)).clamp(SHORTEST, LONGEST)
+    /// Time until a side's next report if `sides` sides share `bytes_per_s` bytes per second.
+    pub(crate) fn next_interval(self, sides: usize, bytes_per_s: u64) -> Millis {
+        let total = (self.mean_length + REPORT_OVERHEAD_BYTES) * sides as u64 * MS_PER_S;
+        Millis(total / bytes_per_s.max(1)).clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
     }
 }
 
-/// What became of a report.
+/// Result of applying a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ReportOutcome {
-    /// Of an older incarnation, or overtaken.
+    /// Ignored: the report is from an older incarnation, or a later one was applied before.
     Outdated,
-    /// Taken in.
+    /// The side was known.
     Updated {
-        /// The next must be whole.
-        whole: bool,
-        /// Takes no new work since this report.
-        leaves: bool,
+        /// Whether the next report must list the resident adapters.
+        needs_full_report: bool,
+        /// Whether the side stopped taking new work with this report.
+        starts_leaving: bool,
     },
-    /// First one of this incarnation, or after a silence.
+    /// The report is the first of this incarnation, or the first after a silence.
     Appeared {
-        /// The next must be whole.
-        whole: bool,
-        /// Takes no new work since this report.
-        leaves: bool,
+        /// Whether the next report must list the resident adapters.
+        needs_full_report: bool,
+        /// Whether the side stopped taking new work with this report.
+        starts_leaving: bool,
     },
 }
 
 impl Directory {
-    /// Takes a report in.
     pub(crate) fn apply_report(
         &mut self,
         report: &Report,
@@ -89,32 +87,38 @@
             batch: config.tuning.batch,
         });
         let known = self.sides.get(&report.vm);
-        let same = known.is_some_and(|s| s.incarnation == report.incarnation);
-        if known.is_some_and(|s| is_old(s, report)) {
+        let same_incarnation = known.is_some_and(|s| s.incarnation == report.incarnation);
+        if known.is_some_and(|s| is_outdated(s, report)) {
             return ReportOutcome::Outdated;
         }
-        let silent = known.is_none_or(|s| s.silent);
-        let left = same && known.is_some_and(|s| s.leaving);
+        let was_silent = known.is_none_or(|s| s.silent);
+        let was_leaving = same_incarnation && known.is_some_and(|s| s.leaving);
         let resident = match (&report.resident, known) {
-            (Some(names), _) => Some(self.residents(names, report, config)),
-            (None, Some(side)) if same => side.resident.clone(),
+            (Some(names), _) => Some(self.resident_indices(names, report, config)),
+            (None, Some(side)) if same_incarnation => side.resident.clone(),
             _ => None,
         };
-        let whole = resident.is_none();
-        if !same {
-            // What was learned of an earlier process, such as that it leaves, is void.
+        let needs_full_report = resident.is_none();
+        if !same_incarnation {
+            // The state of the earlier process, such as that it was leaving, no longer applies.
             self.remove_side(&report.vm);
         }
-        let side = self.side(report, resident, config, now);
-        let leaves = side.leaving && !left;
-        self.put(&report.vm, side, now);
-        if same && !silent {
-            return ReportOutcome::Updated { whole, leaves };
+        let side = self.build_side(report, resident, config, now);
+        let starts_leaving = side.leaving && !was_leaving;
+        self.insert_side(&report.vm, side, now);
+        if same_incarnation && !was_silent {
+            return ReportOutcome::Updated {
+                needs_full_report,
+                starts_leaving,
+            };
+        }
+        ReportOutcome::Appeared {
+            needs_full_report,
+            starts_leaving,
         }
-        ReportOutcome::Appeared { whole, leaves }
     }
 
-    fn side(
+    fn build_side(
         &mut self,
         report: &Report,
         resident: Option<Vec<LoraIx>>,
@@ -122,14 +126,14 @@
         now: Millis,
     ) -> Side {
         let loading = report.loading.as_ref();
-        let loading = loading.and_then(|name| self.resident(name, report, config));
+        let loading = loading.and_then(|name| self.resident_index(name, report, config));
         Side {
             up: self.upstream_index(&report.vm),
             address: report.address.clone(),
             incarnation: report.incarnation,
-            seq: report.seq,
+            sequence: report.seq,
             pool: report.pool.clone(),
-            pool_ix: self.names.pool(&report.pool),
+            pool_ix: self.names.pool_index(&report.pool),
             centre: report.centre.clone(),
             leaving: report.leaving || self.listed.is_leaving(&report.vm),
             healthy: report.healthy,
@@ -137,84 +141,96 @@
             resident,
             loading,
             revision: report.revision,
-            seen: now,
-            next: self.report_interval,
+            last_report_at: now,
+            report_interval: self.report_interval,
             silent: false,
         }
     }
 
-    fn put(&mut self, vm: &VmId, side: Side, now: Millis) {
-        let figures = UpstreamStatus {
+    fn insert_side(&mut self, vm: &VmId, side: Side, now: Millis) {
+        let status = UpstreamStatus {
             load: side.load,
             leaving: side.leaving,
             healthy: side.healthy,
         };
         let resident = side.resident.as_deref();
         self.router
-            .report(side.up, side.pool_ix, &figures, resident, side.loading, now);
+            .report(side.up, side.pool_ix, &status, resident, side.loading, now);
         self.sides.insert(vm.clone(), side);
     }
 
-    fn residents(&mut self, names: &[String], report: &Report, config: &Config) -> Vec<LoraIx> {
-        let known = names.iter();
-        known
-            .filter_map(|name| self.resident(name, report, config))
+    fn resident_indices(
+        &mut self,
+        names: &[String],
+        report: &Report,
+        config: &Config,
+    ) -> Vec<LoraIx> {
+        let names = names.iter();
+        names
+            .filter_map(|name| self.resident_index(name, report, config))
             .collect()
     }
 
-    fn resident(&mut self, engine: &str, report: &Report, config: &Config) -> Option<LoraIx> {
+    fn resident_index(
+        &mut self,
+        engine_name: &str,
+        report: &Report,
+        config: &Config,
+    ) -> Option<LoraIx> {
         let pool = config.pools.get(&report.pool)?;
         let PoolKind::Model { base, .. } = &pool.kind else {
             return None;
         };
-        let (adapter, version) = engine.rsplit_once('@')?;
+        let (adapter, version) = engine_name.rsplit_once('@')?;
         let lora = Lora::new(base.as_str(), adapter, version);
         Some(self.lora_index(&lora))
     }
 
-    /// Notes when a side was told to report next, which is the pace of all.
-    pub(crate) fn set_report_interval(&mut self, vm: &VmId, next: Millis) {
-        self.report_interval = next;
+    /// Records the interval until a side's next report. It becomes the current interval of all sides.
+    pub(crate) fn set_report_interval(&mut self, vm: &VmId, interval: Millis) {
+        self.report_interval = interval;
         if let Some(side) = self.sides.get_mut(vm) {
-            side.next = next;
+            side.report_interval = interval;
         }
     }
 
     /// Whether a side has missed several reports.
     pub(crate) fn is_overdue(&self, vm: &VmId, now: Millis) -> bool {
         let side = self.sides.get(vm);
-        side.is_none_or(|s| now.since(s.seen) > missed(s.next) + SHORTEST)
+        side.is_none_or(|s| {
+            now.since(s.last_report_at) > overdue_after(s.report_interval) + MIN_REPORT_INTERVAL
+        })
     }
 
-    /// Time beyond which reports are missed, at the pace that holds now.
+    /// Time without a report after which a side is overdue, at the current interval.
     pub(super) fn missed_report_age(&self) -> Millis {
-        missed(self.report_interval)
+        overdue_after(self.report_interval)
     }
 
-    /// Index of an upstream: the one it has, or a free one.
+    /// Index of an upstream. Assigns a free one if it has none.
     pub(crate) fn upstream_index(&mut self, vm: &VmId) -> UpstreamIx {
         if let Some(side) = self.sides.get(vm) {
             return side.up;
         }
-        let held = self.by_index.iter().position(|p| p.as_ref() == Some(vm));
+        let assigned = self.by_index.iter().position(|p| p.as_ref() == Some(vm));
         let free = || self.by_index.iter().position(Option::is_none);
-        let at = held.or_else(free).unwrap_or(self.by_index.len());
-        if at == self.by_index.len() {
+        let index = assigned.or_else(free).unwrap_or(self.by_index.len());
+        if index == self.by_index.len() {
             self.by_index.push(None);
         }
-        self.by_index[at] = Some(vm.clone());
-        let up = UpstreamIx(u32::try_from(at).unwrap_or(u32::MAX));
+        self.by_index[index] = Some(vm.clone());
+        let up = UpstreamIx(u32::try_from(index).unwrap_or(u32::MAX));
         self.router.set_upstream_key(up, upstream_key(vm));
         up
     }
 }
 
-fn missed(pace: Millis) -> Millis {
-    Millis(pace.0.saturating_mul(MISSED))
+fn overdue_after(report_interval: Millis) -> Millis {
+    Millis(report_interval.0.saturating_mul(MAX_MISSED_REPORTS))
 }
 
-/// Whether a report says less than what is known.
-fn is_old(side: &Side, report: &Report) -> bool {
-    let same = report.incarnation == side.incarnation;
-    report.incarnation < side.incarnation || (same && report.seq <= side.seq)
+/// Whether a report is older than the state known of its side.
+fn is_outdated(side: &Side, report: &Report) -> bool {
+    let same_incarnation = report.incarnation == side.incarnation;
+    report.incarnation < side.incarnation || (same_incarnation && report.seq <= side.sequence)
 }
--- a/crates/entry/src/directory/vms.rs
+++ b/crates/entry/src/directory/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list, read again and again.
+//! Polls the VM list.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,45 +8,45 @@
 use pumicecleat_types::{Millis, VmId};
 
 use super::Directory;
-use super::listed::Change;
+use super::listed::ListChange;
 use crate::shared::Shared;
 
-/// Shortest time between two reads.
-const PACE: Duration = Duration::from_secs(1);
+const MIN_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// VMs that a read per second may list; more are read less often.
-const VMS_A_SECOND: usize = 256;
+/// Maximum list length for a read every second. Longer lists are read less often.
+const MAX_VMS_PER_S: usize = 256;
 
-/// Longest time between two reads.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_READ_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Reads the list until the process ends.
+/// Polls the list until the process ends.
 pub(crate) async fn follow_vms(shared: Rc<Shared>, vms: Rc<dyn Vms>) {
-    let mut down = None;
+    let mut down_since = None;
     loop {
         let region = shared.options.region.as_str().to_owned();
         match vms.list(Some(&region)).await {
             Ok(list) => {
-                note_up(&shared, &mut down);
-                take(&shared, &list);
+                clear_outage(&shared, &mut down_since);
+                apply_list(&shared, &list);
             }
-            Err(e) => note_down(&shared, &mut down, &e.to_string()),
+            Err(e) => record_outage(&shared, &mut down_since, &e.to_string()),
         }
         let listed = shared.directory.borrow().listed_count();
-        shared.timer.sleep(pace(listed)).await;
+        shared.timer.sleep(read_interval(listed)).await;
     }
 }
 
-fn pace(listed: usize) -> Duration {
-    let factor = u32::try_from(listed / VMS_A_SECOND).unwrap_or(u32::MAX);
-    PACE.saturating_mul(factor.max(1)).min(LONGEST)
+fn read_interval(listed: usize) -> Duration {
+    let factor = u32::try_from(listed / MAX_VMS_PER_S).unwrap_or(u32::MAX);
+    MIN_READ_INTERVAL
+        .saturating_mul(factor.max(1))
+        .min(MAX_READ_INTERVAL)
 }
 
-fn take(shared: &Shared, list: &VmList) {
-    let change = shared.directory.borrow_mut().take_list(list);
-    for vm in &change.leaving {
+fn apply_list(shared: &Shared, list: &VmList) {
+    let change = shared.directory.borrow_mut().apply_list(list);
+    for vm in &change.newly_leaving {
         let source = field("source", "VM list");
-        let known = shared.directory.borrow().knows(vm);
+        let known = shared.directory.borrow().has_side(vm);
         if known {
             let fields = [field("upstream", vm), source];
             shared.log.emit(&events::SIDE_LEAVING, &fields);
@@ -64,47 +64,52 @@
     }
 }
 
-fn note_down(shared: &Shared, down: &mut Option<Millis>, error: &str) {
-    if down.is_some() {
+fn record_outage(shared: &Shared, down_since: &mut Option<Millis>, error: &str) {
+    if down_since.is_some() {
         return;
     }
-    *down = Some(shared.timer.now());
+    *down_since = Some(shared.timer.now());
     let address = field("address", shared.options.vm_list_addresses.as_str());
     let fields = [address, field("step", "list"), field("error", error)];
     shared.log.emit(&events::VM_LIST_DOWN, &fields);
 }
 
-fn note_up(shared: &Shared, down: &mut Option<Millis>) {
-    let Some(since) = down.take() else {
+fn clear_outage(shared: &Shared, down_since: &mut Option<Millis>) {
+    let Some(since) = down_since.take() else {
         return;
     };
-    let took = shared.timer.now().since(since).0;
+    let down_ms = shared.timer.now().since(since).0;
     let address = field("address", shared.options.vm_list_addresses.as_str());
-    let fields = [address, field("down_ms", took)];
+    let fields = [address, field("down_ms", down_ms)];
     shared.log.emit(&events::VM_LIST_UP, &fields);
 }
 
-/// What a list changed, by index.
-struct Moved {
-    leaving: Vec<VmId>,
+/// Changes that a list made to the known sides.
+struct SideChange {
+    newly_leaving: Vec<VmId>,
     gone: Vec<pumicecleat_policy::UpstreamIx>,
 }
 
 impl Directory {
-    /// Takes a list in.
-    fn take_list(&mut self, list: &VmList) -> Moved {
-        let Change { leaving, gone } = self.listed.take(&list.vms, list.version);
-        for vm in &leaving {
+    fn apply_list(&mut self, list: &VmList) -> SideChange {
+        let ListChange {
+            newly_leaving,
+            gone,
+        } = self.listed.apply_list(&list.vms, list.version);
+        for vm in &newly_leaving {
             if let Some(side) = self.sides.get_mut(vm) {
                 side.leaving = true;
                 self.router.mark_leaving(side.up);
             }
         }
         let gone = gone.iter().filter_map(|vm| self.remove_side(vm)).collect();
-        Moved { leaving, gone }
+        SideChange {
+            newly_leaving,
+            gone,
+        }
     }
 
-    fn knows(&self, vm: &VmId) -> bool {
+    fn has_side(&self, vm: &VmId) -> bool {
         self.sides.contains_key(vm)
     }
 }
--- a/crates/entry/src/peer/config.rs
+++ b/crates/entry/src/peer/config.rs
@@ -1,9 +1,9 @@
-//! Records of the configuration for sides and starting entries.
+//! Requests for the configuration from sides and starting entries.
 
 use pumicecleat_types::{ConfigAsk, ConfigReply};
 
 use crate::shared::Shared;
 
-pub(super) fn answer(shared: &Shared, ask: ConfigAsk) -> ConfigReply {
-    shared.config.reply(ask)
+pub(super) fn handle_request(shared: &Shared, request: ConfigAsk) -> ConfigReply {
+    shared.config.reply(request)
 }
--- a/crates/entry/src/peer/load.rs
+++ b/crates/entry/src/peer/load.rs
@@ -1,4 +1,4 @@
-//! Bids for a turn at the weight store, and calls for one while it stands idle.
+//! Bids of sides for a turn at the weight store, and calls for bids while the store is idle.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,24 +10,22 @@
 
 use crate::shared::Shared;
 
-/// Path of a call.
 const CALL_PATH: &str = "/peer/v1/call";
 
-/// Time for a side to answer a call.
-const CALL_SPAN: Duration = Duration::from_millis(250);
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two looks at an idle store.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Calls sides while the store stands idle, until the process ends.
-pub(crate) async fn call_idle(shared: Rc<Shared>) {
+/// Calls for bids while the store is idle, until the process ends.
+pub(crate) async fn call_bidders(shared: Rc<Shared>) {
     loop {
-        shared.timer.sleep(LOOK).await;
+        shared.timer.sleep(CHECK_INTERVAL).await;
         while call_next(&shared).await {}
     }
 }
 
-/// Calls the side that should bid now; true if it does not, so that another should be called.
+/// Calls the side that is due to bid. Returns true if it will not bid, so that another one should be
+/// called.
 async fn call_next(shared: &Shared) -> bool {
     let now = shared.timer.now();
     let Some(up) = shared.load_order.borrow_mut().side_to_call(now) else {
@@ -36,9 +34,15 @@
     let address = shared.directory.borrow().address(up);
     let call = LoadCall { at_ms: now.0 };
     let reply = match address {
-        Some(side) => post(&shared.side_client, &side, CALL_PATH, &call, CALL_SPAN)
-            .await
-            .ok(),
+        Some(address) => post(
+            &shared.side_client,
+            &address,
+            CALL_PATH,
+            &call,
+            CALL_TIMEOUT,
+        )
+        .await
+        .ok(),
         None => None,
     };
     let bids = reply.is_some_and(|called: LoadCalled| called.bids);
@@ -48,28 +52,36 @@
     !bids
 }
 
-pub(super) fn answer(shared: &Shared, bid: &LoadBid) -> LoadTurn {
+pub(super) fn handle_bid(shared: &Shared, bid: &LoadBid) -> LoadTurn {
     let now = shared.timer.now();
     let up = shared.directory.borrow_mut().upstream_index(&bid.vm);
-    let wanted = bid.lora.as_deref().map(|name| Bid {
-        lora: lora(shared, name),
+    let policy_bid = bid.lora.as_deref().map(|name| Bid {
+        lora: lora_index(shared, name),
         waiting: bid.waiting,
         left: Millis(bid.left_ms),
         waited: Millis(bid.waited_ms),
     });
-    let before = shared.load_order.borrow().holder();
-    let turn = shared.load_order.borrow_mut().bid(up, wanted.as_ref(), now);
-    let load = shared.load_order.borrow().load_time();
-    shared.directory.borrow_mut().set_load_time(load);
+    let previous = shared.load_order.borrow().holder();
+    let turn = shared
+        .load_order
+        .borrow_mut()
+        .bid(up, policy_bid.as_ref(), now);
+    let load_time = shared.load_order.borrow().load_time();
+    shared.directory.borrow_mut().set_load_time(load_time);
     if let LoadTurn::Go { .. } = turn {
-        note(shared, bid, before, up);
+        log_granted(shared, bid, previous, up);
     }
     turn
 }
 
-/// Logs a turn that was given, and the one before if it was not given back.
-fn note(shared: &Shared, bid: &LoadBid, before: Option<(UpstreamIx, LoraIx)>, up: UpstreamIx) {
-    if let Some((holder, lora)) = before {
+/// Logs that a turn was granted, and that the previous one expired if it was not returned.
+fn log_granted(
+    shared: &Shared,
+    bid: &LoadBid,
+    previous: Option<(UpstreamIx, LoraIx)>,
+    up: UpstreamIx,
+) {
+    if let Some((holder, lora)) = previous {
         if holder == up {
             return;
         }
@@ -88,9 +100,10 @@
     shared.log.emit(&events::TURN_GIVEN, &fields);
 }
 
-/// Index of an engine name; its base model is the one declared, as the order compares names only.
-fn lora(shared: &Shared, engine: &str) -> LoraIx {
-    let (adapter, version) = engine.rsplit_once('@').unwrap_or((engine, ""));
+/// Index of the adapter version with an engine name. The declared base model is used, because the
+/// load order only compares names.
+fn lora_index(shared: &Shared, engine_name: &str) -> LoraIx {
+    let (adapter, version) = engine_name.rsplit_once('@').unwrap_or((engine_name, ""));
     let base = shared.config.with(|config| {
         let declared = config.adapters.get(adapter);
         declared.map(|a| a.base.clone()).unwrap_or_default()
--- a/crates/entry/src/peer/mod.rs
+++ b/crates/entry/src/peer/mod.rs
@@ -1,10 +1,10 @@
-//! What sides and other entries ask of this entry.
+//! Requests of sides and other entries to this entry.
 
 mod config;
 mod load;
 mod report;
 
-pub(crate) use load::call_idle;
+pub(crate) use load::call_bidders;
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -23,19 +23,19 @@
 use crate::directory::ReportPacer;
 use crate::shared::Shared;
 
-/// Longest message, bytes: a report of many slots.
-const LIMIT: u64 = 1 << 20;
+/// Maximum message size; a report with many slots is the longest message.
+const MAX_MESSAGE_BYTES: u64 = 1 << 20;
 
-/// Time for a message to arrive.
-const SPAN: Duration = Duration::from_secs(5);
+/// Maximum time for receiving a message.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Handler of the peer listener.
 pub(crate) struct PeerHandler {
     shared: Rc<Shared>,
-    pace: Rc<RefCell<ReportPacer>>,
+    pacer: Rc<RefCell<ReportPacer>>,
 }
 
-/// A message as it came.
+/// A decoded message and its encoded length.
 struct Message<M> {
     value: M,
     length: usize,
@@ -45,7 +45,7 @@
     pub(crate) fn new(shared: &Rc<Shared>) -> Self {
         Self {
             shared: Rc::clone(shared),
-            pace: Rc::default(),
+            pacer: Rc::default(),
         }
     }
 }
@@ -53,14 +53,14 @@
 impl Handler for PeerHandler {
     fn handle(&self, request: Incoming, peer: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
         let shared = Rc::clone(&self.shared);
-        let pace = Rc::clone(&self.pace);
-        Box::pin(async move { answer(&shared, &pace, request, peer).await })
+        let pacer = Rc::clone(&self.pacer);
+        Box::pin(async move { handle_request(&shared, &pacer, request, peer).await })
     }
 }
 
-async fn answer(
+async fn handle_request(
     shared: &Rc<Shared>,
-    pace: &RefCell<ReportPacer>,
+    pacer: &RefCell<ReportPacer>,
     request: Incoming,
     peer: SocketAddr,
 ) -> Reply {
@@ -68,36 +68,42 @@
         return plain_reply(405, "only POST\n");
     }
     let result = match request.uri().path() {
-        "/peer/v1/report" => match read(shared, request).await {
-            Ok(message) => report::answer(shared, pace, &message).map(ok),
+        "/peer/v1/report" => match read_message(shared, request).await {
+            Ok(message) => report::handle_report(shared, pacer, &message).map(to_reply),
             Err(e) => Err(e),
         },
-        "/peer/v1/config" => read(shared, request)
+        "/peer/v1/config" => read_message(shared, request)
             .await
-            .map(|message| ok(config::answer(shared, message.value))),
-        "/peer/v1/load" => read(shared, request)
+            .map(|message| to_reply(config::handle_request(shared, message.value))),
+        "/peer/v1/load" => read_message(shared, request)
             .await
-            .map(|message| ok(load::answer(shared, &message.value))),
+            .map(|message| to_reply(load::handle_bid(shared, &message.value))),
         _ => return plain_reply(404, "no such exchange\n"),
     };
-    result.unwrap_or_else(|error| refuse(shared, peer, &error))
+    result.unwrap_or_else(|error| reject(shared, peer, &error))
 }
 
-fn ok<T: Serialize>(reply: T) -> Reply {
+fn to_reply<T: Serialize>(reply: T) -> Reply {
     peer_reply(&reply)
 }
 
-fn refuse(shared: &Shared, peer: SocketAddr, error: &str) -> Reply {
+fn reject(shared: &Shared, peer: SocketAddr, error: &str) -> Reply {
     let fields = [field("peer", &peer), field("error", error)];
     shared.log.emit(&events::PEER_BAD, &fields);
     plain_reply(400, error)
 }
 
-async fn read<M: DeserializeOwned>(
+async fn read_message<M: DeserializeOwned>(
     shared: &Shared,
     mut request: Incoming,
 ) -> Result<Message<M>, String> {
-    let read = read_all(request.body_mut(), LIMIT, SPAN, &shared.timer).await;
+    let read = read_all(
+        request.body_mut(),
+        MAX_MESSAGE_BYTES,
+        MESSAGE_TIMEOUT,
+        &shared.timer,
+    )
+    .await;
     let bytes = read.map_err(|e| e.to_string())?;
     let value = decode(&bytes).map_err(|e| e.to_string())?;
     let length = bytes.len();
--- a/crates/entry/src/peer/report.rs
+++ b/crates/entry/src/peer/report.rs
@@ -1,4 +1,4 @@
-//! Reports of sides.
+//! Reports from sides.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use crate::directory::{ReportOutcome, ReportPacer};
 use crate::shared::Shared;
 
-pub(super) fn answer(
+pub(super) fn handle_report(
     shared: &Rc<Shared>,
-    pace: &RefCell<ReportPacer>,
+    pacer: &RefCell<ReportPacer>,
     message: &Message<Report>,
 ) -> Result<ReportReply, String> {
     let report = &message.value;
     if report.address.parse::<SocketAddr>().is_err() {
         return Err(format!("address {:?} of {}", report.address, report.vm));
     }
-    pace.borrow_mut().record_length(message.length);
+    pacer.borrow_mut().record_length(message.length);
     let now = shared.timer.now();
-    let taken = shared.config.with(|config| {
+    let outcome = shared.config.with(|config| {
         let mut directory = shared.directory.borrow_mut();
         directory.apply_report(report, config, now)
     });
@@ -32,38 +32,44 @@
     }
     let sides = shared.directory.borrow().side_count();
     shared.meters.count_report(sides);
-    let next = pace
+    let interval = pacer
         .borrow()
         .next_interval(sides, shared.options.report_bytes_per_s);
     shared
         .directory
         .borrow_mut()
-        .set_report_interval(&report.vm, next);
+        .set_report_interval(&report.vm, interval);
     Ok(ReportReply {
-        next_ms: next.0,
+        next_ms: interval.0,
         revision: shared.config.revision(),
-        whole: note(shared, report, &taken),
+        whole: log_outcome(shared, report, &outcome),
     })
 }
 
-/// Logs what a report changed; gives whether the next must be whole.
-fn note(shared: &Shared, report: &Report, taken: &ReportOutcome) -> bool {
-    let (whole, leaves) = match *taken {
+/// Logs what a report changed. Returns whether the next report must list the resident adapters.
+fn log_outcome(shared: &Shared, report: &Report, outcome: &ReportOutcome) -> bool {
+    let (needs_full_report, starts_leaving) = match *outcome {
         ReportOutcome::Outdated => return false,
-        ReportOutcome::Updated { whole, leaves } => (whole, leaves),
-        ReportOutcome::Appeared { whole, leaves } => {
-            note_seen(shared, report);
-            (whole, leaves)
+        ReportOutcome::Updated {
+            needs_full_report,
+            starts_leaving,
+        } => (needs_full_report, starts_leaving),
+        ReportOutcome::Appeared {
+            needs_full_report,
+            starts_leaving,
+        } => {
+            log_side_seen(shared, report);
+            (needs_full_report, starts_leaving)
         }
     };
-    if leaves {
+    if starts_leaving {
         let fields = [field("upstream", &report.vm), field("source", "report")];
         shared.log.emit(&events::SIDE_LEAVING, &fields);
     }
-    whole
+    needs_full_report
 }
 
-fn note_seen(shared: &Shared, report: &Report) {
+fn log_side_seen(shared: &Shared, report: &Report) {
     let fields = [
         field("upstream", &report.vm),
         field("address", &report.address),
