--- a/crates/entry/src/api_error.rs
+++ b/crates/entry/src/api_error.rs
@@ -1,5 +1,5 @@
-//! Errors towards callers: the OpenAI form, a stable code, whether the request ran, and when to
-//! come back.
+//! Errors returned to callers, in the format of the OpenAI API: a stable code, whether the request
+//! ran, and when to retry.
 
 use http::HeaderValue;
 use http::header::RETRY_AFTER;
@@ -7,21 +7,21 @@
 use pumicecleat_types::{Millis, Ran, Reason, Refusal};
 use serde::Serialize;
 
-/// Span to come back after, where nothing better is known.
+/// Retry delay sent to callers if no better one is known.
 pub(crate) const DEFAULT_RETRY_AFTER: Millis = Millis(1_000);
 
-/// Final error answer to a caller.
+/// Error response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ApiError {
     /// HTTP status.
     pub(crate) status: u16,
-    /// Stable code.
+    /// Stable error code.
     pub(crate) code: &'static str,
-    /// Message for people.
+    /// Human-readable message.
     pub(crate) message: String,
     /// Whether the request ran.
     pub(crate) ran: Ran,
-    /// When to come back.
+    /// Delay after which to retry, if a retry may succeed.
     pub(crate) retry_after: Option<Millis>,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl ApiError {
-    /// Request that can't be right whatever the load: not run.
+    /// Error for a request that was rejected without running and would be rejected again.
     pub(crate) fn rejected(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Request that was not run now and may be met later.
+    /// Error for a request that was not run but may succeed later.
     pub(crate) fn unavailable(
         code: &'static str,
         message: impl Into<String>,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Request whose outcome nobody can tell.
+    /// Error for a request whose outcome is unknown.
     pub(crate) fn outcome_unknown(message: impl Into<String>) -> Self {
         Self {
             status: 502,
@@ -78,20 +78,20 @@
         }
     }
 
-    /// A side's refusal as a caller sees it.
+    /// Error for a request that a side refused.
     pub(crate) fn from_refusal(refusal: &Refusal) -> Self {
-        let face = Face::of(refusal.reason);
-        let comes_back = matches!(face.status, 409 | 429 | 503 | 504);
+        let mapping = ErrorMapping::of(refusal.reason);
+        let is_retryable = matches!(mapping.status, 409 | 429 | 503 | 504);
         Self {
-            status: face.status,
-            code: face.code,
+            status: mapping.status,
+            code: mapping.code,
             message: refusal.detail.clone(),
-            ran: face.ran,
-            retry_after: comes_back.then_some(Millis(refusal.retry_ms.max(1))),
+            ran: mapping.ran,
+            retry_after: is_retryable.then_some(Millis(refusal.retry_ms.max(1))),
         }
     }
 
-    /// The same fault after an earlier attempt that may have run.
+    /// The same error for a request with an earlier attempt that may have run.
     pub(crate) fn after_uncertain_attempt(mut self) -> Self {
         if self.ran == Ran::No {
             self.ran = Ran::Unknown;
@@ -99,18 +99,18 @@
         self
     }
 
-    /// Body of the answer, also the data of a stream's error event.
+    /// Response body, also used as the data of a stream's error event.
     pub(crate) fn body(&self) -> Vec<u8> {
-        // A struct of texts always encodes.
+        // Serialization of a struct of strings can't fail.
         serde_json::to_vec(&self.envelope()).unwrap_or_default()
     }
 
-    /// Answer.
+    /// HTTP response.
     pub(crate) fn to_reply(&self) -> Reply {
         let mut reply = json_reply(self.status, &self.envelope());
-        if let Some(retry) = self.retry_after {
-            let secs = HeaderValue::from(retry.0.div_ceil(1_000).max(1));
-            reply.headers_mut().insert(RETRY_AFTER, secs);
+        if let Some(retry_after) = self.retry_after {
+            let seconds = HeaderValue::from(retry_after.0.div_ceil(1_000).max(1));
+            reply.headers_mut().insert(RETRY_AFTER, seconds);
         }
         reply
     }
@@ -139,15 +139,16 @@
     }
 }
 
-/// How a reason looks to a caller.
-struct Face {
+/// Status, code and execution state that a caller gets for a refusal reason.
+struct ErrorMapping {
     status: u16,
     code: &'static str,
     ran: Ran,
 }
 
-impl Face {
-    /// A key's earlier attempt may have run, so that "not run" would mislead for its reasons.
+impl ErrorMapping {
+    /// `Ran::No` would be misleading where an earlier attempt with the same idempotency key may have
+    /// run, so these reasons map to `Ran::Unknown`.
     fn of(reason: Reason) -> Self {
         let (status, code, ran) = match reason {
             Reason::Overloaded => (429, "overloaded", Ran::No),
@@ -169,7 +170,7 @@
     }
 }
 
-/// Stable code of a reason.
+/// Stable error code of a refusal reason.
 pub(crate) fn reason_code(reason: Reason) -> &'static str {
-    Face::of(reason).code
+    ErrorMapping::of(reason).code
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,11 +1,12 @@
-//! The process that meets callers: identity, choice of upstream, retry, and the whole answer.
+//! The process that serves callers: authentication, choice of upstream, retries, and complete
+//! answers.
 //!
-//! [`Entry::start`] puts an entry together on this thread's loop, from its [`EntrySettings`] and
-//! an [`EntryContext`]; the daemon only reads settings and calls it.
+//! [`Entry::start`] starts an entry on this thread's event loop from its [`EntrySettings`] and an
+//! [`EntryContext`]. The daemon only reads the settings and calls it.
 //!
-//! `caller` takes requests, `request` makes attempts until one is whole, `stream` passes streams on
-//! and mends them, `directory` chooses among sides, `config` follows the log, and `peer` serves
-//! sides and other entries.
+//! `caller` receives requests, `request` makes attempts until one is answered completely, `stream`
+//! forwards streams and resumes broken ones, `directory` chooses among sides, `config` follows the
+//! configuration in the log, and `peer` serves sides and other entries.
 //!
 //! ```no_run
 //! use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,5 +1,5 @@
-//! The process that meets callers: identity, choice of upstream, retry, and the whole answer.
-//! Reads settings and calls the library.
+//! The process that serves callers: authentication, choice of upstream, retries, and complete
+//! answers. Reads the settings and calls the library.
 
 use std::process::ExitCode;
 
@@ -41,12 +41,12 @@
         }
     };
     let context = EntryContext::over_http(settings, &timer);
-    // A listener that can't be bound has logged why.
+    // A listener that can't be bound has been logged.
     let entry = Entry::start(settings, &context, &timer, log, &stop).ok()?;
-    let at = entry.addresses();
+    let addresses = entry.addresses();
     println!(
         "listening {} peers {} admin {}",
-        at.callers, at.peers, at.admin
+        addresses.callers, addresses.peers, addresses.admin
     );
     let end = entry.run().await;
     Entry::log_end(log, &end);
--- a/crates/entry/src/meters.rs
+++ b/crates/entry/src/meters.rs
@@ -7,36 +7,38 @@
 use pumicecleat_types::Millis;
 use pumicecleat_upstream::Usage;
 
-/// Buckets of latencies, seconds.
-const LATENCY: [f64; 14] = [
+/// Upper bounds of the latency buckets, in seconds.
+const LATENCY_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.51, 0.75, 1.0, 2.0, 5.0, 15.0, 60.0,
 ];
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEnd {
-    /// Answered whole.
+    /// Answered completely.
     Completed,
-    /// Answered by an error.
+    /// Answered with an error.
     Failed,
-    /// Stream ended visibly broken.
+    /// The stream was cut off, visibly to the caller.
     Broken,
-    /// Caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
+/// The field names are the label names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RequestLabels {
     outcome: &'static str,
     code: &'static str,
 }
 
+/// The field name is the label name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabels {
     reason: &'static str,
 }
 
-/// Handles of the metrics.
+/// Metrics of an entry.
 pub(crate) struct Meters {
     requests: Family<RequestLabels, Counter>,
     attempts: Counter,
@@ -61,7 +63,7 @@
 }
 
 impl Meters {
-    /// Meters registered in `metrics`.
+    /// Registers the metrics in `metrics`.
     pub(crate) fn new(metrics: &Metrics) -> Self {
         Self {
             requests: metrics.counters("entry_requests", "Requests by outcome and error code"),
@@ -76,12 +78,12 @@
             first_byte_time: metrics.histogram(
                 "entry_first_seconds",
                 "Time from a request's head to the first bytes of its answer",
-                &LATENCY,
+                &LATENCY_BUCKETS,
             ),
             total_time: metrics.histogram(
                 "entry_total_seconds",
                 "Time from a request's head to its end",
-                &LATENCY,
+                &LATENCY_BUCKETS,
             ),
             streams: metrics.gauge("entry_streams", "Streams open"),
             sides: metrics.gauge("entry_sides", "Sides known"),
@@ -154,7 +156,7 @@
 
     pub(crate) fn count_tokens(&self, usage: &Usage) {
         self.prompt_tokens.inc_by(usage.prompt);
-        // No engine can have found more than there was.
+        // An engine can't have cached more tokens than the prompt has.
         let cached = usage.details.cached.unwrap_or(0).min(usage.prompt);
         self.cached_tokens.inc_by(cached);
     }
--- a/crates/entry/src/start/dump.rs
+++ b/crates/entry/src/start/dump.rs
@@ -1,4 +1,4 @@
-//! The whole state of an entry for people.
+//! State of an entry, as shown to operators.
 
 use std::rc::Rc;
 
@@ -10,34 +10,34 @@
 use crate::directory::SideDump;
 use crate::shared::Shared;
 
-/// Whole state of an entry.
+/// State of an entry, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryDump {
     /// Kind of process: `entry`.
     pub role: String,
     /// VM.
     pub vm: VmId,
-    /// Peer address.
+    /// Address at which others reach the peer listener.
     pub address: String,
-    /// Takes requests.
+    /// Whether it takes requests.
     pub ready: bool,
-    /// Stops.
+    /// Whether it is stopping.
     pub stopping: bool,
     /// Configuration.
     pub config: ConfigDump,
-    /// Sides, by VM.
+    /// Sides, in the order of their VMs.
     pub sides: Vec<SideDump>,
-    /// Adapters' versions seen.
+    /// Number of adapter versions seen.
     pub loras: usize,
-    /// VMs listed.
+    /// Number of entries and upstreams in the VM list.
     pub listed: usize,
-    /// Retries of refused attempts at hand.
+    /// Retries of refused attempts left in the budget.
     pub retries: u64,
-    /// Retries of lost attempts at hand.
+    /// Retries of lost attempts left in the budget.
     pub losses: u64,
     /// Order of loads.
     pub order: OrderDump,
-    /// Requests under way.
+    /// Requests in progress.
     pub open: Vec<RequestId>,
 }
 
@@ -46,19 +46,19 @@
 pub struct OrderDump {
     /// Weight store.
     pub store: String,
-    /// Sides that wait for a turn.
+    /// Number of sides that wait for a turn.
     pub waiting: usize,
-    /// Whether a side holds the turn.
+    /// Whether a side holds a turn.
     pub held: bool,
-    /// Expected time of a load, milliseconds.
+    /// Expected time of a load, in milliseconds.
     pub load_ms: u64,
 }
 
-pub(super) struct State {
+pub(super) struct StateDump {
     shared: Rc<Shared>,
 }
 
-impl State {
+impl StateDump {
     pub(super) fn new(shared: &Rc<Shared>) -> Self {
         Self {
             shared: Rc::clone(shared),
@@ -81,12 +81,12 @@
             listed: directory.listed_count(),
             retries: shared.refusal_budget.borrow().available(),
             losses: shared.loss_budget.borrow().available(),
-            order: self.order(),
+            order: self.order_dump(),
             open: shared.drain.open(),
         }
     }
 
-    fn order(&self) -> OrderDump {
+    fn order_dump(&self) -> OrderDump {
         let order = self.shared.load_order.borrow();
         OrderDump {
             store: self.shared.options.weight_store.clone(),
@@ -97,9 +97,9 @@
     }
 }
 
-impl Dump for State {
+impl Dump for StateDump {
     fn dump(&self) -> serde_json::Value {
-        // Plain texts and numbers always encode.
-        serde_json::to_value(State::dump(self)).unwrap_or_default()
+        // Serialization of plain strings and numbers can't fail.
+        serde_json::to_value(StateDump::dump(self)).unwrap_or_default()
     }
 }
--- a/crates/entry/src/start/mod.rs
+++ b/crates/entry/src/start/mod.rs
@@ -1,4 +1,4 @@
-//! Putting an entry together, and its graceful stop.
+//! Startup and graceful shutdown of an entry.
 
 mod dump;
 mod running;
@@ -22,36 +22,36 @@
 use crate::config::{self, Configuration};
 use crate::directory::{Directory, follow_vms, watch_silence};
 use crate::meters::Meters;
-use crate::peer::{PeerHandler, call_idle};
+use crate::peer::{PeerHandler, call_bidders};
 use crate::shared::{Options, Shared};
 
 pub use dump::{EntryDump, OrderDump};
 pub use running::{Addresses, Entry};
 
-/// Time for an exchange with the platform, beside what it waits by request.
-const PLATFORM_SPAN: Duration = Duration::from_secs(2);
+/// Timeout of requests to the platform, in addition to the wait that a request asks for.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest idle time of a side's connection: kept for the minute between two reports, those of a
-/// region's sides would take more memory than all the rest.
-const PEER_IDLE: Duration = Duration::from_secs(5);
+/// Idle timeout of connections from sides. If they stayed open for the minute between two reports,
+/// the connections of a region's sides would take more memory than everything else.
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Retries of refused attempts at hand at the start.
-const RETRY_BURST: u32 = 20;
+/// Maximum number of retries of refused attempts in a burst, which are available at the start.
+const REFUSAL_RETRY_BURST: u32 = 20;
 
-/// Retries of lost attempts: load is doubled at most, and the batches of a few upstreams that die at
-/// once are tried again.
-const LOSSES: RetryBudgetOptions = RetryBudgetOptions {
+/// Budget for retries of lost attempts. It at most doubles the load, and is large enough to retry
+/// the batches of a few upstreams that fail at once.
+const LOSS_BUDGET: RetryBudgetOptions = RetryBudgetOptions {
     percent: 100,
     burst: 500,
 };
 
-/// Pieces of streams under way that pass before the poller is asked again.
-const TURN: usize = 16;
+/// Number of pieces of open streams forwarded between two polls for I/O events.
+const MAX_PIECES_PER_TURN: usize = 16;
 
 /// Readiness condition of the listeners.
 const LISTENERS_CONDITION: &str = "listeners";
 
-/// The platform as an entry needs it.
+/// Services used by an entry.
 #[derive(Clone)]
 pub struct EntryContext {
     /// Log service.
@@ -60,20 +60,20 @@
     pub vm_list: Option<Rc<dyn Vms>>,
 }
 
-/// An entry that can't start.
+/// Failure to start an entry.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// A listener can't be bound.
     #[snafu(display("step bind, listener {purpose}, address {address}: {source}"))]
     Bind {
-        /// Use of the listener.
+        /// Purpose of the listener.
         purpose: &'static str,
         /// Address.
         address: SocketAddr,
         /// Cause.
         source: io::Error,
     },
-    /// No turns for streams.
+    /// The turns for streams can't be started.
     #[snafu(display("step start turns: {source}"))]
     Turns {
         /// Cause.
@@ -82,27 +82,33 @@
 }
 
 impl EntryContext {
-    /// The platform over HTTP.
+    /// Creates clients of the services over HTTP, with the addresses from the settings.
     #[must_use]
     pub fn over_http(settings: &EntrySettings, timer: &Timer) -> Self {
         let client = Client::new_ext(ClientOptions::default(), timer);
-        let log = HttpLog::new(&client, Peers::parse(&settings.log), PLATFORM_SPAN);
-        let list = join(&settings.vms);
-        let vms = (!list.is_empty()).then(|| {
-            Rc::new(HttpVms::new(&client, Peers::parse(&list), PLATFORM_SPAN)) as Rc<dyn Vms>
+        let log_service = HttpLog::new(&client, Peers::parse(&settings.log), PLATFORM_TIMEOUT);
+        let addresses = join_addresses(&settings.vms);
+        let vm_list = (!addresses.is_empty()).then(|| {
+            Rc::new(HttpVms::new(
+                &client,
+                Peers::parse(&addresses),
+                PLATFORM_TIMEOUT,
+            )) as Rc<dyn Vms>
         });
         Self {
-            log_service: Rc::new(log),
-            vm_list: vms,
+            log_service: Rc::new(log_service),
+            vm_list,
         }
     }
 }
 
 impl Entry {
-    /// Starts an entry on this loop; a port 0 in the settings lets the system choose one.
+    /// Starts an entry on this thread's event loop. The system chooses a port for each port 0 in the
+    /// settings.
     ///
     /// # Errors
-    /// [`StartError`] if a listener can't be bound, or descriptors are lacking.
+    /// Returns [`StartError`] if a listener can't be bound or the process is out of file
+    /// descriptors.
     pub fn start(
         settings: &EntrySettings,
         context: &EntryContext,
@@ -119,25 +125,25 @@
             peers: peers.address,
             admin: admin.address,
         };
-        let options = options(settings, addresses.peers);
-        let shared = share(settings, options, context, timer, log, stop, &metrics)?;
-        let state = Rc::new(dump::State::new(&shared));
-        let handler = Admin::new(&metrics, &shared.readiness, state);
-        let admin = serve(admin, Rc::new(handler), ServerOptions::default(), timer);
-        let limits = ServerOptions {
+        let options = build_options(settings, addresses.peers);
+        let shared = build_shared(settings, options, context, timer, log, stop, &metrics)?;
+        let dump = Rc::new(dump::StateDump::new(&shared));
+        let handler = Admin::new(&metrics, &shared.readiness, dump);
+        let admin = start_server(admin, Rc::new(handler), ServerOptions::default(), timer);
+        let server_options = ServerOptions {
             connections: settings.connections,
             ..ServerOptions::default()
         };
         let handler = Rc::new(CallerHandler::new(&shared));
-        let callers = serve(callers, handler, limits, timer);
+        let callers = start_server(callers, handler, server_options, timer);
         let handler = Rc::new(PeerHandler::new(&shared));
-        let limits = ServerOptions {
-            head_span: PEER_IDLE,
+        let server_options = ServerOptions {
+            head_span: PEER_IDLE_TIMEOUT,
             ..ServerOptions::default()
         };
-        let peers = serve(peers, handler, limits, timer);
+        let peers = start_server(peers, handler, server_options, timer);
         shared.readiness.hold(LISTENERS_CONDITION);
-        spawn_loops(&shared, context);
+        spawn_tasks(&shared, context);
         let servers = running::Servers {
             callers,
             peers,
@@ -152,16 +158,16 @@
     }
 }
 
-fn options(settings: &EntrySettings, bound: SocketAddr) -> Options {
+fn build_options(settings: &EntrySettings, bound: SocketAddr) -> Options {
     Options {
         vm: settings.common.vm.clone(),
         region: settings.common.region.clone(),
         log_addresses: settings.log.clone(),
-        vm_list_addresses: join(&settings.vms),
+        vm_list_addresses: join_addresses(&settings.vms),
         entry_addresses: settings.peers.clone(),
         own_address: settings.peer_address.unwrap_or(bound),
         weight_store: settings.store.clone(),
-        retention_ms: saturating_ms(settings.retention.0),
+        retention_ms: to_millis(settings.retention.0),
         body_timeout: settings.body_span.0,
         stall_timeout: settings.stall.0,
         max_answer_bytes: usize::try_from(settings.answer.0).unwrap_or(usize::MAX),
@@ -169,7 +175,7 @@
     }
 }
 
-fn share(
+fn build_shared(
     settings: &EntrySettings,
     options: Options,
     context: &EntryContext,
@@ -178,23 +184,23 @@
     stop: &Stop,
     metrics: &Metrics,
 ) -> Result<Rc<Shared>, StartError> {
-    let budget = RetryBudgetOptions {
+    let refusal_budget = RetryBudgetOptions {
         percent: settings.retries,
-        burst: RETRY_BURST,
+        burst: REFUSAL_RETRY_BURST,
     };
     let seed = pumicecleat_policy::upstream_key(&options.vm);
     let shared = Shared {
         options,
         timer: timer.clone(),
-        turns: Turns::start(TURN).context(TurnsSnafu)?,
+        turns: Turns::start(MAX_PIECES_PER_TURN).context(TurnsSnafu)?,
         entry_client: Client::new_ext(ClientOptions::default(), timer),
-        side_client: Client::new_ext(run_options(), timer),
+        side_client: Client::new_ext(side_client_options(), timer),
         log: log.clone(),
         log_service: Rc::clone(&context.log_service),
         config: Configuration::default(),
         directory: RefCell::new(Directory::new(seed)),
-        refusal_budget: RefCell::new(RetryBudget::new_ext(budget)),
-        loss_budget: RefCell::new(RetryBudget::new_ext(LOSSES)),
+        refusal_budget: RefCell::new(RetryBudget::new_ext(refusal_budget)),
+        loss_budget: RefCell::new(RetryBudget::new_ext(LOSS_BUDGET)),
         load_order: RefCell::new(LoadOrder::new_ext(LoadOrderOptions::default())),
         readiness: Readiness::new(
             &[
@@ -209,27 +215,31 @@
         meters: Meters::new(metrics),
         leaving: Cell::new(false),
         unreachable_peers: RefCell::default(),
-        next_peer: Cell::new(0),
+        peer_rotation: Cell::new(0),
     };
     Ok(Rc::new(shared))
 }
 
-fn run_options() -> ClientOptions {
+fn side_client_options() -> ClientOptions {
     ClientOptions {
         protocol: Protocol::Http2,
         ..ClientOptions::default()
     }
 }
 
-struct Bound {
+struct BoundListener {
     listener: monoio::net::TcpListener,
     address: SocketAddr,
 }
 
-fn listen(purpose: &'static str, address: SocketAddr, log: &Log) -> Result<Bound, StartError> {
+fn listen(
+    purpose: &'static str,
+    address: SocketAddr,
+    log: &Log,
+) -> Result<BoundListener, StartError> {
     let bound = bind(address).and_then(|listener| {
         let address = listener.local_addr()?;
-        Ok(Bound { listener, address })
+        Ok(BoundListener { listener, address })
     });
     match &bound {
         Ok(bound) => {
@@ -248,28 +258,33 @@
     bound.context(BindSnafu { purpose, address })
 }
 
-fn serve(bound: Bound, handler: Rc<dyn Handler>, options: ServerOptions, timer: &Timer) -> Server {
+fn start_server(
+    bound: BoundListener,
+    handler: Rc<dyn Handler>,
+    options: ServerOptions,
+    timer: &Timer,
+) -> Server {
     let server = Server::new_ext(options, handler, timer);
     let accepting = server.clone();
     monoio::spawn(async move { accepting.serve(bound.listener).await });
     server
 }
 
-fn spawn_loops(shared: &Rc<Shared>, context: &EntryContext) {
+fn spawn_tasks(shared: &Rc<Shared>, context: &EntryContext) {
     monoio::spawn(config::follow(Rc::clone(shared)));
     monoio::spawn(config::append_snapshots(Rc::clone(shared)));
     monoio::spawn(watch_silence(Rc::clone(shared)));
-    monoio::spawn(call_idle(Rc::clone(shared)));
+    monoio::spawn(call_bidders(Rc::clone(shared)));
     if let Some(vms) = &context.vm_list {
         monoio::spawn(follow_vms(Rc::clone(shared), Rc::clone(vms)));
     }
 }
 
-fn join(addresses: &[SocketAddr]) -> String {
-    let texts: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
-    texts.join(",")
+fn join_addresses(addresses: &[SocketAddr]) -> String {
+    let addresses: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
+    addresses.join(",")
 }
 
-fn saturating_ms(span: Duration) -> u64 {
+fn to_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -1,4 +1,4 @@
-//! A running entry, and its end.
+//! A running entry and its shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 use crate::shared::Shared;
 
-/// Readiness condition that a stop takes away.
+/// Readiness condition that fails when the entry stops.
 pub(super) const RUNNING_CONDITION: &str = "running";
 
-/// Longest wait for the last bytes of answers that have ended to leave.
-const FLUSH: Duration = Duration::from_secs(1);
+/// Maximum time for flushing the last bytes of completed answers.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Addresses that a running entry listens on.
+/// Addresses on which a running entry listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
     /// For callers.
@@ -37,7 +37,7 @@
     shared: Rc<Shared>,
     addresses: Addresses,
     servers: Servers,
-    limit: Duration,
+    drain_limit: Duration,
 }
 
 impl Entry {
@@ -45,18 +45,18 @@
         shared: Rc<Shared>,
         addresses: Addresses,
         servers: Servers,
-        limit: Duration,
+        drain_limit: Duration,
     ) -> Self {
         shared.readiness.hold(RUNNING_CONDITION);
         Self {
             shared,
             addresses,
             servers,
-            limit,
+            drain_limit,
         }
     }
 
-    /// Addresses that it listens on.
+    /// Addresses on which it listens.
     #[must_use]
     pub fn addresses(&self) -> Addresses {
         self.addresses
@@ -74,8 +74,8 @@
         self.shared.config.revision()
     }
 
-    /// Serves until a stop is asked for and every request under way has ended, or the stop is
-    /// asked for again, or the drain limit passes.
+    /// Serves until a stop is requested and all requests in progress have ended. A second stop
+    /// request or the drain limit ends it earlier.
     pub async fn run(self) -> DrainEnd {
         self.shared.stop.first().await;
         let source = if self.shared.leaving.get() {
@@ -90,15 +90,15 @@
         let end = drain
             .finish(
                 &self.shared.stop,
-                self.limit,
+                self.drain_limit,
                 &self.shared.timer,
                 &self.shared.log,
             )
             .await;
         self.servers.callers.stop();
-        // Answers that have ended may still be on their way to the sockets.
+        // The last bytes of completed answers may not have been written to the sockets yet.
         let closed = self.servers.callers.closed();
-        let _ = self.shared.timer.within(FLUSH, closed).await;
+        let _ = self.shared.timer.within(FLUSH_TIMEOUT, closed).await;
         self.servers.peers.stop();
         self.servers.admin.stop();
         end
