--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -4,27 +4,37 @@
 use pumicecleat_net::Incoming;
 use pumicecleat_types::CallerId;
 
-use crate::fault::{Fault, RETRY};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::shared::Shared;
 
 /// Authentication scheme in the `Authorization` header.
 const BEARER_PREFIX: &str = "bearer ";
 
 /// Refuses new requests while the process stops or is not ready, such as without a configuration.
-pub(super) fn check_accepting(shared: &Shared) -> Result<(), Fault> {
+pub(super) fn check_accepting(shared: &Shared) -> Result<(), ApiError> {
     if shared.stop.is_asked() {
-        return Err(Fault::later("stopping", "this entry is stopping", RETRY));
+        return Err(ApiError::unavailable(
+            "stopping",
+            "this entry is stopping",
+            DEFAULT_RETRY_AFTER,
+        ));
     }
     if !shared.readiness.is_ready() {
-        return Err(Fault::later("not_ready", "this entry is not ready", RETRY));
+        return Err(ApiError::unavailable(
+            "not_ready",
+            "this entry is not ready",
+            DEFAULT_RETRY_AFTER,
+        ));
     }
     Ok(())
 }
 
 /// Authenticates the caller of a request.
-pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, Fault> {
-    let caller = bearer_key(incoming).and_then(|key| shared.current.caller(key));
-    caller.ok_or_else(|| Fault::bad(401, "invalid_api_key", "no known API key in Authorization"))
+pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, ApiError> {
+    let caller = bearer_key(incoming).and_then(|key| shared.config.caller_by_key(key));
+    caller.ok_or_else(|| {
+        ApiError::rejected(401, "invalid_api_key", "no known API key in Authorization")
+    })
 }
 
 fn bearer_key(incoming: &Incoming) -> Option<&str> {
--- a/crates/entry/src/caller/chat.rs
+++ b/crates/entry/src/caller/chat.rs
@@ -10,7 +10,7 @@
 
 use super::headers::{insert_attempt_headers, read_deadline, read_priority};
 use super::{CallerRequest, read_body};
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{
     BufferedResponse, Exchange, Job, RequestBody, RetryMode, prompt_affinity, resolve_model,
 };
@@ -28,7 +28,10 @@
 }
 
 /// Handles a chat request.
-pub(super) async fn handle(shared: &Rc<Shared>, mut call: CallerRequest) -> Result<Reply, Fault> {
+pub(super) async fn handle(
+    shared: &Rc<Shared>,
+    mut call: CallerRequest,
+) -> Result<Reply, ApiError> {
     let bytes = read_body(shared, &mut call).await?;
     let chat = parse_chat(&bytes)?;
     let mut job = make_job(shared, &call, chat)?;
@@ -44,13 +47,13 @@
     Ok(buffered_reply(exchange, result))
 }
 
-fn parse_chat(bytes: &[u8]) -> Result<ChatBody, Fault> {
+fn parse_chat(bytes: &[u8]) -> Result<ChatBody, ApiError> {
     let limits = ChatLimits {
         bytes: bytes.len().max(1),
         ..ChatLimits::default()
     };
     let parsed = ChatBody::parse(bytes, &limits);
-    parsed.map_err(|fault| Fault::bad(400, body_fault_code(&fault), fault.to_string()))
+    parsed.map_err(|fault| ApiError::rejected(400, body_fault_code(&fault), fault.to_string()))
 }
 
 fn body_fault_code(fault: &BodyFault) -> &'static str {
@@ -63,7 +66,7 @@
     }
 }
 
-fn make_job(shared: &Shared, call: &CallerRequest, chat: ChatBody) -> Result<Job, Fault> {
+fn make_job(shared: &Shared, call: &CallerRequest, chat: ChatBody) -> Result<Job, ApiError> {
     let headers = call.incoming.headers();
     let resolved = resolve_model(shared, &call.caller, chat.model())?;
     let prompt = prompt_affinity(&chat, resolved.prefix_seed);
@@ -107,7 +110,7 @@
 }
 
 /// Reply with a complete response or a fault.
-fn buffered_reply(mut exchange: Exchange, result: Result<BufferedResponse, Fault>) -> Reply {
+fn buffered_reply(mut exchange: Exchange, result: Result<BufferedResponse, ApiError>) -> Reply {
     let mut reply = match result {
         Ok(response) => {
             exchange.record_first_byte();
@@ -119,7 +122,7 @@
         }
         Err(fault) => {
             exchange.record_fault(&fault);
-            fault.reply()
+            fault.to_reply()
         }
     };
     insert_attempt_headers(reply.headers_mut(), &exchange);
--- a/crates/entry/src/caller/headers.rs
+++ b/crates/entry/src/caller/headers.rs
@@ -4,7 +4,7 @@
 use http::header::{HeaderName, HeaderValue};
 use pumicecleat_types::{CallerId, HeaderField, Millis};
 
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::Exchange;
 use crate::shared::Shared;
 
@@ -43,8 +43,8 @@
 ];
 
 /// Time limit of a request: the one that the caller requests, up to the configured maximum.
-pub(super) fn read_deadline(shared: &Shared, headers: &HeaderMap) -> Result<Millis, Fault> {
-    let limits = shared.current.with(|config| config.limits);
+pub(super) fn read_deadline(shared: &Shared, headers: &HeaderMap) -> Result<Millis, ApiError> {
+    let limits = shared.config.with(|config| config.limits);
     let Some(value) = headers.get(X_DEADLINE_MS) else {
         return Ok(Millis(limits.deadline_ms));
     };
@@ -52,7 +52,7 @@
         Some(ms) if ms > 0 => Ok(Millis(ms.min(limits.longest_ms))),
         _ => {
             let message = "X-Deadline-Ms is not a positive number of milliseconds";
-            Err(Fault::bad(400, "bad_deadline", message))
+            Err(ApiError::rejected(400, "bad_deadline", message))
         }
     }
 }
@@ -62,26 +62,26 @@
     shared: &Shared,
     caller: &CallerId,
     headers: &HeaderMap,
-) -> Result<u8, Fault> {
+) -> Result<u8, ApiError> {
     let Some(value) = headers.get(X_PRIORITY) else {
         return Ok(0);
     };
     let Some(requested) = read_number::<u8>(value) else {
         let message = "X-Priority is not a number from 0 to 255";
-        return Err(Fault::bad(400, "bad_priority", message));
+        return Err(ApiError::rejected(400, "bad_priority", message));
     };
     let max_priority = shared
-        .current
+        .config
         .with(|config| config.callers.get(caller).map_or(0, |c| c.priority));
     if requested > max_priority {
         let message = format!("X-Priority may be at most {max_priority} for this caller");
-        return Err(Fault::bad(403, "priority_too_high", message));
+        return Err(ApiError::rejected(403, "priority_too_high", message));
     }
     Ok(requested)
 }
 
 /// Idempotency key, if the request has one.
-pub(super) fn read_key(headers: &HeaderMap) -> Result<Option<String>, Fault> {
+pub(super) fn read_key(headers: &HeaderMap) -> Result<Option<String>, ApiError> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
         return Ok(None);
@@ -89,7 +89,7 @@
     let text = value.to_str().ok().filter(|_| values.next().is_none());
     let Some(text) = text else {
         let message = "Idempotency-Key is not a single header of ASCII text";
-        return Err(Fault::bad(400, "key_invalid", message));
+        return Err(ApiError::rejected(400, "key_invalid", message));
     };
     Ok(Some(text.to_owned()))
 }
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -25,8 +25,8 @@
 
 use request_info::RequestInfo;
 
+use crate::api_error::ApiError;
 use crate::config::ensure_fresh;
-use crate::fault::Fault;
 use crate::shared::Shared;
 
 /// Header with the id of the request.
@@ -78,7 +78,7 @@
     let result = dispatch(shared, &mut info, incoming).await;
     let mut reply = result.unwrap_or_else(|fault| {
         info.record_refusal(shared, &fault);
-        fault.reply()
+        fault.to_reply()
     });
     let headers = reply.headers_mut();
     if let Ok(id) = HeaderValue::from_str(info.request_id.as_str()) {
@@ -94,7 +94,7 @@
     shared: &Rc<Shared>,
     info: &mut RequestInfo,
     incoming: Incoming,
-) -> Result<Reply, Fault> {
+) -> Result<Reply, ApiError> {
     admit::check_accepting(shared)?;
     let guard = shared.drain.enter(&info.request_id);
     // Boxed because each waiting request would otherwise reserve space for this future.
@@ -112,7 +112,7 @@
     match (call.incoming.method(), path) {
         (&Method::POST, CHAT_PATH) => Box::pin(chat::handle(shared, call)).await,
         (&Method::GET, MODELS_PATH) => Ok(models::reply(shared, &call.caller)),
-        (_, CHAT_PATH | MODELS_PATH) => Err(Fault::bad(
+        (_, CHAT_PATH | MODELS_PATH) => Err(ApiError::rejected(
             405,
             "method_not_allowed",
             "method not allowed for this path",
@@ -122,9 +122,9 @@
 }
 
 /// Reads the body of a request.
-async fn read_body(shared: &Shared, call: &mut CallerRequest) -> Result<Vec<u8>, Fault> {
-    let limit = shared.current.with(|config| config.limits.body);
-    let span = shared.options.body_span;
+async fn read_body(shared: &Shared, call: &mut CallerRequest) -> Result<Vec<u8>, ApiError> {
+    let limit = shared.config.with(|config| config.limits.body);
+    let span = shared.options.body_timeout;
     let body = call.incoming.body_mut();
     let declared = http_body::Body::size_hint(body).lower();
     let read = if declared > limit {
@@ -135,11 +135,11 @@
     read.map_err(|error| body_fault(&error))
 }
 
-fn body_fault(error: &BodyError) -> Fault {
+fn body_fault(error: &BodyError) -> ApiError {
     let (status, code) = match error {
         BodyError::TooLong { .. } => (413, "body_too_long"),
         BodyError::TooSlow { .. } => (408, "body_too_slow"),
         BodyError::Broken { .. } => (400, "body_broken"),
     };
-    Fault::bad(status, code, error.to_string())
+    ApiError::rejected(status, code, error.to_string())
 }
--- a/crates/entry/src/caller/models.rs
+++ b/crates/entry/src/caller/models.rs
@@ -24,7 +24,7 @@
 
 /// Lists every adapter version available to a caller, and each adapter that has a default version.
 pub(super) fn reply(shared: &Shared, caller: &CallerId) -> Reply {
-    let data = shared.current.with(|config| list_models(config, caller));
+    let data = shared.config.with(|config| list_models(config, caller));
     let object = "list";
     json_reply(200, &ModelList { object, data })
 }
--- a/crates/entry/src/caller/request_info.rs
+++ b/crates/entry/src/caller/request_info.rs
@@ -5,8 +5,8 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{CallerId, Millis, RequestId};
 
-use crate::fault::Fault;
-use crate::meters::End;
+use crate::api_error::ApiError;
+use crate::meters::RequestEnd;
 use crate::shared::Shared;
 
 /// Data of a request that has not become a job yet.
@@ -21,9 +21,11 @@
 
 impl RequestInfo {
     /// Counts and logs a refusal before the first attempt.
-    pub(super) fn record_refusal(&self, shared: &Shared, fault: &Fault) {
+    pub(super) fn record_refusal(&self, shared: &Shared, fault: &ApiError) {
         let elapsed = shared.timer.now().since(self.received_at);
-        shared.meters.ended(End::Fault, fault.code, elapsed);
+        shared
+            .meters
+            .record_end(RequestEnd::Failed, fault.code, elapsed);
         match fault.status {
             401 | 403 | 404 => self.log_caller_refused(shared, fault),
             503 => self.log_request_refused(shared, fault),
@@ -31,7 +33,7 @@
         }
     }
 
-    fn log_caller_refused(&self, shared: &Shared, fault: &Fault) {
+    fn log_caller_refused(&self, shared: &Shared, fault: &ApiError) {
         let fields = [
             field("peer", &self.peer),
             field("caller", self.caller()),
@@ -41,7 +43,7 @@
         shared.log.emit(&events::CALLER_REFUSED, &fields);
     }
 
-    fn log_request_refused(&self, shared: &Shared, fault: &Fault) {
+    fn log_request_refused(&self, shared: &Shared, fault: &ApiError) {
         let fields = [
             field("request", &self.request_id),
             field("caller", self.caller()),
@@ -53,7 +55,7 @@
         shared.log.emit(&events::REQUEST_REFUSED, &fields);
     }
 
-    fn log_request_malformed(&self, shared: &Shared, fault: &Fault) {
+    fn log_request_malformed(&self, shared: &Shared, fault: &ApiError) {
         let fields = [
             field("peer", &self.peer),
             field("request", &self.request_id),
--- a/crates/entry/src/caller/service.rs
+++ b/crates/entry/src/caller/service.rs
@@ -12,14 +12,17 @@
     read_key, read_priority,
 };
 use super::{CallerRequest, read_body};
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{
     BufferedResponse, Exchange, Job, RequestBody, RetryMode, ServiceRoute, resolve_service,
 };
 use crate::shared::Shared;
 
 /// Handles a call of a plain service.
-pub(super) async fn handle(shared: &Rc<Shared>, mut call: CallerRequest) -> Result<Reply, Fault> {
+pub(super) async fn handle(
+    shared: &Rc<Shared>,
+    mut call: CallerRequest,
+) -> Result<Reply, ApiError> {
     let job = make_job(shared, &call)?;
     let body = read_body(shared, &mut call).await?;
     let job = Job {
@@ -33,7 +36,7 @@
     Ok(buffered_reply(exchange, result))
 }
 
-fn make_job(shared: &Shared, call: &CallerRequest) -> Result<Job, Fault> {
+fn make_job(shared: &Shared, call: &CallerRequest) -> Result<Job, ApiError> {
     let headers = call.incoming.headers();
     let uri = call.incoming.uri();
     let path = uri.path_and_query().map_or(uri.path(), |p| p.as_str());
@@ -62,14 +65,14 @@
     Ok(job)
 }
 
-fn read_retry_mode(route: &ServiceRoute, key: Option<&str>) -> Result<RetryMode, Fault> {
+fn read_retry_mode(route: &ServiceRoute, key: Option<&str>) -> Result<RetryMode, ApiError> {
     match (route.idempotent, key, route.key_rule) {
         (true, _, _) => Ok(RetryMode::Idempotent),
         (false, Some(_), _) => Ok(RetryMode::OnceByKey),
         (false, None, KeyRule::Optional) => Ok(RetryMode::Never),
         (false, None, KeyRule::Required) => {
             let message = "this route requires an Idempotency-Key";
-            Err(Fault::bad(400, "key_required", message))
+            Err(ApiError::rejected(400, "key_required", message))
         }
     }
 }
@@ -86,7 +89,7 @@
     }
 }
 
-fn buffered_reply(mut exchange: Exchange, result: Result<BufferedResponse, Fault>) -> Reply {
+fn buffered_reply(mut exchange: Exchange, result: Result<BufferedResponse, ApiError>) -> Reply {
     let mut reply = match result {
         Ok(response) => {
             exchange.record_first_byte();
@@ -99,7 +102,7 @@
         }
         Err(fault) => {
             exchange.record_fault(&fault);
-            fault.reply()
+            fault.to_reply()
         }
     };
     insert_attempt_headers(reply.headers_mut(), &exchange);
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,9 +1,9 @@
-//! The process that meets callers: identity, choice of upstream, retry, and the whole answer.
-//! Reads settings and calls the library.
+//! The process that serves callers: authentication, choice of upstream, retries, and complete
+//! answers. Reads the settings and calls the library.
 
 use std::process::ExitCode;
 
-use pumicecleat_entry::{Entry, EntrySettings, Parts};
+use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 use pumicecleat_net::{Timer, run};
 use pumicecleat_ops::{DrainEnd, Log, Settings, Stop, events, field};
 
@@ -40,13 +40,13 @@
             return None;
         }
     };
-    let parts = Parts::over_http(settings, &timer);
-    // A listener that can't be bound has logged why.
-    let entry = Entry::start(settings, &parts, &timer, log, &stop).ok()?;
-    let at = entry.addresses();
+    let context = EntryContext::over_http(settings, &timer);
+    // A listener that can't be bound has been logged.
+    let entry = Entry::start(settings, &context, &timer, log, &stop).ok()?;
+    let addresses = entry.addresses();
     println!(
         "listening {} peers {} admin {}",
-        at.callers, at.peers, at.admin
+        addresses.callers, addresses.peers, addresses.admin
     );
     let end = entry.run().await;
     Entry::log_end(log, &end);
--- a/crates/entry/src/peer/report.rs
+++ b/crates/entry/src/peer/report.rs
@@ -1,4 +1,4 @@
-//! Reports of sides.
+//! Reports from sides.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -8,57 +8,68 @@
 use pumicecleat_types::{Report, ReportReply};
 
 use super::Message;
-use crate::config::catch_up;
-use crate::directory::{Pace, Taken};
+use crate::config::spawn_refresh;
+use crate::directory::{ReportOutcome, ReportPacer};
 use crate::shared::Shared;
 
-pub(super) fn answer(
+pub(super) fn handle_report(
     shared: &Rc<Shared>,
-    pace: &RefCell<Pace>,
+    pacer: &RefCell<ReportPacer>,
     message: &Message<Report>,
 ) -> Result<ReportReply, String> {
     let report = &message.value;
     if report.address.parse::<SocketAddr>().is_err() {
         return Err(format!("address {:?} of {}", report.address, report.vm));
     }
-    pace.borrow_mut().count(message.length);
+    pacer.borrow_mut().record_length(message.length);
     let now = shared.timer.now();
-    let taken = shared.current.with(|config| {
+    let outcome = shared.config.with(|config| {
         let mut directory = shared.directory.borrow_mut();
-        directory.report(report, config, now)
+        directory.apply_report(report, config, now)
     });
-    if shared.current.is_behind(report.revision) {
-        catch_up(shared);
+    if shared.config.is_older_than(report.revision) {
+        spawn_refresh(shared);
     }
-    let sides = shared.directory.borrow().len();
-    shared.meters.report(sides);
-    let next = pace.borrow().next(sides, shared.options.report_rate);
-    shared.directory.borrow_mut().expect(&report.vm, next);
+    let sides = shared.directory.borrow().side_count();
+    shared.meters.count_report(sides);
+    let interval = pacer
+        .borrow()
+        .next_interval(sides, shared.options.report_bytes_per_s);
+    shared
+        .directory
+        .borrow_mut()
+        .set_report_interval(&report.vm, interval);
     Ok(ReportReply {
-        next_ms: next.0,
-        revision: shared.current.revision(),
-        whole: note(shared, report, &taken),
+        next_ms: interval.0,
+        revision: shared.config.revision(),
+        whole: log_outcome(shared, report, &outcome),
     })
 }
 
-/// Logs what a report changed; gives whether the next must be whole.
-fn note(shared: &Shared, report: &Report, taken: &Taken) -> bool {
-    let (whole, leaves) = match *taken {
-        Taken::Old => return false,
-        Taken::Known { whole, leaves } => (whole, leaves),
-        Taken::Seen { whole, leaves } => {
-            note_seen(shared, report);
-            (whole, leaves)
+/// Logs what a report changed. Returns whether the next report must list the resident adapters.
+fn log_outcome(shared: &Shared, report: &Report, outcome: &ReportOutcome) -> bool {
+    let (needs_full_report, starts_leaving) = match *outcome {
+        ReportOutcome::Outdated => return false,
+        ReportOutcome::Updated {
+            needs_full_report,
+            starts_leaving,
+        } => (needs_full_report, starts_leaving),
+        ReportOutcome::Appeared {
+            needs_full_report,
+            starts_leaving,
+        } => {
+            log_side_seen(shared, report);
+            (needs_full_report, starts_leaving)
         }
     };
-    if leaves {
+    if starts_leaving {
         let fields = [field("upstream", &report.vm), field("source", "report")];
         shared.log.emit(&events::SIDE_LEAVING, &fields);
     }
-    whole
+    needs_full_report
 }
 
-fn note_seen(shared: &Shared, report: &Report) {
+fn log_side_seen(shared: &Shared, report: &Report) {
     let fields = [
         field("upstream", &report.vm),
         field("address", &report.address),
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -78,7 +78,7 @@
         let request = outgoing.into_request();
         let address = &destination.address;
         // Boxed because the future is large and completes long before the response head may arrive.
-        let response = Box::pin(shared.runs.send(address, request, HEAD_TIMEOUT)).await;
+        let response = Box::pin(shared.side_client.send(address, request, HEAD_TIMEOUT)).await;
         let response = match response {
             Ok(response) => response,
             Err(e) => return Err(guard.fail(net_failure(&e))),
@@ -91,7 +91,7 @@
         let mut attempt = Self {
             destination,
             frames: FrameReader::new(response),
-            stall: Stall::new(&shared.timer, shared.options.stall),
+            stall: Stall::new(&shared.timer, shared.options.stall_timeout),
             guard,
         };
         match attempt.read_head(shared, job, attempt_number).await {
@@ -137,7 +137,7 @@
         if let Some(load) = load {
             let now = shared.timer.now();
             let up = self.destination.up;
-            shared.directory.borrow_mut().heard(up, load, now);
+            shared.directory.borrow_mut().update_load(up, load, now);
         }
     }
 
--- a/crates/entry/src/request/attempt_guard.rs
+++ b/crates/entry/src/request/attempt_guard.rs
@@ -19,8 +19,8 @@
 impl AttemptGuard {
     pub(super) fn new(shared: &Rc<Shared>, up: UpstreamIx, lora: Option<LoraIx>) -> Self {
         let now = shared.timer.now();
-        shared.directory.borrow_mut().sent(up, lora, now);
-        shared.meters.attempt();
+        shared.directory.borrow_mut().record_send(up, lora, now);
+        shared.meters.count_attempt();
         Self {
             shared: Rc::clone(shared),
             up,
@@ -43,6 +43,6 @@
         let abandoned = AttemptOutcome::Refused(Reason::Deadline, None);
         let outcome = self.outcome.unwrap_or(abandoned);
         let mut directory = self.shared.directory.borrow_mut();
-        directory.ended(self.up, self.lora, outcome, now);
+        directory.record_outcome(self.up, self.lora, outcome, now);
     }
 }
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -11,9 +11,9 @@
 
 use super::outgoing::OutgoingAttempt;
 use super::{Attempt, Failure, History, Job, ResponseHead};
-use crate::directory::{Chosen, Destination};
-use crate::fault::{Fault, RETRY};
-use crate::meters::End;
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
+use crate::directory::{Destination, DestinationChoice};
+use crate::meters::RequestEnd;
 use crate::shared::Shared;
 
 /// Time after the deadline in which the side can still report what became of the request.
@@ -38,8 +38,8 @@
             field("target", job.resolved.log_name()),
         ];
         shared.log.emit(&events::REQUEST_TAKEN, &fields);
-        shared.budget.borrow_mut().record_request();
-        shared.losses.borrow_mut().record_request();
+        shared.refusal_budget.borrow_mut().record_request();
+        shared.loss_budget.borrow_mut().record_request();
         Self {
             shared: Rc::clone(shared),
             job,
@@ -98,39 +98,43 @@
             .borrow_mut()
             .choose(&query, affinity_key, now)
         {
-            Chosen::Send(destination) => Ok(destination),
-            Chosen::Late { retry } => Err(Failure::DeadlineUnreachable { retry_after: retry }),
-            Chosen::Nowhere { retry } => Err(Failure::NoUpstream { retry_after: retry }),
+            DestinationChoice::Send(destination) => Ok(destination),
+            DestinationChoice::TooLate { retry_after: retry } => {
+                Err(Failure::DeadlineUnreachable { retry_after: retry })
+            }
+            DestinationChoice::NoUpstream { retry_after: retry } => {
+                Err(Failure::NoUpstream { retry_after: retry })
+            }
         }
     }
 
     /// Counts the tokens of a complete response, if the engine reports them.
     pub(crate) fn record_usage(&self, usage: Option<Usage>) {
         if let Some(usage) = usage {
-            self.shared.meters.prompt(&usage);
+            self.shared.meters.count_tokens(&usage);
         }
     }
 
     /// Fault returned when the time limit of the entry expires.
-    pub(crate) fn deadline_fault(&self) -> Fault {
+    pub(crate) fn deadline_fault(&self) -> ApiError {
         let ran = self.history.ran();
         let message = "no complete response before the deadline";
-        Fault {
+        ApiError {
             status: 504,
             ran,
-            ..Fault::later("deadline_exceeded", message, RETRY)
+            ..ApiError::unavailable("deadline_exceeded", message, DEFAULT_RETRY_AFTER)
         }
     }
 
     /// Records the arrival of the first bytes of the response.
     pub(crate) fn record_first_byte(&self) {
         let elapsed = self.timer().now().since(self.job.received_at);
-        self.shared.meters.first(elapsed);
+        self.shared.meters.record_first_byte(elapsed);
     }
 
     /// Records that the response is complete.
     pub(crate) fn record_completion(&mut self) {
-        let elapsed = self.record_end(End::Whole, "");
+        let elapsed = self.record_end(RequestEnd::Completed, "");
         let fields = [
             field("request", &self.job.request_id),
             field("caller", &self.job.caller),
@@ -143,8 +147,8 @@
     }
 
     /// Records the fault that is returned to the caller.
-    pub(crate) fn record_fault(&mut self, fault: &Fault) {
-        self.record_end(End::Fault, fault.code);
+    pub(crate) fn record_fault(&mut self, fault: &ApiError) {
+        self.record_end(RequestEnd::Failed, fault.code);
         if fault.ran != Ran::No {
             return self.log_broken("answer", fault.ran, &fault.message);
         }
@@ -160,8 +164,8 @@
     }
 
     /// Records that the stream ended with an error.
-    pub(crate) fn record_broken_stream(&mut self, fault: &Fault, error: &str) {
-        self.record_end(End::Broken, fault.code);
+    pub(crate) fn record_broken_stream(&mut self, fault: &ApiError, error: &str) {
+        self.record_end(RequestEnd::Broken, fault.code);
         self.log_broken("stream", fault.ran, error);
     }
 
@@ -178,10 +182,10 @@
         self.shared.log.emit(&events::REQUEST_BROKEN, &fields);
     }
 
-    fn record_end(&mut self, end: End, code: &'static str) -> Millis {
+    fn record_end(&mut self, end: RequestEnd, code: &'static str) -> Millis {
         self.ended = true;
         let elapsed = self.timer().now().since(self.job.received_at);
-        self.shared.meters.ended(end, code, elapsed);
+        self.shared.meters.record_end(end, code, elapsed);
         elapsed
     }
 
@@ -197,7 +201,7 @@
         if self.ended {
             return;
         }
-        self.record_end(End::Gone, "caller_gone");
+        self.record_end(RequestEnd::CallerGone, "caller_gone");
         let fields = [
             field("request", &self.job.request_id),
             field("caller", &self.job.caller),
--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -3,7 +3,7 @@
 use pumicecleat_policy::AttemptOutcome;
 use pumicecleat_types::{Millis, Ran, Reason, Refusal};
 
-use crate::fault::{Fault, RETRY, reason_code};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER, reason_code};
 
 /// Reason why an attempt failed or could not be sent.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     pub(crate) fn ran(&self) -> Ran {
         match self {
             Self::NoUpstream { .. } | Self::DeadlineUnreachable { .. } => Ran::No,
-            Self::Refused(refusal) => Fault::of_refusal(refusal).ran,
+            Self::Refused(refusal) => ApiError::from_refusal(refusal).ran,
             Self::Lost(loss) => loss.ran,
             Self::Mismatch { .. } => Ran::Unknown,
         }
@@ -65,24 +65,24 @@
         }
     }
 
-    /// Fault for the caller if the request is not retried.
-    pub(crate) fn to_fault(&self) -> Fault {
+    /// ApiError for the caller if the request is not retried.
+    pub(crate) fn to_fault(&self) -> ApiError {
         match self {
             Self::NoUpstream { retry_after } => {
-                Fault::later("no_upstream", "no upstream is available", *retry_after)
+                ApiError::unavailable("no_upstream", "no upstream is available", *retry_after)
             }
-            Self::DeadlineUnreachable { retry_after } => Fault {
+            Self::DeadlineUnreachable { retry_after } => ApiError {
                 status: 429,
-                ..Fault::later(
+                ..ApiError::unavailable(
                     "overloaded",
                     "no upstream can meet the deadline",
                     *retry_after,
                 )
             },
-            Self::Refused(refusal) => Fault::of_refusal(refusal),
+            Self::Refused(refusal) => ApiError::from_refusal(refusal),
             Self::Lost(loss) => Self::loss_fault(loss),
             Self::Mismatch { .. } => {
-                Fault::unknown("the upstream's response does not match the request")
+                ApiError::outcome_unknown("the upstream's response does not match the request")
             }
         }
     }
@@ -96,13 +96,13 @@
         }
     }
 
-    fn loss_fault(loss: &Loss) -> Fault {
+    fn loss_fault(loss: &Loss) -> ApiError {
         if loss.ran == Ran::No {
-            return Fault::later("upstream_unreachable", &loss.step, RETRY);
+            return ApiError::unavailable("upstream_unreachable", &loss.step, DEFAULT_RETRY_AFTER);
         }
-        Fault {
+        ApiError {
             ran: loss.ran,
-            ..Fault::unknown(format!(
+            ..ApiError::outcome_unknown(format!(
                 "the upstream's response was interrupted: {}",
                 loss.step
             ))
--- a/crates/entry/src/request/history.rs
+++ b/crates/entry/src/request/history.rs
@@ -3,7 +3,7 @@
 use pumicecleat_policy::UpstreamIx;
 use pumicecleat_types::{Ran, VmId};
 
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 
 /// State of a request over its attempts.
 pub(crate) struct History {
@@ -23,7 +23,7 @@
     /// used.
     pub(crate) side_retried: bool,
     /// Fault of the last failed attempt.
-    pub(crate) last_fault: Option<Fault>,
+    pub(crate) last_fault: Option<ApiError>,
 }
 
 impl History {
@@ -64,10 +64,10 @@
     }
 
     /// Returns `fault`, corrected if the request may have run in an earlier attempt.
-    pub(crate) fn raise_ran(&self, fault: Fault) -> Fault {
+    pub(crate) fn raise_ran(&self, fault: ApiError) -> ApiError {
         match self.ran() {
             Ran::No => fault,
-            _ => fault.after_unknown(),
+            _ => fault.after_uncertain_attempt(),
         }
     }
 }
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -7,7 +7,7 @@
     VersionId,
 };
 
-use crate::fault::{Fault, RETRY};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::shared::Shared;
 
 /// Target of a request under one revision of the configuration.
@@ -49,16 +49,20 @@
     shared: &Shared,
     caller: &CallerId,
     model: &str,
-) -> Result<ResolvedTarget, Fault> {
+) -> Result<ResolvedTarget, ApiError> {
     let found = shared
-        .current
+        .config
         .with(|config| find_model(config, caller, model));
     let Some(ModelMatch { target, pools }) = found else {
         return Err(model_not_found(model));
     };
     let Some(pool) = shared.directory.borrow_mut().best_pool(pools) else {
         let message = format!("no pool runs the base model of {model:?}");
-        return Err(Fault::later("no_upstream", message, RETRY));
+        return Err(ApiError::unavailable(
+            "no_upstream",
+            message,
+            DEFAULT_RETRY_AFTER,
+        ));
     };
     let lora = Lora {
         base: target.base.clone(),
@@ -67,21 +71,21 @@
     };
     let mut directory = shared.directory.borrow_mut();
     Ok(ResolvedTarget {
-        pool_ix: directory.pool(&pool),
-        lora_ix: Some(directory.lora(&lora)),
+        pool_ix: directory.pool_index(&pool),
+        lora_ix: Some(directory.lora_index(&lora)),
         engine_name: Some(lora.engine_name()),
         prefix_seed: lora_key(&lora),
         key_parts: 1,
-        revision: shared.current.revision(),
+        revision: shared.config.revision(),
         target: Target::Model(target),
         pool,
     })
 }
 
 /// Fault for a model that does not exist or that the caller may not use; both get the same message.
-fn model_not_found(model: &str) -> Fault {
+fn model_not_found(model: &str) -> ApiError {
     let message = format!("model {model:?} does not exist or is not available to this caller");
-    Fault::bad(404, "model_not_found", message)
+    ApiError::rejected(404, "model_not_found", message)
 }
 
 /// Model that a name denotes, and the pools that can run it.
@@ -143,9 +147,9 @@
     method: &str,
     path: &str,
     headers: Vec<HeaderField>,
-) -> Result<ServiceRoute, Fault> {
+) -> Result<ServiceRoute, ApiError> {
     let found = shared
-        .current
+        .config
         .with(|config| find_route(config, caller, method, path))?;
     let target = Target::Service(ServiceTarget {
         service: found.service,
@@ -156,13 +160,13 @@
     });
     let resolved = ResolvedTarget {
         target,
-        pool_ix: shared.directory.borrow_mut().pool(&found.pool),
+        pool_ix: shared.directory.borrow_mut().pool_index(&found.pool),
         pool: found.pool,
         lora_ix: None,
         engine_name: None,
         prefix_seed: 0,
         key_parts: found.key_parts,
-        revision: shared.current.revision(),
+        revision: shared.config.revision(),
     };
     Ok(ServiceRoute {
         resolved,
@@ -187,7 +191,7 @@
     caller: &CallerId,
     method: &str,
     path: &str,
-) -> Result<RouteMatch, Fault> {
+) -> Result<RouteMatch, ApiError> {
     let matches = config.services.iter().filter_map(|(id, service)| {
         let route = service.route(method, path)?;
         Some(RouteMatch {
@@ -200,12 +204,12 @@
         })
     });
     let Some(found) = matches.max_by_key(|f| f.prefix_len) else {
-        return Err(Fault::bad(404, "route_not_found", "no such route"));
+        return Err(ApiError::rejected(404, "route_not_found", "no such route"));
     };
     let caller = config.callers.get(caller);
     if !caller.is_some_and(|c| c.may_service(&found.service)) {
         let message = "this caller may not call this service";
-        return Err(Fault::bad(403, "forbidden", message));
+        return Err(ApiError::rejected(403, "forbidden", message));
     }
     Ok(found)
 }
--- a/crates/entry/src/start/mod.rs
+++ b/crates/entry/src/start/mod.rs
@@ -1,4 +1,4 @@
-//! Putting an entry together, and its graceful stop.
+//! Startup and graceful shutdown of an entry.
 
 mod dump;
 mod running;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_infra::{HttpLog, HttpVms, Log as Records, Peers, Vms};
+use pumicecleat_infra::{HttpLog, HttpVms, Log as LogService, Peers, Vms};
 use pumicecleat_net::{
     Client, ClientOptions, Handler, Protocol, Server, ServerOptions, Timer, Turns, bind,
 };
@@ -19,61 +19,61 @@
 
 use crate::EntrySettings;
 use crate::caller::CallerHandler;
-use crate::config::{self, Current};
+use crate::config::{self, Configuration};
 use crate::directory::{Directory, follow_vms, watch_silence};
 use crate::meters::Meters;
-use crate::peer::{PeerHandler, call_idle};
+use crate::peer::{PeerHandler, call_bidders};
 use crate::shared::{Options, Shared};
 
 pub use dump::{EntryDump, OrderDump};
 pub use running::{Addresses, Entry};
 
-/// Time for an exchange with the platform, beside what it waits by request.
-const PLATFORM_SPAN: Duration = Duration::from_secs(2);
+/// Timeout of requests to the platform, in addition to the wait that a request asks for.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest idle time of a side's connection: kept for the minute between two reports, those of a
-/// region's sides would take more memory than all the rest.
-const PEER_IDLE: Duration = Duration::from_secs(5);
+/// Idle timeout of connections from sides. If they stayed open for the minute between two reports,
+/// the connections of a region's sides would take more memory than everything else.
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Retries of refused attempts at hand at the start.
-const RETRY_BURST: u32 = 20;
+/// Maximum number of retries of refused attempts in a burst, which are available at the start.
+const REFUSAL_RETRY_BURST: u32 = 20;
 
-/// Retries of lost attempts: load is doubled at most, and the batches of a few upstreams that die at
-/// once are tried again.
-const LOSSES: RetryBudgetOptions = RetryBudgetOptions {
+/// Budget for retries of lost attempts. It at most doubles the load, and is large enough to retry
+/// the batches of a few upstreams that fail at once.
+const LOSS_BUDGET: RetryBudgetOptions = RetryBudgetOptions {
     percent: 100,
     burst: 500,
 };
 
-/// Pieces of streams under way that pass before the poller is asked again.
-const TURN: usize = 16;
+/// Number of pieces of open streams forwarded between two polls for I/O events.
+const MAX_PIECES_PER_TURN: usize = 16;
 
 /// Readiness condition of the listeners.
-const LISTENERS: &str = "listeners";
+const LISTENERS_CONDITION: &str = "listeners";
 
-/// The platform as an entry needs it.
+/// Services used by an entry.
 #[derive(Clone)]
-pub struct Parts {
+pub struct EntryContext {
     /// Log service.
-    pub records: Rc<dyn Records>,
+    pub log_service: Rc<dyn LogService>,
     /// VM list, if there is one.
-    pub vms: Option<Rc<dyn Vms>>,
+    pub vm_list: Option<Rc<dyn Vms>>,
 }
 
-/// An entry that can't start.
+/// Failure to start an entry.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// A listener can't be bound.
     #[snafu(display("step bind, listener {purpose}, address {address}: {source}"))]
     Bind {
-        /// Use of the listener.
+        /// Purpose of the listener.
         purpose: &'static str,
         /// Address.
         address: SocketAddr,
         /// Cause.
         source: io::Error,
     },
-    /// No turns for streams.
+    /// The turns for streams can't be started.
     #[snafu(display("step start turns: {source}"))]
     Turns {
         /// Cause.
@@ -81,31 +81,37 @@
     },
 }
 
-impl Parts {
-    /// The platform over HTTP.
+impl EntryContext {
+    /// Creates clients of the services over HTTP, with the addresses from the settings.
     #[must_use]
     pub fn over_http(settings: &EntrySettings, timer: &Timer) -> Self {
         let client = Client::new_ext(ClientOptions::default(), timer);
-        let log = HttpLog::new(&client, Peers::parse(&settings.log), PLATFORM_SPAN);
-        let list = join(&settings.vms);
-        let vms = (!list.is_empty()).then(|| {
-            Rc::new(HttpVms::new(&client, Peers::parse(&list), PLATFORM_SPAN)) as Rc<dyn Vms>
+        let log_service = HttpLog::new(&client, Peers::parse(&settings.log), PLATFORM_TIMEOUT);
+        let addresses = join_addresses(&settings.vms);
+        let vm_list = (!addresses.is_empty()).then(|| {
+            Rc::new(HttpVms::new(
+                &client,
+                Peers::parse(&addresses),
+                PLATFORM_TIMEOUT,
+            )) as Rc<dyn Vms>
         });
         Self {
-            records: Rc::new(log),
-            vms,
+            log_service: Rc::new(log_service),
+            vm_list,
         }
     }
 }
 
 impl Entry {
-    /// Starts an entry on this loop; a port 0 in the settings lets the system choose one.
+    /// Starts an entry on this thread's event loop. The system chooses a port for each port 0 in the
+    /// settings.
     ///
     /// # Errors
-    /// [`StartError`] if a listener can't be bound, or descriptors are lacking.
+    /// Returns [`StartError`] if a listener can't be bound or the process is out of file
+    /// descriptors.
     pub fn start(
         settings: &EntrySettings,
-        parts: &Parts,
+        context: &EntryContext,
         timer: &Timer,
         log: &Log,
         stop: &Stop,
@@ -119,25 +125,25 @@
             peers: peers.address,
             admin: admin.address,
         };
-        let options = options(settings, addresses.peers);
-        let shared = share(settings, options, parts, timer, log, stop, &metrics)?;
-        let state = Rc::new(dump::State::new(&shared));
-        let handler = Admin::new(&metrics, &shared.readiness, state);
-        let admin = serve(admin, Rc::new(handler), ServerOptions::default(), timer);
-        let limits = ServerOptions {
+        let options = build_options(settings, addresses.peers);
+        let shared = build_shared(settings, options, context, timer, log, stop, &metrics)?;
+        let dump = Rc::new(dump::StateDump::new(&shared));
+        let handler = Admin::new(&metrics, &shared.readiness, dump);
+        let admin = start_server(admin, Rc::new(handler), ServerOptions::default(), timer);
+        let server_options = ServerOptions {
             connections: settings.connections,
             ..ServerOptions::default()
         };
         let handler = Rc::new(CallerHandler::new(&shared));
-        let callers = serve(callers, handler, limits, timer);
+        let callers = start_server(callers, handler, server_options, timer);
         let handler = Rc::new(PeerHandler::new(&shared));
-        let limits = ServerOptions {
-            head_span: PEER_IDLE,
+        let server_options = ServerOptions {
+            head_span: PEER_IDLE_TIMEOUT,
             ..ServerOptions::default()
         };
-        let peers = serve(peers, handler, limits, timer);
-        shared.readiness.hold(LISTENERS);
-        spawn_loops(&shared, parts);
+        let peers = start_server(peers, handler, server_options, timer);
+        shared.readiness.hold(LISTENERS_CONDITION);
+        spawn_tasks(&shared, context);
         let servers = running::Servers {
             callers,
             peers,
@@ -152,77 +158,88 @@
     }
 }
 
-fn options(settings: &EntrySettings, bound: SocketAddr) -> Options {
+fn build_options(settings: &EntrySettings, bound: SocketAddr) -> Options {
     Options {
         vm: settings.common.vm.clone(),
         region: settings.common.region.clone(),
-        log: settings.log.clone(),
-        vms: join(&settings.vms),
-        peers: settings.peers.clone(),
-        own: settings.peer_address.unwrap_or(bound),
-        store: settings.store.clone(),
-        retention_ms: saturating_ms(settings.retention.0),
-        body_span: settings.body_span.0,
-        stall: settings.stall.0,
-        answer: usize::try_from(settings.answer.0).unwrap_or(usize::MAX),
-        report_rate: settings.report_rate.0,
+        log_addresses: settings.log.clone(),
+        vm_list_addresses: join_addresses(&settings.vms),
+        entry_addresses: settings.peers.clone(),
+        own_address: settings.peer_address.unwrap_or(bound),
+        weight_store: settings.store.clone(),
+        retention_ms: to_millis(settings.retention.0),
+        body_timeout: settings.body_span.0,
+        stall_timeout: settings.stall.0,
+        max_answer_bytes: usize::try_from(settings.answer.0).unwrap_or(usize::MAX),
+        report_bytes_per_s: settings.report_rate.0,
     }
 }
 
-fn share(
+fn build_shared(
     settings: &EntrySettings,
     options: Options,
-    parts: &Parts,
+    context: &EntryContext,
     timer: &Timer,
     log: &Log,
     stop: &Stop,
     metrics: &Metrics,
 ) -> Result<Rc<Shared>, StartError> {
-    let budget = RetryBudgetOptions {
+    let refusal_budget = RetryBudgetOptions {
         percent: settings.retries,
-        burst: RETRY_BURST,
+        burst: REFUSAL_RETRY_BURST,
     };
     let seed = pumicecleat_policy::upstream_key(&options.vm);
     let shared = Shared {
         options,
         timer: timer.clone(),
-        turns: Turns::start(TURN).context(TurnsSnafu)?,
-        client: Client::new_ext(ClientOptions::default(), timer),
-        runs: Client::new_ext(run_options(), timer),
+        turns: Turns::start(MAX_PIECES_PER_TURN).context(TurnsSnafu)?,
+        entry_client: Client::new_ext(ClientOptions::default(), timer),
+        side_client: Client::new_ext(side_client_options(), timer),
         log: log.clone(),
-        records: Rc::clone(&parts.records),
-        current: Current::default(),
+        log_service: Rc::clone(&context.log_service),
+        config: Configuration::default(),
         directory: RefCell::new(Directory::new(seed)),
-        budget: RefCell::new(RetryBudget::new_ext(budget)),
-        losses: RefCell::new(RetryBudget::new_ext(LOSSES)),
-        order: RefCell::new(LoadOrder::new_ext(LoadOrderOptions::default())),
-        readiness: Readiness::new(&[config::CONDITION, LISTENERS, running::RUNNING], log),
+        refusal_budget: RefCell::new(RetryBudget::new_ext(refusal_budget)),
+        loss_budget: RefCell::new(RetryBudget::new_ext(LOSS_BUDGET)),
+        load_order: RefCell::new(LoadOrder::new_ext(LoadOrderOptions::default())),
+        readiness: Readiness::new(
+            &[
+                config::CONFIG_CONDITION,
+                LISTENERS_CONDITION,
+                running::RUNNING_CONDITION,
+            ],
+            log,
+        ),
         drain: Drain::new(),
         stop: stop.clone(),
         meters: Meters::new(metrics),
         leaving: Cell::new(false),
-        silent: RefCell::default(),
-        turn: Cell::new(0),
+        unreachable_peers: RefCell::default(),
+        peer_rotation: Cell::new(0),
     };
     Ok(Rc::new(shared))
 }
 
-fn run_options() -> ClientOptions {
+fn side_client_options() -> ClientOptions {
     ClientOptions {
         protocol: Protocol::Http2,
         ..ClientOptions::default()
     }
 }
 
-struct Bound {
+struct BoundListener {
     listener: monoio::net::TcpListener,
     address: SocketAddr,
 }
 
-fn listen(purpose: &'static str, address: SocketAddr, log: &Log) -> Result<Bound, StartError> {
+fn listen(
+    purpose: &'static str,
+    address: SocketAddr,
+    log: &Log,
+) -> Result<BoundListener, StartError> {
     let bound = bind(address).and_then(|listener| {
         let address = listener.local_addr()?;
-        Ok(Bound { listener, address })
+        Ok(BoundListener { listener, address })
     });
     match &bound {
         Ok(bound) => {
@@ -241,28 +258,33 @@
     bound.context(BindSnafu { purpose, address })
 }
 
-fn serve(bound: Bound, handler: Rc<dyn Handler>, options: ServerOptions, timer: &Timer) -> Server {
+fn start_server(
+    bound: BoundListener,
+    handler: Rc<dyn Handler>,
+    options: ServerOptions,
+    timer: &Timer,
+) -> Server {
     let server = Server::new_ext(options, handler, timer);
     let accepting = server.clone();
     monoio::spawn(async move { accepting.serve(bound.listener).await });
     server
 }
 
-fn spawn_loops(shared: &Rc<Shared>, parts: &Parts) {
+fn spawn_tasks(shared: &Rc<Shared>, context: &EntryContext) {
     monoio::spawn(config::follow(Rc::clone(shared)));
     monoio::spawn(config::append_snapshots(Rc::clone(shared)));
     monoio::spawn(watch_silence(Rc::clone(shared)));
-    monoio::spawn(call_idle(Rc::clone(shared)));
-    if let Some(vms) = &parts.vms {
+    monoio::spawn(call_bidders(Rc::clone(shared)));
+    if let Some(vms) = &context.vm_list {
         monoio::spawn(follow_vms(Rc::clone(shared), Rc::clone(vms)));
     }
 }
 
-fn join(addresses: &[SocketAddr]) -> String {
-    let texts: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
-    texts.join(",")
+fn join_addresses(addresses: &[SocketAddr]) -> String {
+    let addresses: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
+    addresses.join(",")
 }
 
-fn saturating_ms(span: Duration) -> u64 {
+fn to_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/entry/src/stream/open.rs
+++ b/crates/entry/src/stream/open.rs
@@ -4,7 +4,7 @@
 
 use super::event_reader::{EventBatch, EventReader};
 use super::relay::Relay;
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{BufferedResponse, Exchange, Failure};
 
 /// Result of a streamed request before anything is sent to the caller.
@@ -14,7 +14,7 @@
     /// The upstream returned a response that is not a stream.
     Buffered(BufferedResponse, Exchange),
     /// The request failed.
-    Fault(Fault, Exchange),
+    Fault(ApiError, Exchange),
 }
 
 /// First result of one attempt.
@@ -41,7 +41,7 @@
     }
 }
 
-async fn try_open(exchange: &mut Exchange) -> Result<FirstResponse, Fault> {
+async fn try_open(exchange: &mut Exchange) -> Result<FirstResponse, ApiError> {
     loop {
         match attempt_open(exchange).await {
             Ok(response) => return Ok(response),
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -13,7 +13,7 @@
 
 use super::event_reader::{EventBatch, EventReader};
 use super::splice::Splice;
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 use crate::request::{Exchange, Failure};
 
 /// Time for the error event to be sent before the connection closes.
@@ -140,10 +140,10 @@
 
     /// Ends the stream with an error event.
     fn end_broken(&mut self, error: &str) {
-        let fault = Fault {
+        let fault = ApiError {
             code: "stream_broken",
             ran: Ran::Yes,
-            ..Fault::unknown("the response was interrupted and cannot be resumed")
+            ..ApiError::outcome_unknown("the response was interrupted and cannot be resumed")
         };
         self.exchange.record_broken_stream(&fault, error);
         let mut event = b"data: ".to_vec();
--- a/crates/entry/src/stream/resume.rs
+++ b/crates/entry/src/stream/resume.rs
@@ -75,7 +75,7 @@
 
     fn record_resume(&self, from: &str) {
         let exchange = &self.exchange;
-        exchange.shared.meters.resumed();
+        exchange.shared.meters.count_resume();
         let fields = [
             field("request", &exchange.job.request_id),
             field("attempt", exchange.history.attempts),
