--- a/crates/entry/src/request/buffered.rs
+++ b/crates/entry/src/request/buffered.rs
@@ -6,7 +6,7 @@
 
 use super::attempt::{BodyPart, lost_failure};
 use super::{Attempt, Exchange, Failure, ResponseHead};
-use crate::fault::Fault;
+use crate::api_error::ApiError;
 
 /// A complete response.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// The fault for the caller.
-    pub(crate) async fn buffered_response(&mut self) -> Result<BufferedResponse, Fault> {
+    pub(crate) async fn buffered_response(&mut self) -> Result<BufferedResponse, ApiError> {
         let timer = self.timer().clone();
         let work = timer
             .within(self.timeout(), Box::pin(self.try_buffered()))
@@ -50,7 +50,7 @@
         result
     }
 
-    async fn try_buffered(&mut self) -> Result<BufferedResponse, Fault> {
+    async fn try_buffered(&mut self) -> Result<BufferedResponse, ApiError> {
         loop {
             match self.attempt_buffered().await {
                 Ok(response) => return self.accept_response(response),
@@ -106,7 +106,7 @@
                 BodyPart::Data(bytes) if body.is_empty() => body = bytes,
                 BodyPart::Data(bytes) => body.extend_from_slice(&bytes),
             }
-            let limit = self.shared.options.answer;
+            let limit = self.shared.options.max_answer_bytes;
             if body.len() > limit {
                 let error = format!(
                     "peer {}: response exceeds {limit} bytes",
@@ -141,13 +141,13 @@
     pub(crate) fn accept_response(
         &self,
         response: BufferedResponse,
-    ) -> Result<BufferedResponse, Fault> {
+    ) -> Result<BufferedResponse, ApiError> {
         if self.job.engine_name().is_none() || response.is_success() {
             return Ok(response);
         }
         let message = engine_error_message(&response.body);
         let message = message.unwrap_or_else(|| "the engine rejected the request body".to_owned());
-        let fault = Fault::bad(response.status, "engine_refused", message);
+        let fault = ApiError::rejected(response.status, "engine_refused", message);
         Err(self.history.raise_ran(fault))
     }
 }
--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// ApiError for the caller if the request is not retried.
+    /// [`ApiError`] for the caller if the request is not retried.
     pub(crate) fn to_fault(&self) -> ApiError {
         match self {
             Self::NoUpstream { retry_after } => {
--- a/crates/entry/src/request/retry.rs
+++ b/crates/entry/src/request/retry.rs
@@ -11,8 +11,8 @@
 use pumicecleat_types::{Millis, Ran, Reason, Target};
 
 use super::{Exchange, Failure, ResolvedTarget, RetryMode, resolve_model, resolve_service};
+use crate::api_error::{ApiError, DEFAULT_RETRY_AFTER};
 use crate::config::refresh;
-use crate::fault::{Fault, RETRY};
 
 /// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 5;
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// The fault for the caller, if the request is not retried.
-    pub(crate) async fn handle_failure(&mut self, failure: Failure) -> Result<(), Fault> {
+    pub(crate) async fn handle_failure(&mut self, failure: Failure) -> Result<(), ApiError> {
         self.record_failure(&failure);
         let fault = failure.to_fault();
         if !self.may_retry(&failure) {
@@ -48,7 +48,7 @@
     pub(crate) fn record_failure(&mut self, failure: &Failure) {
         self.history.end_attempt(failure.ran());
         if let Failure::Refused(_) = failure {
-            self.shared.meters.refused(failure.cause());
+            self.shared.meters.count_refusal(failure.cause());
         }
         if let Failure::Lost(loss) = failure
             && loss.stalled
@@ -61,7 +61,7 @@
         let Failure::Mismatch { expected, found } = failure else {
             return;
         };
-        self.shared.meters.mismatch();
+        self.shared.meters.count_mismatch();
         let fields = [
             field("request", &self.job.request_id),
             field("attempt", self.history.attempts),
@@ -82,8 +82,8 @@
 
     fn try_spend_budget(&self, failure: &Failure) -> bool {
         let budget = match failure {
-            Failure::Lost(_) | Failure::Mismatch { .. } => &self.shared.losses,
-            _ => &self.shared.budget,
+            Failure::Lost(_) | Failure::Mismatch { .. } => &self.shared.loss_budget,
+            _ => &self.shared.refusal_budget,
         };
         budget.borrow_mut().try_retry()
     }
@@ -100,7 +100,7 @@
     }
 
     fn record_retry(&self, failure: &Failure) {
-        self.shared.meters.retried(failure.cause());
+        self.shared.meters.count_retry(failure.cause());
         let fields = [
             field("request", &self.job.request_id),
             field("attempt", self.history.attempts),
@@ -128,7 +128,7 @@
 
     /// Resolves the target again under the latest configuration. The same side may be chosen once
     /// more, because its configuration may have been the outdated one.
-    async fn refresh_target(&mut self) -> Result<(), Fault> {
+    async fn refresh_target(&mut self) -> Result<(), ApiError> {
         refresh(&self.shared).await;
         if !mem::replace(&mut self.history.side_retried, true) {
             self.history.tried.pop();
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    fn resolve_again(&self) -> Result<ResolvedTarget, Fault> {
+    fn resolve_again(&self) -> Result<ResolvedTarget, ApiError> {
         let (shared, caller) = (&self.shared, &self.job.caller);
         let service = match &self.job.resolved.target {
             Target::Model(_) => {
@@ -153,7 +153,11 @@
         let route = resolve_service(shared, caller, &service.method, &service.path, headers)?;
         if route.idempotent != service.idempotent {
             let message = "the route's declaration changed";
-            return Err(Fault::later("config_changing", message, RETRY));
+            return Err(ApiError::unavailable(
+                "config_changing",
+                message,
+                DEFAULT_RETRY_AFTER,
+            ));
         }
         Ok(route.resolved)
     }
