--- a/crates/fuzz/src/targets/key.rs
+++ b/crates/fuzz/src/targets/key.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_config::model::{Caller, Config};
 use pumicecleat_config::{KeyIndex, hash_key};
-use pumicecleat_ledger::{KEY_LIMIT, Key};
+use pumicecleat_ledger::{Key, MAX_KEY_BYTES};
 use pumicecleat_types::{CallerId, decode, encode};
 
 use super::{Broken, Target, require};
@@ -44,7 +44,7 @@
     };
     require(key.caller() == &caller, "a key of another caller")?;
     let kept = key.text();
-    require((1..=KEY_LIMIT).contains(&kept.len()), "a key's length")?;
+    require((1..=MAX_KEY_BYTES).contains(&kept.len()), "a key's length")?;
     let visible = kept.bytes().all(|b| b.is_ascii_graphic() && b != b'"');
     require(visible, "a key with a character not allowed")?;
     let again = Key::parse(&caller, kept).ok();
--- a/crates/fuzz/src/targets/ledger.rs
+++ b/crates/fuzz/src/targets/ledger.rs
@@ -1,8 +1,8 @@
 //! Records of the services' intent streams.
 
 use pumicecleat_ledger::{
-    Abandon, Answer, Attempt, Digest, Done, Event, Intent, Key, Ledger, Limits, Outcome, Owner,
-    Record, Span,
+    Abandon, Attempt, Digest, Done, Event, Intent, Key, Ledger, Limits, OffsetRange, Outcome,
+    Owner, Record, RecordedResponse,
 };
 use pumicecleat_types::{CallerId, HeaderField, LogRecord, Millis};
 
@@ -69,7 +69,7 @@
 
 fn ledger() -> Option<Ledger> {
     let limits = Limits::new(Millis(60_000), Millis(1_000), Millis(3_600_000)).ok()?;
-    let span = Span { first: 0, end: 1 };
+    let span = OffsetRange { first: 0, end: 1 };
     Some(Ledger::new(owner("booking-0", 2), limits, span))
 }
 
@@ -82,7 +82,7 @@
         name: "content-type".to_owned(),
         value: "application/json".to_owned(),
     }];
-    let answer = Answer::new(200, fields, b"{\"held\":true}", 1 << 10);
+    let answer = RecordedResponse::new(200, fields, b"{\"held\":true}", 1 << 10);
     let of_key = |(seq, key): (usize, Key)| {
         let attempt = Attempt {
             owner: owner("booking-1", 7),
@@ -92,7 +92,7 @@
             attempt: attempt.clone(),
             key: key.clone(),
             digest,
-            outcome: Outcome::Answer(answer.clone()),
+            outcome: Outcome::Response(answer.clone()),
         };
         let intent = Intent {
             attempt: attempt.clone(),
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -12,7 +12,7 @@
 use uuid::Uuid;
 
 /// Longest text of a key, bytes.
-pub const KEY_LIMIT: usize = 255;
+pub const MAX_KEY_BYTES: usize = 255;
 
 const TIMED_VERSION: usize = 7;
 
@@ -26,8 +26,8 @@
         caller: CallerId,
     },
     /// Too long.
-    #[snafu(display("step key, caller {caller}: {bytes} bytes, at most {KEY_LIMIT}"))]
-    Long {
+    #[snafu(display("step key, caller {caller}: {bytes} bytes, at most {MAX_KEY_BYTES}"))]
+    TooLong {
         /// Caller.
         caller: CallerId,
         /// Length found, bytes.
@@ -35,7 +35,7 @@
     },
     /// A character that is neither a visible ASCII one nor allowed.
     #[snafu(display("step key, caller {caller}: character {found:?}"))]
-    Character {
+    InvalidCharacter {
         /// Caller.
         caller: CallerId,
         /// Character found.
@@ -67,14 +67,14 @@
         );
         let bytes = text.len();
         ensure!(
-            bytes <= KEY_LIMIT,
-            LongSnafu {
+            bytes <= MAX_KEY_BYTES,
+            TooLongSnafu {
                 caller: caller.clone(),
                 bytes
             }
         );
         if let Some(found) = text.chars().find(|c| !is_allowed(*c)) {
-            return CharacterSnafu {
+            return InvalidCharacterSnafu {
                 caller: caller.clone(),
                 found,
             }
--- a/crates/ledger/src/ledger/admit.rs
+++ b/crates/ledger/src/ledger/admit.rs
@@ -41,7 +41,7 @@
             return Admission::Claim(self.claim(call));
         }
         match self.finding(call) {
-            Finding::Ran(outcome @ Outcome::Answer(_)) => Admission::Replay(outcome),
+            Finding::Ran(outcome @ Outcome::Response(_)) => Admission::Replay(outcome),
             Finding::Barred(reason) => Admission::Refuse(reason),
             Finding::Ran(Outcome::Unknown) | Finding::Free => Admission::Refuse(Reason::KeyUnknown),
         }
--- a/crates/ledger/src/ledger/dump.rs
+++ b/crates/ledger/src/ledger/dump.rs
@@ -34,13 +34,13 @@
     /// Bytes held, about.
     pub bytes: usize,
     /// Own attempts under way.
-    pub own: Vec<OwnDump>,
+    pub own: Vec<AttemptDump>,
 }
 
 /// Own attempt under way.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct OwnDump {
+pub struct AttemptDump {
     /// Attempt.
     #[serde_as(as = "DisplayFromStr")]
     pub attempt: Attempt,
@@ -73,8 +73,8 @@
         }
     }
 
-    fn own_dump(&self) -> Vec<OwnDump> {
-        let rows = self.own.iter().map(|(attempt, own)| OwnDump {
+    fn own_dump(&self) -> Vec<AttemptDump> {
+        let rows = self.own.iter().map(|(attempt, own)| AttemptDump {
             attempt: attempt.clone(),
             key: own.key.clone(),
             deadline: own.deadline,
--- a/crates/ledger/src/ledger/error.rs
+++ b/crates/ledger/src/ledger/error.rs
@@ -11,15 +11,15 @@
 pub enum StepError {
     /// Void, finished, or never claimed here.
     #[snafu(display("step {step}, attempt {attempt}: not open here"))]
-    Closed {
+    NotOpen {
         /// Step.
         step: &'static str,
         /// Attempt.
         attempt: Attempt,
     },
-    /// Sent already: it may have run.
+    /// AlreadySent already: it may have run.
     #[snafu(display("step {step}, attempt {attempt}: already sent"))]
-    Sent {
+    AlreadySent {
         /// Step.
         step: &'static str,
         /// Attempt.
@@ -27,7 +27,7 @@
     },
     /// Too late to send. It is void now, and its caller may be told that it wasn't run.
     #[snafu(display("step {step}, attempt {attempt}: deadline {} ms has passed", deadline.0))]
-    Late {
+    DeadlinePassed {
         /// Step.
         step: &'static str,
         /// Attempt.
--- a/crates/ledger/src/ledger/mod.rs
+++ b/crates/ledger/src/ledger/mod.rs
@@ -14,10 +14,10 @@
 use pumicecleat_types::Millis;
 
 pub use admit::{Admission, Call};
-pub use dump::{Dump, OwnDump};
+pub use dump::{AttemptDump, Dump};
 pub use error::StepError;
 pub use read::{Event, Verdict};
-pub use step::{NotRun, Sent, Won};
+pub use step::{NotRunProof, SendPermit, SentAttempt};
 
 use crate::{Attempt, Limits, Owner, Record};
 use book::Book;
@@ -25,7 +25,7 @@
 
 /// Part of a stream, by offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct OffsetRange {
     /// Earliest record kept.
     pub first: u64,
     /// One past the last record.
@@ -53,7 +53,7 @@
 impl Ledger {
     /// Ledger of a side that has just started and found `span` in the stream.
     #[must_use]
-    pub fn new(owner: Owner, limits: Limits, span: Span) -> Self {
+    pub fn new(owner: Owner, limits: Limits, span: OffsetRange) -> Self {
         Self {
             owner,
             limits,
--- a/crates/ledger/src/ledger/read.rs
+++ b/crates/ledger/src/ledger/read.rs
@@ -5,14 +5,14 @@
 use super::admit::key_age;
 use super::book::Finding;
 use super::own::Phase;
-use super::{Ledger, Won};
+use super::{Ledger, SendPermit};
 use crate::{Abandon, Attempt, Done, Intent, Key, Outcome, Record};
 
 /// Something for the side to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An own attempt may be sent.
-    Won(Won),
+    Won(SendPermit),
     /// An own attempt will never be sent.
     Lost {
         /// Attempt.
@@ -151,7 +151,7 @@
     fn win(&mut self, intent: &Intent) -> Option<Event> {
         let own = self.own.get_mut(&intent.attempt)?;
         own.phase = Phase::Won;
-        Some(Event::Won(Won::new(intent.attempt.clone())))
+        Some(Event::Won(SendPermit::new(intent.attempt.clone())))
     }
 
     fn lose(&mut self, intent: &Intent, verdict: Verdict) -> Option<Event> {
--- a/crates/ledger/src/ledger/step.rs
+++ b/crates/ledger/src/ledger/step.rs
@@ -1,34 +1,34 @@
-//! Steps of an own attempt. Only a [`Won`] can be sent, and only a [`Sent`] has an outcome.
+//! Steps of an own attempt. Only a [`SendPermit`] can be sent, and only a [`SentAttempt`] has an outcome.
 
 use pumicecleat_types::Millis;
 use snafu::{OptionExt, ensure};
 
 use super::Ledger;
-use super::error::{ClosedSnafu, LateSnafu, SentSnafu, StepError};
+use super::error::{AlreadySentSnafu, DeadlinePassedSnafu, NotOpenSnafu, StepError};
 use super::own::{Own, Phase};
 use crate::{Attempt, Done, Outcome, Record};
 
 /// Leave to send an attempt. A clone is of no use: the ledger takes one of them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[must_use = "send it, or void it"]
-pub struct Won {
+pub struct SendPermit {
     attempt: Attempt,
 }
 
 /// An attempt that was sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[must_use = "it needs an outcome, known or unknown"]
-pub struct Sent {
+pub struct SentAttempt {
     attempt: Attempt,
 }
 
 /// Leave to tell a caller that an attempt was not run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct NotRun {
+pub struct NotRunProof {
     attempt: Attempt,
 }
 
-impl Won {
+impl SendPermit {
     pub(super) fn new(attempt: Attempt) -> Self {
         Self { attempt }
     }
@@ -40,7 +40,7 @@
     }
 }
 
-impl Sent {
+impl SentAttempt {
     /// Attempt.
     #[must_use]
     pub fn attempt(&self) -> &Attempt {
@@ -48,7 +48,7 @@
     }
 }
 
-impl NotRun {
+impl NotRunProof {
     /// Attempt.
     #[must_use]
     pub fn attempt(&self) -> &Attempt {
@@ -60,16 +60,16 @@
     /// Notes that a won attempt goes to the upstream now: call it just before the first byte.
     ///
     /// # Errors
-    /// [`StepError::Late`] once its deadline has passed; [`StepError::Closed`] or
-    /// [`StepError::Sent`] if it was voided or sent before.
-    pub fn sent(&mut self, won: Won, now: Millis) -> Result<Sent, StepError> {
+    /// [`StepError::DeadlinePassed`] once its deadline has passed; [`StepError::NotOpen`] or
+    /// [`StepError::AlreadySent`] if it was voided or sent before.
+    pub fn sent(&mut self, won: SendPermit, now: Millis) -> Result<SentAttempt, StepError> {
         let step = "send";
         let attempt = won.attempt;
         let own = self.own_mut(step, &attempt)?;
         let deadline = own.deadline;
         if deadline <= now {
             self.drop_own(&attempt);
-            return LateSnafu {
+            return DeadlinePassedSnafu {
                 step,
                 attempt,
                 deadline,
@@ -77,17 +77,17 @@
             .fail();
         }
         own.phase = Phase::Sent;
-        Ok(Sent { attempt })
+        Ok(SentAttempt { attempt })
     }
 
     /// Ends an attempt that was sent. Gives the record to append; it stays [owed](Ledger::owed).
     ///
     /// # Errors
-    /// [`StepError::Closed`] if it has an outcome already.
-    pub fn finish(&mut self, sent: Sent, outcome: Outcome) -> Result<&Record, StepError> {
+    /// [`StepError::NotOpen`] if it has an outcome already.
+    pub fn finish(&mut self, sent: SentAttempt, outcome: Outcome) -> Result<&Record, StepError> {
         let attempt = sent.attempt;
         let own = self.own.remove(&attempt);
-        let own = own.with_context(|| ClosedSnafu {
+        let own = own.with_context(|| NotOpenSnafu {
             step: "finish",
             attempt: attempt.clone(),
         })?;
@@ -104,30 +104,30 @@
     /// void from then on, as by [`void`](Ledger::void).
     ///
     /// # Errors
-    /// [`StepError::Closed`] if it has an outcome already.
-    pub fn unsent(&mut self, sent: Sent) -> Result<NotRun, StepError> {
+    /// [`StepError::NotOpen`] if it has an outcome already.
+    pub fn unsent(&mut self, sent: SentAttempt) -> Result<NotRunProof, StepError> {
         let attempt = sent.attempt;
         let known = self.own.contains_key(&attempt);
         ensure!(
             known,
-            ClosedSnafu {
+            NotOpenSnafu {
                 step: "take back",
                 attempt
             }
         );
         self.drop_own(&attempt);
-        Ok(NotRun { attempt })
+        Ok(NotRunProof { attempt })
     }
 
     /// Gives up an attempt that was not sent: it never will be. Its intent, if it is in the
     /// stream now or turns up later, is abandoned by an [owed](Ledger::owed) record.
     ///
     /// # Errors
-    /// [`StepError::Sent`] if it was sent; [`StepError::Closed`] if it has ended.
-    pub fn void(&mut self, attempt: &Attempt) -> Result<NotRun, StepError> {
+    /// [`StepError::AlreadySent`] if it was sent; [`StepError::NotOpen`] if it has ended.
+    pub fn void(&mut self, attempt: &Attempt) -> Result<NotRunProof, StepError> {
         self.own_mut("void", attempt)?;
         self.drop_own(attempt);
-        Ok(NotRun {
+        Ok(NotRunProof {
             attempt: attempt.clone(),
         })
     }
@@ -135,13 +135,13 @@
     /// Own attempt that was not sent.
     fn own_mut(&mut self, step: &'static str, attempt: &Attempt) -> Result<&mut Own, StepError> {
         let own = self.own.get_mut(attempt);
-        let own = own.with_context(|| ClosedSnafu {
+        let own = own.with_context(|| NotOpenSnafu {
             step,
             attempt: attempt.clone(),
         })?;
         ensure!(
             own.phase != Phase::Sent,
-            SentSnafu {
+            AlreadySentSnafu {
                 step,
                 attempt: attempt.clone()
             }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -10,13 +10,13 @@
 //!
 //! ```
 //! use pumicecleat_ledger::{
-//!     Admission, Answer, Call, Digest, Event, Key, Ledger, Limits, Outcome, Owner, Record, Span,
+//!     Admission, RecordedResponse, Call, Digest, Event, Key, Ledger, Limits, Outcome, Owner, Record, OffsetRange,
 //! };
 //! use pumicecleat_types::{LogRecord, Millis};
 //!
 //! let limits = Limits::new(Millis(3_600_000), Millis(60_000), Millis(7_200_000)).unwrap();
 //! let owner = Owner { vm: "booking-1".into(), incarnation: 1 };
-//! let mut ledger = Ledger::new(owner, limits, Span { first: 0, end: 0 });
+//! let mut ledger = Ledger::new(owner, limits, OffsetRange { first: 0, end: 0 });
 //!
 //! let key = Key::parse(&"csillagkapu".into(), "seat-41").unwrap();
 //! let digest = Digest::of_call("POST", "/holds", b"{\"seat\":41}");
@@ -30,14 +30,14 @@
 //!
 //! // Just before the first byte goes to the upstream:
 //! let sent = ledger.sent(won.clone(), Millis(1_005)).unwrap();
-//! let answer = Answer::new(201, Vec::new(), b"held", 4_096);
-//! let record = ledger.finish(sent, Outcome::Answer(answer.clone())).unwrap().clone();
+//! let response = RecordedResponse::new(201, Vec::new(), b"held", 4_096);
+//! let record = ledger.finish(sent, Outcome::Response(response.clone())).unwrap().clone();
 //! let data = Record::encode_batch(&[record]);
 //! ledger.read(&LogRecord { offset: 1, at: 1_050, data });
 //!
 //! // A repeat gets the recorded answer, from this side or any other.
 //! let again = Call { now: Millis(2_000), deadline: Millis(7_000), ..call };
-//! assert_eq!(ledger.admit(&again), Admission::Replay(&Outcome::Answer(answer)));
+//! assert_eq!(ledger.admit(&again), Admission::Replay(&Outcome::Response(response)));
 //! ```
 
 mod digest;
@@ -47,9 +47,10 @@
 mod record;
 
 pub use digest::Digest;
-pub use key::{KEY_LIMIT, Key, KeyError};
+pub use key::{Key, KeyError, MAX_KEY_BYTES};
 pub use ledger::{
-    Admission, Call, Dump, Event, Ledger, NotRun, OwnDump, Sent, Span, StepError, Verdict, Won,
+    Admission, AttemptDump, Call, Dump, Event, Ledger, NotRunProof, OffsetRange, SendPermit,
+    SentAttempt, StepError, Verdict,
 };
 pub use limits::{LimitError, Limits};
-pub use record::{Abandon, Answer, Attempt, Body, Done, Intent, Outcome, Owner, Record};
+pub use record::{Abandon, Attempt, Body, Done, Intent, Outcome, Owner, Record, RecordedResponse};
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -9,10 +9,10 @@
 pub enum LimitError {
     /// The window is no time at all.
     #[snafu(display("step limits: the window is zero"))]
-    Zero,
+    ZeroWindow,
     /// The log trims records while they still count.
     #[snafu(display("step limits: window {}+{} ms, but the log keeps {} ms", window.0, ahead.0, kept.0))]
-    Kept {
+    RetentionTooShort {
         /// Window asked for.
         window: Millis,
         /// Span ahead asked for.
@@ -36,11 +36,11 @@
     /// # Errors
     /// [`LimitError`] if the window is zero, or window and `ahead` together reach `kept`.
     pub fn new(window: Millis, ahead: Millis, kept: Millis) -> Result<Self, LimitError> {
-        ensure!(window > Millis(0), ZeroSnafu);
+        ensure!(window > Millis(0), ZeroWindowSnafu);
         let fits = window + ahead < kept;
         ensure!(
             fits,
-            KeptSnafu {
+            RetentionTooShortSnafu {
                 window,
                 ahead,
                 kept
--- a/crates/ledger/src/record/mod.rs
+++ b/crates/ledger/src/record/mod.rs
@@ -7,7 +7,7 @@
 use pumicecleat_types::{CodecError, Millis, VmId, decode, encode};
 use serde::{Deserialize, Serialize};
 
-pub use outcome::{Answer, Body, Outcome};
+pub use outcome::{Body, Outcome, RecordedResponse};
 
 use crate::{Digest, Key};
 
--- a/crates/ledger/src/record/outcome.rs
+++ b/crates/ledger/src/record/outcome.rs
@@ -12,14 +12,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The upstream's whole answer.
-    Answer(Answer),
+    #[serde(rename = "Answer")]
+    Response(RecordedResponse),
     /// The answer was lost: it may have run.
     Unknown,
 }
 
 /// Answer of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers passed on.
@@ -33,7 +34,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
     /// All of it.
-    Whole(#[serde_as(as = "Bytes")] Vec<u8>),
+    #[serde(rename = "Whole")]
+    Complete(#[serde_as(as = "Bytes")] Vec<u8>),
     /// Too large to keep.
     Large {
         /// Digest of the body.
@@ -43,12 +45,12 @@
     },
 }
 
-impl Answer {
+impl RecordedResponse {
     /// Answer to record; a body longer than `limit` bytes is kept as its digest.
     #[must_use]
     pub fn new(status: u16, headers: Vec<HeaderField>, body: &[u8], limit: usize) -> Self {
         let body = if body.len() <= limit {
-            Body::Whole(body.to_vec())
+            Body::Complete(body.to_vec())
         } else {
             Body::Large {
                 digest: Digest::of(body),
@@ -64,7 +66,7 @@
 }
 
 // `HeaderField` has no `Hash` to derive from.
-impl Hash for Answer {
+impl Hash for RecordedResponse {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.status.hash(state);
         self.headers.len().hash(state);
@@ -81,16 +83,16 @@
     pub(crate) fn size(&self) -> usize {
         match self {
             Self::Unknown => 0,
-            Self::Answer(answer) => answer.size(),
+            Self::Response(response) => response.size(),
         }
     }
 }
 
-impl Answer {
+impl RecordedResponse {
     fn size(&self) -> usize {
         let fields: usize = self.headers.iter().map(field_size).sum();
         match &self.body {
-            Body::Whole(bytes) => fields + bytes.len(),
+            Body::Complete(bytes) => fields + bytes.len(),
             Body::Large { .. } => fields,
         }
     }
--- a/crates/ledger/tests/decisions.rs
+++ b/crates/ledger/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! What a side decides on a call, by what stands in its stream: tables of cases.
 
 use pumicecleat_ledger::{
-    Abandon, Admission, Answer, Attempt, Call, Digest, Done, Event, Intent, Key, Ledger, Limits,
-    Outcome, Owner, Record, Span, StepError, Verdict, Won,
+    Abandon, Admission, Attempt, Call, Digest, Done, Event, Intent, Key, Ledger, Limits,
+    OffsetRange, Outcome, Owner, Record, RecordedResponse, SendPermit, StepError, Verdict,
 };
 use pumicecleat_types::{LogRecord, Millis, Reason};
 
@@ -22,7 +22,7 @@
 
 fn ledger(first: u64, end: u64) -> Ledger {
     let limits = Limits::new(Millis(WINDOW), Millis(AHEAD), Millis(KEPT)).unwrap();
-    Ledger::new(owner("a", 2), limits, Span { first, end })
+    Ledger::new(owner("a", 2), limits, OffsetRange { first, end })
 }
 
 fn key() -> Key {
@@ -67,7 +67,7 @@
 }
 
 fn answer() -> Outcome {
-    Outcome::Answer(Answer::new(201, Vec::new(), b"held", 64))
+    Outcome::Response(RecordedResponse::new(201, Vec::new(), b"held", 64))
 }
 
 fn append(offset: u64, at: u64, records: &[Record]) -> LogRecord {
@@ -346,7 +346,7 @@
     }
 }
 
-fn won(ledger: &mut Ledger) -> Won {
+fn won(ledger: &mut Ledger) -> SendPermit {
     let intent = claimed(ledger, &key());
     let offset = ledger.next();
     let events = ledger.read(&append(offset, START, &[Record::Intent(intent)]));
@@ -362,20 +362,20 @@
     let won = won(&mut ledger);
     let sent = ledger.sent(won.clone(), Millis(START)).unwrap();
     let again = ledger.sent(won.clone(), Millis(START));
-    assert!(matches!(again, Err(StepError::Sent { .. })));
+    assert!(matches!(again, Err(StepError::AlreadySent { .. })));
     assert!(matches!(
         ledger.void(won.attempt()),
-        Err(StepError::Sent { .. })
+        Err(StepError::AlreadySent { .. })
     ));
     assert!(ledger.expire(Millis(START + WINDOW)).is_empty());
     ledger.finish(sent.clone(), answer()).unwrap();
     assert!(matches!(
         ledger.finish(sent, answer()),
-        Err(StepError::Closed { .. })
+        Err(StepError::NotOpen { .. })
     ));
     assert!(matches!(
         ledger.void(won.attempt()),
-        Err(StepError::Closed { .. })
+        Err(StepError::NotOpen { .. })
     ));
 }
 
@@ -391,7 +391,7 @@
     assert_eq!(ledger.owed().collect::<Vec<_>>(), [&abandon(won.attempt())]);
     assert!(matches!(
         ledger.sent(won, Millis(START)),
-        Err(StepError::Closed { .. })
+        Err(StepError::NotOpen { .. })
     ));
 }
 
--- a/crates/ledger/tests/differential/naive.rs
+++ b/crates/ledger/tests/differential/naive.rs
@@ -298,7 +298,7 @@
 
 fn ran(done: &Mark) -> Finding {
     Finding::Lost(match &done.outcome {
-        Some(outcome @ Outcome::Answer(_)) => Verdict::Replay(outcome.clone()),
+        Some(outcome @ Outcome::Response(_)) => Verdict::Replay(outcome.clone()),
         _ => Verdict::Refuse(Reason::KeyUnknown),
     })
 }
--- a/crates/ledger/tests/differential/trace.rs
+++ b/crates/ledger/tests/differential/trace.rs
@@ -3,8 +3,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
 use pumicecleat_ledger::{
-    Abandon, Admission, Answer, Attempt, Call, Digest, Done, Event, Intent, Key, Ledger, Limits,
-    Outcome, Owner, Record, Sent, Span, StepError, Verdict, Won,
+    Abandon, Admission, Attempt, Call, Digest, Done, Event, Intent, Key, Ledger, Limits,
+    OffsetRange, Outcome, Owner, Record, RecordedResponse, SendPermit, SentAttempt, StepError,
+    Verdict,
 };
 use pumicecleat_types::{LogRecord, Millis, Reason};
 
@@ -105,7 +106,7 @@
 
 pub fn side() -> Ledger {
     let limits = Limits::new(Millis(WINDOW), Millis(AHEAD), Millis(KEPT)).unwrap();
-    Ledger::new(owner_of(ME), limits, Span { first: 0, end: 0 })
+    Ledger::new(owner_of(ME), limits, OffsetRange { first: 0, end: 0 })
 }
 
 /// Both versions, and the log they read.
@@ -115,8 +116,8 @@
     log: Vec<LogRecord>,
     pending: Vec<Record>,
     intents: Vec<Record>,
-    won: Vec<Won>,
-    sent: Vec<Sent>,
+    won: Vec<SendPermit>,
+    sent: Vec<SentAttempt>,
     now: u64,
     seq: u64,
 }
@@ -304,9 +305,9 @@
             .iter_mut()
             .find(|o| o.intent.attempt == attempt);
         match (real, own) {
-            (Err(StepError::Closed { .. }), None) => {}
-            (Err(StepError::Sent { .. }), Some(own)) => prop_assert!(own.sent),
-            (Err(StepError::Late { .. }), Some(own)) => {
+            (Err(StepError::NotOpen { .. }), None) => {}
+            (Err(StepError::AlreadySent { .. }), Some(own)) => prop_assert!(own.sent),
+            (Err(StepError::DeadlinePassed { .. }), Some(own)) => {
                 prop_assert!(own.intent.deadline.0 <= self.now);
                 self.naive.give_up(&attempt);
             }
@@ -347,8 +348,8 @@
                 prop_assert!(!own.sent);
                 self.naive.give_up(&attempt);
             }
-            (Err(StepError::Sent { .. }), Some(own)) => prop_assert!(own.sent),
-            (Err(StepError::Closed { .. }), None) => {}
+            (Err(StepError::AlreadySent { .. }), Some(own)) => prop_assert!(own.sent),
+            (Err(StepError::NotOpen { .. }), None) => {}
             (real, own) => prop_assert!(false, "{real:?} {own:?}"),
         }
         Ok(())
@@ -388,7 +389,12 @@
 }
 
 fn answer(seq: u64) -> Outcome {
-    Outcome::Answer(Answer::new(200, Vec::new(), &seq.to_be_bytes(), 64))
+    Outcome::Response(RecordedResponse::new(
+        200,
+        Vec::new(),
+        &seq.to_be_bytes(),
+        64,
+    ))
 }
 
 fn foreign(attempt: Attempt, key: u8, body: u8, kind: u8, wait: u64) -> Record {
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -1,6 +1,8 @@
 //! Texts of keys, spans, digests and bodies: tables of cases.
 
-use pumicecleat_ledger::{Answer, Body, Digest, KEY_LIMIT, Key, KeyError, LimitError, Limits};
+use pumicecleat_ledger::{
+    Body, Digest, Key, KeyError, LimitError, Limits, MAX_KEY_BYTES, RecordedResponse,
+};
 use pumicecleat_types::{CallerId, Millis};
 
 fn caller() -> CallerId {
@@ -22,7 +24,7 @@
 }
 
 fn key_cases() -> Vec<KeyCase> {
-    let strange = |found| KeyError::Character {
+    let strange = |found| KeyError::InvalidCharacter {
         caller: caller(),
         found,
     };
@@ -66,8 +68,8 @@
 
 #[test]
 fn long_texts_are_refused() {
-    let longest = "k".repeat(KEY_LIMIT);
-    let longer = "k".repeat(KEY_LIMIT + 1);
+    let longest = "k".repeat(MAX_KEY_BYTES);
+    let longer = "k".repeat(MAX_KEY_BYTES + 1);
     assert!(Key::parse(&caller(), &longest).is_ok());
     let error = Key::parse(&caller(), &longer).unwrap_err();
     assert_eq!(
@@ -101,13 +103,13 @@
         window: 0,
         ahead: 10,
         kept: 111,
-        error: Some(LimitError::Zero),
+        error: Some(LimitError::ZeroWindow),
     },
     LimitCase {
         window: 100,
         ahead: 10,
         kept: 110,
-        error: Some(LimitError::Kept {
+        error: Some(LimitError::RetentionTooShort {
             window: Millis(100),
             ahead: Millis(10),
             kept: Millis(110),
@@ -117,7 +119,7 @@
         window: u64::MAX,
         ahead: 1,
         kept: u64::MAX,
-        error: Some(LimitError::Kept {
+        error: Some(LimitError::RetentionTooShort {
             window: Millis(u64::MAX),
             ahead: Millis(1),
             kept: Millis(u64::MAX),
@@ -192,13 +194,13 @@
 #[test]
 fn large_bodies_are_kept_as_digests() {
     for case in BODIES {
-        let answer = Answer::new(200, Vec::new(), case.body, case.limit);
+        let answer = RecordedResponse::new(200, Vec::new(), case.body, case.limit);
         let large = Body::Large {
             digest: Digest::of(case.body),
             bytes: case.body.len() as u64,
         };
         let expected = if case.whole {
-            Body::Whole(case.body.to_vec())
+            Body::Complete(case.body.to_vec())
         } else {
             large
         };
--- a/crates/ledger/tests/model/log.rs
+++ b/crates/ledger/tests/model/log.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pumicecleat_ledger::{Record, Span};
+use pumicecleat_ledger::{OffsetRange, Record};
 use pumicecleat_types::LogRecord;
 
 /// Records on their way to the log, in one append.
@@ -32,8 +32,8 @@
         }
     }
 
-    pub fn span(&self) -> Span {
-        Span {
+    pub fn span(&self) -> OffsetRange {
+        OffsetRange {
             first: self.first as u64,
             end: self.end(),
         }
--- a/crates/ledger/tests/model/moves.rs
+++ b/crates/ledger/tests/model/moves.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use pumicecleat_ledger::{
-    Abandon, Admission, Answer, Attempt, Body, Call, Event, Outcome, Record, Span, StepError,
-    Verdict, Won,
+    Abandon, Admission, Attempt, Body, Call, Event, OffsetRange, Outcome, Record, RecordedResponse,
+    SendPermit, StepError, Verdict,
 };
 use pumicecleat_types::{Millis, Reason};
 
@@ -354,7 +354,7 @@
         }
     }
 
-    fn win(&mut self, side: usize, won: Won) {
+    fn win(&mut self, side: usize, won: SendPermit) {
         let call = self.attempts[won.attempt()];
         if self.attempt(call).is_some() {
             self.side(side).won.insert(call, won);
@@ -385,7 +385,7 @@
                 s.sent.insert(call, sent);
                 self.affect(call, attempt);
             }
-            Err(StepError::Late { .. }) => self.tell(call, Told::NotRun),
+            Err(StepError::DeadlinePassed { .. }) => self.tell(call, Told::NotRun),
             Err(e) => panic!("{e}"),
         }
     }
@@ -406,7 +406,7 @@
             Ok(sent) => {
                 s.ledger.unsent(sent).unwrap();
             }
-            Err(StepError::Late { .. }) => {}
+            Err(StepError::DeadlinePassed { .. }) => {}
             Err(e) => panic!("{e}"),
         }
         if late {
@@ -484,7 +484,7 @@
     }
 
     // What a side that starts to read finds.
-    pub(crate) fn start_span(&self) -> Span {
+    pub(crate) fn start_span(&self) -> OffsetRange {
         let mut span = self.log.span();
         if self.slips(Slip::ReadFromEnd) {
             span.first = span.end;
@@ -512,14 +512,14 @@
 }
 
 fn answer_of(call: u8) -> Outcome {
-    Outcome::Answer(Answer::new(200, Vec::new(), &[call], 1))
+    Outcome::Response(RecordedResponse::new(200, Vec::new(), &[call], 1))
 }
 
 /// Call that an answer came of.
 fn author(outcome: &Outcome) -> u8 {
     match outcome {
-        Outcome::Answer(Answer {
-            body: Body::Whole(bytes),
+        Outcome::Response(RecordedResponse {
+            body: Body::Complete(bytes),
             ..
         }) => bytes[0],
         other => panic!("replayed {other:?}"),
--- a/crates/ledger/tests/model/side.rs
+++ b/crates/ledger/tests/model/side.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use pumicecleat_ledger::{Attempt, Ledger, Limits, Owner, Record, Sent, Span, Won};
+use pumicecleat_ledger::{
+    Attempt, Ledger, Limits, OffsetRange, Owner, Record, SendPermit, SentAttempt,
+};
 
 use crate::log::Batch;
 
@@ -21,12 +23,12 @@
     pub flight: Option<Batch>,
     /// One past the last offset of an own append whose reply came.
     pub landed: u64,
-    pub won: BTreeMap<usize, Won>,
-    pub sent: BTreeMap<usize, Sent>,
+    pub won: BTreeMap<usize, SendPermit>,
+    pub sent: BTreeMap<usize, SentAttempt>,
 }
 
 impl Side {
-    pub fn new(owner: Owner, limits: Limits, span: Span) -> Self {
+    pub fn new(owner: Owner, limits: Limits, span: OffsetRange) -> Self {
         Self {
             ledger: Ledger::new(owner.clone(), limits, span),
             owner,
--- a/crates/measure/src/slopes/keys.rs
+++ b/crates/measure/src/slopes/keys.rs
@@ -1,8 +1,8 @@
 //! The ledger of idempotency keys: memory of a window, time to read and admit, bytes in the log.
 
 use pumicecleat_ledger::{
-    Admission, Answer, Attempt, Call, Digest, Done, Intent, Key, Ledger, Limits, Outcome, Owner,
-    Record, Span,
+    Admission, Attempt, Call, Digest, Done, Intent, Key, Ledger, Limits, OffsetRange, Outcome,
+    Owner, Record, RecordedResponse,
 };
 use pumicecleat_types::{LogRecord, Millis};
 
@@ -103,7 +103,7 @@
         vm: "centre-01-service-00001".into(),
         incarnation: NOW.0,
     };
-    let mut ledger = Ledger::new(owner, limits, Span { first: 0, end: 0 });
+    let mut ledger = Ledger::new(owner, limits, OffsetRange { first: 0, end: 0 });
     for (offset, n) in (0..).zip(calls) {
         let data = Record::encode_batch(&pair(n));
         ledger.read(&LogRecord {
@@ -136,12 +136,12 @@
         digest,
         deadline: Millis(NOW.0 + 5_000),
     };
-    let answer = Answer::new(201, Vec::new(), &[b'x'; ANSWER], LIMIT);
+    let answer = RecordedResponse::new(201, Vec::new(), &[b'x'; ANSWER], LIMIT);
     let done = Done {
         attempt,
         key: key(n),
         digest,
-        outcome: Outcome::Answer(answer),
+        outcome: Outcome::Response(answer),
     };
     [Record::Intent(intent), Record::Done(done)]
 }
--- a/crates/side/src/keys/claim.rs
+++ b/crates/side/src/keys/claim.rs
@@ -5,7 +5,9 @@
 
 use async_channel::Receiver;
 use futures_util::future::{Either, select};
-use pumicecleat_ledger::{Admission, Attempt, Call, Event, Intent, Outcome, Record, Verdict, Won};
+use pumicecleat_ledger::{
+    Admission, Attempt, Call, Event, Intent, Outcome, Record, SendPermit, Verdict,
+};
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{Millis, Reason};
 
@@ -21,7 +23,7 @@
 #[derive(Debug)]
 pub(crate) enum Claim {
     /// Send it.
-    Won(Won),
+    Won(SendPermit),
     /// Pass on what came of an earlier attempt.
     Replay(Outcome),
     /// Not run.
--- a/crates/side/src/keys/part.rs
+++ b/crates/side/src/keys/part.rs
@@ -11,7 +11,8 @@
 use async_channel::Sender;
 use pumicecleat_infra::{AppendOptions, Appender, Log};
 use pumicecleat_ledger::{
-    Attempt, Dump, Event, Key, Ledger, Limits, Outcome, Owner, Sent, Span, StepError, Won,
+    Attempt, Dump, Event, Key, Ledger, Limits, OffsetRange, Outcome, Owner, SendPermit,
+    SentAttempt, StepError,
 };
 use pumicecleat_net::Timer;
 use pumicecleat_ops::{Log as EventLog, events, field};
@@ -59,7 +60,7 @@
             incarnation,
         };
         // Until the stream's span is known the ledger has not caught up, and admits nothing.
-        let unknown = Span {
+        let unknown = OffsetRange {
             first: 0,
             end: u64::MAX,
         };
@@ -141,26 +142,32 @@
     }
 
     /// Notes that a call goes to the service now.
-    pub(crate) fn sent(&self, won: Won) -> Result<Sent, StepError> {
+    pub(crate) fn sent(&self, won: SendPermit) -> Result<SentAttempt, StepError> {
         self.state.ledger.borrow_mut().sent(won, wall_clock())
     }
 
     /// Takes back a call that failed before a byte left; `true` if it may be told as not run.
-    pub(crate) fn unsent(&self, sent: Sent) -> bool {
+    pub(crate) fn unsent(&self, sent: SentAttempt) -> bool {
         let taken = self.state.ledger.borrow_mut().unsent(sent).is_ok();
         self.wake();
         taken
     }
 
     /// Gives up a call that was not sent; `true` if it may be told as not run.
-    pub(crate) fn withdraw(&self, won: &Won) -> bool {
+    pub(crate) fn withdraw(&self, won: &SendPermit) -> bool {
         let voided = self.state.ledger.borrow_mut().void(won.attempt()).is_ok();
         self.wake();
         voided
     }
 
     /// Records what came of a call.
-    pub(crate) fn finish(&self, request: &RequestId, key: &Key, sent: Sent, outcome: Outcome) {
+    pub(crate) fn finish(
+        &self,
+        request: &RequestId,
+        key: &Key,
+        sent: SentAttempt,
+        outcome: Outcome,
+    ) {
         if outcome == Outcome::Unknown {
             let fields = [field("request", request), field("key", key.text())];
             self.state.events.emit(&events::KEY_UNKNOWN, &fields);
@@ -221,7 +228,7 @@
 /// Refusal that stands for a step that the ledger does not allow.
 pub(super) fn step_reason(error: &StepError) -> Reason {
     match error {
-        StepError::Late { .. } => Reason::Deadline,
-        StepError::Closed { .. } | StepError::Sent { .. } => Reason::KeyUnknown,
+        StepError::DeadlinePassed { .. } => Reason::Deadline,
+        StepError::NotOpen { .. } | StepError::AlreadySent { .. } => Reason::KeyUnknown,
     }
 }
--- a/crates/side/src/keys/reader.rs
+++ b/crates/side/src/keys/reader.rs
@@ -6,7 +6,7 @@
 use pumicecleat_infra::{
     BackoffOptions, FollowError, FollowEvent, FollowOptions, Follower, ReadError,
 };
-use pumicecleat_ledger::{Attempt, Event, Ledger, Span};
+use pumicecleat_ledger::{Attempt, Event, Ledger, OffsetRange};
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{LogRecord, Millis};
 
@@ -102,18 +102,18 @@
     }
 
     /// What the stream holds now; `None` once the part is closed.
-    async fn find_span(&self) -> Option<Span> {
+    async fn find_span(&self) -> Option<OffsetRange> {
         let (log, stream) = (&self.state.log, &self.state.stream);
         while !self.state.closed.get() {
             match log.read(stream, 0, 1, Duration::ZERO).await {
                 Ok(batch) => {
-                    return Some(Span {
+                    return Some(OffsetRange {
                         first: batch.first,
                         end: batch.next,
                     });
                 }
                 Err(ReadError::Trimmed { first, next, .. }) => {
-                    return Some(Span { first, end: next });
+                    return Some(OffsetRange { first, end: next });
                 }
                 Err(e) => self.note_down(&e.to_string()),
             }
@@ -123,7 +123,7 @@
     }
 
     /// A fresh ledger decides from now on; attempts that wait are told what is certain of them.
-    fn start_over(&self, span: Span) {
+    fn start_over(&self, span: OffsetRange) {
         let mut ledger = self.state.ledger.borrow_mut();
         let mut owner = ledger.owner().clone();
         // Numbers of attempts start over, so that they need a name of their own in the log.
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
-use pumicecleat_ledger::{Answer, Body, Digest, Key, Outcome};
+use pumicecleat_ledger::{Body, Digest, Key, Outcome, RecordedResponse};
 use pumicecleat_net::Sent;
 use pumicecleat_types::{
     Frame, HeaderField, Millis, Ran, Reason, Refusal, RunRequest, ServiceTarget,
@@ -185,7 +185,7 @@
         }
     }
 
-    fn withdraw(&self, part: &Hold, won: &pumicecleat_ledger::Won) -> Vec<Frame> {
+    fn withdraw(&self, part: &Hold, won: &pumicecleat_ledger::SendPermit) -> Vec<Frame> {
         let reason = if part.withdraw(won) {
             Reason::Deadline
         } else {
@@ -194,14 +194,14 @@
         self.refused(refusal(reason, RETRY_MS, "its entry left"))
     }
 
-    async fn send_won(&self, keyed: &Keyed, sent: pumicecleat_ledger::Sent) -> Vec<Frame> {
+    async fn send_won(&self, keyed: &Keyed, sent: pumicecleat_ledger::SentAttempt) -> Vec<Frame> {
         let request = &self.request.head.request;
         let Keyed { key, part } = keyed;
         match self.send().await {
             Ok(answer) => {
                 let headers = answer.headers.clone();
-                let record = Answer::new(answer.status, headers, &answer.body, RECORDED);
-                part.finish(request, key, sent, Outcome::Answer(record));
+                let record = RecordedResponse::new(answer.status, headers, &answer.body, RECORDED);
+                part.finish(request, key, sent, Outcome::Response(record));
                 self.answered(answer.status, answer.headers, &answer.body, false)
             }
             Err(e) if e.sent() == Sent::No => self.take_back(part, sent, &e),
@@ -215,7 +215,7 @@
     fn take_back(
         &self,
         part: &Hold,
-        sent: pumicecleat_ledger::Sent,
+        sent: pumicecleat_ledger::SentAttempt,
         error: &CallError,
     ) -> Vec<Frame> {
         if part.unsent(sent) {
@@ -227,8 +227,8 @@
     fn replay(&self, outcome: &Outcome) -> Vec<Frame> {
         self.state.metrics.replayed.inc();
         match outcome {
-            Outcome::Answer(answer) => match &answer.body {
-                Body::Whole(body) => {
+            Outcome::Response(answer) => match &answer.body {
+                Body::Complete(body) => {
                     self.answered(answer.status, answer.headers.clone(), body, true)
                 }
                 Body::Large { bytes, .. } => vec![self.not_kept(*bytes)],
