--- a/crates/entry/src/request/job.rs
+++ b/crates/entry/src/request/job.rs
@@ -72,7 +72,7 @@
         }
         // A text that is no key is refused by the side, whichever it is.
         let key = Key::parse(&self.caller, self.key.as_deref()?).ok()?;
-        Some(part_key(&self.resolved.pool, key.part(parts)))
+        Some(part_key(&self.resolved.pool, key.partition(parts)))
     }
 
     /// Body for the upstream.
--- a/crates/entry/tests/entry/keys.rs
+++ b/crates/entry/tests/entry/keys.rs
@@ -25,7 +25,7 @@
         for run in side.seen() {
             let text = run.head.key.unwrap();
             let key = Key::parse(&run.head.caller, &text).unwrap();
-            seen.entry(key.part(PARTS)).or_default().insert(n);
+            seen.entry(key.partition(PARTS)).or_default().insert(n);
         }
     }
     seen
--- a/crates/fuzz/src/targets/ledger.rs
+++ b/crates/fuzz/src/targets/ledger.rs
@@ -53,8 +53,8 @@
     let data = input.to_vec();
     let (offset, at) = (0, 1_000);
     let record = LogRecord { offset, at, data };
-    let events = ledger.read(&record);
-    require(ledger.next() == 1, "the record was not passed")?;
+    let events = ledger.apply(&record);
+    require(ledger.next_offset() == 1, "the record was not passed")?;
     let won = events.iter().any(|e| matches!(e, Event::Won(_)));
     require(!won, "won what was never claimed")?;
     let unreadable = events.iter().any(|e| matches!(e, Event::Unreadable { .. }));
@@ -62,9 +62,9 @@
         unreadable != is_batch,
         "an unreadable record went unnoticed",
     )?;
-    require(ledger.read(&record).is_empty(), "read twice")?;
+    require(ledger.apply(&record).is_empty(), "read twice")?;
     let most = LEAST + input.len() * GROWTH;
-    require(ledger.size() <= most, "holds more than it read")
+    require(ledger.memory_bytes() <= most, "holds more than it read")
 }
 
 fn ledger() -> Option<Ledger> {
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -117,7 +117,7 @@
     /// Which of `parts` parts of a service's keys it is in, from 0. The same at every process of
     /// every version: keys would be forgotten else.
     #[must_use]
-    pub fn part(&self, parts: u32) -> u32 {
+    pub fn partition(&self, partitions: u32) -> u32 {
         let caller = self.caller.as_str();
         let mut hash = Sha256::new();
         hash.update((caller.len() as u64).to_be_bytes());
@@ -126,7 +126,7 @@
         let hash: [u8; 32] = hash.finalize().into();
         let first = hash.first_chunk().copied().unwrap_or_default();
         // A remainder by a `u32` is one.
-        u32::try_from(u64::from_be_bytes(first) % u64::from(parts.max(1))).unwrap_or_default()
+        u32::try_from(u64::from_be_bytes(first) % u64::from(partitions.max(1))).unwrap_or_default()
     }
 
     /// Bytes of its text and its caller's name.
--- a/crates/ledger/src/ledger/admit.rs
+++ b/crates/ledger/src/ledger/admit.rs
@@ -91,5 +91,5 @@
     if minted + limits.window() <= at {
         return Some(Reason::KeyExpired);
     }
-    (minted > at + limits.ahead()).then_some(Reason::KeyInvalid)
+    (minted > at + limits.max_ahead()).then_some(Reason::KeyInvalid)
 }
--- a/crates/ledger/src/ledger/dump.rs
+++ b/crates/ledger/src/ledger/dump.rs
@@ -68,7 +68,7 @@
             keys,
             marks,
             owed: self.owed.len(),
-            bytes: self.size(),
+            bytes: self.memory_bytes(),
             own: self.own_dump(),
         }
     }
--- a/crates/ledger/src/ledger/mod.rs
+++ b/crates/ledger/src/ledger/mod.rs
@@ -70,7 +70,7 @@
 
     /// Offset to read from.
     #[must_use]
-    pub fn next(&self) -> u64 {
+    pub fn next_offset(&self) -> u64 {
         self.next
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Records that the stream still lacks: append them, and again until they're read back.
-    pub fn owed(&self) -> impl Iterator<Item = &Record> {
+    pub fn pending_records(&self) -> impl Iterator<Item = &Record> {
         self.owed.values()
     }
 
@@ -94,13 +94,13 @@
     /// Whether no own attempt is under way and the stream lacks nothing: the reader may stop
     /// here, and another ledger of the same stream take its place.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.own.is_empty() && self.owed.is_empty()
     }
 
     /// Bytes held, about.
     #[must_use]
-    pub fn size(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         size_of::<Self>() + self.book.size() + self.own.len() * size_of::<(Attempt, Own)>()
     }
 }
--- a/crates/ledger/src/ledger/read.rs
+++ b/crates/ledger/src/ledger/read.rs
@@ -41,11 +41,11 @@
 
 impl Ledger {
     /// Takes the next record of the stream. One that was read before changes nothing.
-    pub fn read(&mut self, record: &LogRecord) -> Vec<Event> {
+    pub fn apply(&mut self, record: &LogRecord) -> Vec<Event> {
         if record.offset < self.next {
             return Vec::new();
         }
-        let mut events = self.trimmed(record.offset);
+        let mut events = self.handle_trim(record.offset);
         self.next = record.offset + 1;
         self.clock = self.clock.max(Millis(record.at));
         self.book.forget(self.clock);
@@ -57,7 +57,7 @@
     }
 
     /// Voids own attempts whose deadline has passed before they were sent.
-    pub fn expire(&mut self, now: Millis) -> Vec<Event> {
+    pub fn expire_attempts(&mut self, now: Millis) -> Vec<Event> {
         self.void_where(Reason::Deadline, |deadline, phase| {
             phase != Phase::Sent && deadline <= now
         })
@@ -67,7 +67,7 @@
     ///
     /// Own attempts whose intent hasn't been read back are lost: the window before it may hold
     /// records that were trimmed unread.
-    pub fn trimmed(&mut self, first: u64) -> Vec<Event> {
+    pub fn handle_trim(&mut self, first: u64) -> Vec<Event> {
         if first <= self.next {
             return Vec::new();
         }
--- a/crates/ledger/src/ledger/step.rs
+++ b/crates/ledger/src/ledger/step.rs
@@ -62,7 +62,7 @@
     /// # Errors
     /// [`StepError::DeadlinePassed`] once its deadline has passed; [`StepError::NotOpen`] or
     /// [`StepError::AlreadySent`] if it was voided or sent before.
-    pub fn sent(&mut self, won: SendPermit, now: Millis) -> Result<SentAttempt, StepError> {
+    pub fn mark_sent(&mut self, won: SendPermit, now: Millis) -> Result<SentAttempt, StepError> {
         let step = "send";
         let attempt = won.attempt;
         let own = self.own_mut(step, &attempt)?;
@@ -80,7 +80,7 @@
         Ok(SentAttempt { attempt })
     }
 
-    /// Ends an attempt that was sent. Gives the record to append; it stays [owed](Ledger::owed).
+    /// Ends an attempt that was sent. Gives the record to append; it stays [owed](Ledger::pending_records).
     ///
     /// # Errors
     /// [`StepError::NotOpen`] if it has an outcome already.
@@ -101,11 +101,11 @@
     }
 
     /// Takes back a send that failed before a byte left, by the transport's proof. The attempt is
-    /// void from then on, as by [`void`](Ledger::void).
+    /// void from then on, as by [`abandon`](Ledger::abandon).
     ///
     /// # Errors
     /// [`StepError::NotOpen`] if it has an outcome already.
-    pub fn unsent(&mut self, sent: SentAttempt) -> Result<NotRunProof, StepError> {
+    pub fn revert_send(&mut self, sent: SentAttempt) -> Result<NotRunProof, StepError> {
         let attempt = sent.attempt;
         let known = self.own.contains_key(&attempt);
         ensure!(
@@ -120,11 +120,11 @@
     }
 
     /// Gives up an attempt that was not sent: it never will be. Its intent, if it is in the
-    /// stream now or turns up later, is abandoned by an [owed](Ledger::owed) record.
+    /// stream now or turns up later, is abandoned by an [owed](Ledger::pending_records) record.
     ///
     /// # Errors
     /// [`StepError::AlreadySent`] if it was sent; [`StepError::NotOpen`] if it has ended.
-    pub fn void(&mut self, attempt: &Attempt) -> Result<NotRunProof, StepError> {
+    pub fn abandon(&mut self, attempt: &Attempt) -> Result<NotRunProof, StepError> {
         self.own_mut("void", attempt)?;
         self.drop_own(attempt);
         Ok(NotRunProof {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -5,8 +5,8 @@
 //! is involved: a side that was paused still owns what it won, and nobody else can have won it.
 //!
 //! Nothing here does I/O or reads a clock. The side that drives it appends what
-//! [`Ledger::admit`] and [`Ledger::owed`] give, and passes each record of the stream, in order, to
-//! [`Ledger::read`]. Lost append replies need no care: what counts is what is read back.
+//! [`Ledger::admit`] and [`Ledger::pending_records`] give, and passes each record of the stream, in order, to
+//! [`Ledger::apply`]. Lost append replies need no care: what counts is what is read back.
 //!
 //! ```
 //! use pumicecleat_ledger::{
@@ -25,15 +25,15 @@
 //!
 //! // The driver appends the intent, in a batch with others, and reads it back.
 //! let data = Record::encode_batch(&[Record::Intent(intent)]);
-//! let events = ledger.read(&LogRecord { offset: 0, at: 1_004, data });
+//! let events = ledger.apply(&LogRecord { offset: 0, at: 1_004, data });
 //! let [Event::Won(won)] = &events[..] else { panic!("it was first") };
 //!
 //! // Just before the first byte goes to the upstream:
-//! let sent = ledger.sent(won.clone(), Millis(1_005)).unwrap();
+//! let sent = ledger.mark_sent(won.clone(), Millis(1_005)).unwrap();
 //! let response = RecordedResponse::new(201, Vec::new(), b"held", 4_096);
 //! let record = ledger.finish(sent, Outcome::Response(response.clone())).unwrap().clone();
 //! let data = Record::encode_batch(&[record]);
-//! ledger.read(&LogRecord { offset: 1, at: 1_050, data });
+//! ledger.apply(&LogRecord { offset: 1, at: 1_050, data });
 //!
 //! // A repeat gets the recorded answer, from this side or any other.
 //! let again = Call { now: Millis(2_000), deadline: Millis(7_000), ..call };
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -57,7 +57,7 @@
 
     /// How far ahead the time in a key may be.
     #[must_use]
-    pub fn ahead(&self) -> Millis {
+    pub fn max_ahead(&self) -> Millis {
         self.ahead
     }
 
--- a/crates/ledger/tests/decisions.rs
+++ b/crates/ledger/tests/decisions.rs
@@ -197,7 +197,7 @@
     let cases = [same_body_cases(), other_body_cases(), later_cases()];
     for case in cases.into_iter().flatten() {
         let mut ledger = ledger(0, 1);
-        ledger.read(&append(0, START, &case.records));
+        ledger.apply(&append(0, START, &case.records));
         let decision = decide(&mut ledger, &call(&key(), case.body, case.now));
         assert_eq!(decision, case.decision, "{}", case.name);
     }
@@ -324,7 +324,7 @@
         let attempt = intent.attempt.clone();
         let mut batch: Vec<Record> = case.before.iter().map(|r| rekey(r, &key)).collect();
         batch.push(Record::Intent(intent));
-        let events = ledger.read(&append(0, case.at, &batch));
+        let events = ledger.apply(&append(0, case.at, &batch));
         match (&events[..], case.loss) {
             ([Event::Won(won)], None) => assert_eq!(*won.attempt(), attempt, "{}", case.name),
             ([Event::Lost { verdict, .. }], Some(loss)) => {
@@ -333,13 +333,13 @@
             (events, loss) => panic!("{}: {events:?}, expected {loss:?}", case.name),
         }
         assert_eq!(
-            ledger.owed().count(),
+            ledger.pending_records().count(),
             usize::from(case.owed),
             "{}",
             case.name
         );
         assert!(
-            ledger.read(&append(0, case.at, &batch)).is_empty(),
+            ledger.apply(&append(0, case.at, &batch)).is_empty(),
             "{}",
             case.name
         );
@@ -348,8 +348,8 @@
 
 fn won(ledger: &mut Ledger) -> SendPermit {
     let intent = claimed(ledger, &key());
-    let offset = ledger.next();
-    let events = ledger.read(&append(offset, START, &[Record::Intent(intent)]));
+    let offset = ledger.next_offset();
+    let events = ledger.apply(&append(offset, START, &[Record::Intent(intent)]));
     match events.into_iter().next() {
         Some(Event::Won(won)) => won,
         other => panic!("{other:?}"),
@@ -360,21 +360,21 @@
 fn a_win_is_sent_once() {
     let mut ledger = ledger(0, 0);
     let won = won(&mut ledger);
-    let sent = ledger.sent(won.clone(), Millis(START)).unwrap();
-    let again = ledger.sent(won.clone(), Millis(START));
+    let sent = ledger.mark_sent(won.clone(), Millis(START)).unwrap();
+    let again = ledger.mark_sent(won.clone(), Millis(START));
     assert!(matches!(again, Err(StepError::AlreadySent { .. })));
     assert!(matches!(
-        ledger.void(won.attempt()),
+        ledger.abandon(won.attempt()),
         Err(StepError::AlreadySent { .. })
     ));
-    assert!(ledger.expire(Millis(START + WINDOW)).is_empty());
+    assert!(ledger.expire_attempts(Millis(START + WINDOW)).is_empty());
     ledger.finish(sent.clone(), answer()).unwrap();
     assert!(matches!(
         ledger.finish(sent, answer()),
         Err(StepError::NotOpen { .. })
     ));
     assert!(matches!(
-        ledger.void(won.attempt()),
+        ledger.abandon(won.attempt()),
         Err(StepError::NotOpen { .. })
     ));
 }
@@ -383,14 +383,19 @@
 fn a_late_win_is_void() {
     let mut ledger = ledger(0, 0);
     let won = won(&mut ledger);
-    let late = ledger.sent(won.clone(), Millis(START + WAIT)).unwrap_err();
+    let late = ledger
+        .mark_sent(won.clone(), Millis(START + WAIT))
+        .unwrap_err();
     assert_eq!(
         late.to_string(),
         "step send, attempt a#2/0: deadline 1000500 ms has passed"
     );
-    assert_eq!(ledger.owed().collect::<Vec<_>>(), [&abandon(won.attempt())]);
+    assert_eq!(
+        ledger.pending_records().collect::<Vec<_>>(),
+        [&abandon(won.attempt())]
+    );
     assert!(matches!(
-        ledger.sent(won, Millis(START)),
+        ledger.mark_sent(won, Millis(START)),
         Err(StepError::NotOpen { .. })
     ));
 }
@@ -400,17 +405,20 @@
     let mut ledger = ledger(0, 0);
     let intent = claimed(&mut ledger, &key());
     let attempt = intent.attempt.clone();
-    let not_run = ledger.void(&attempt).unwrap();
+    let not_run = ledger.abandon(&attempt).unwrap();
     assert_eq!(*not_run.attempt(), attempt);
-    assert_eq!(ledger.owed().count(), 0);
+    assert_eq!(ledger.pending_records().count(), 0);
     assert!(
         ledger
-            .read(&append(0, START, &[Record::Intent(intent)]))
+            .apply(&append(0, START, &[Record::Intent(intent)]))
             .is_empty()
     );
-    assert_eq!(ledger.owed().collect::<Vec<_>>(), [&abandon(&attempt)]);
-    ledger.read(&append(1, START, &[abandon(&attempt)]));
-    assert_eq!(ledger.owed().count(), 0);
+    assert_eq!(
+        ledger.pending_records().collect::<Vec<_>>(),
+        [&abandon(&attempt)]
+    );
+    ledger.apply(&append(1, START, &[abandon(&attempt)]));
+    assert_eq!(ledger.pending_records().count(), 0);
     assert_eq!(
         decide(&mut ledger, &call(&key(), BODY, START)),
         Decision::Claim
@@ -421,11 +429,11 @@
 fn an_outcome_is_owed_until_it_is_read_back() {
     let mut ledger = ledger(0, 0);
     let won = won(&mut ledger);
-    let sent = ledger.sent(won, Millis(START)).unwrap();
+    let sent = ledger.mark_sent(won, Millis(START)).unwrap();
     let record = ledger.finish(sent, answer()).unwrap().clone();
-    assert_eq!(ledger.owed().collect::<Vec<_>>(), [&record]);
-    ledger.read(&append(1, START, &[record]));
-    assert_eq!(ledger.owed().count(), 0);
+    assert_eq!(ledger.pending_records().collect::<Vec<_>>(), [&record]);
+    ledger.apply(&append(1, START, &[record]));
+    assert_eq!(ledger.pending_records().count(), 0);
     let again = decide(&mut ledger, &call(&key(), BODY, START + 1));
     assert_eq!(again, Decision::Replay(answer()));
 }
@@ -435,12 +443,12 @@
     let mut ledger = ledger(0, 0);
     let other = attempt("b", 1);
     let later = START + WINDOW;
-    ledger.read(&append(0, START, &[intent(&other)]));
-    ledger.read(&append(1, later, &[done(&other, answer())]));
-    ledger.read(&append(2, START + WINDOW + AHEAD, &[]));
+    ledger.apply(&append(0, START, &[intent(&other)]));
+    ledger.apply(&append(1, later, &[done(&other, answer())]));
+    ledger.apply(&append(2, START + WINDOW + AHEAD, &[]));
     let kept = decide(&mut ledger, &call(&key(), BODY, START + WINDOW + AHEAD));
     assert_eq!(kept, Decision::Replay(answer()));
-    ledger.read(&append(3, later + WINDOW + AHEAD, &[]));
+    ledger.apply(&append(3, later + WINDOW + AHEAD, &[]));
     assert_eq!(ledger.dump().marks, 0);
 }
 
@@ -450,7 +458,7 @@
     for offset in 3..5 {
         let early = decide(&mut ledger, &call(&key(), BODY, START));
         assert_eq!(early, Decision::Refuse(Reason::LogDown));
-        ledger.read(&append(offset, START, &[]));
+        ledger.apply(&append(offset, START, &[]));
     }
     assert_eq!(
         decide(&mut ledger, &call(&key(), BODY, START)),
@@ -461,13 +469,13 @@
 #[test]
 fn a_fast_clock_forgets_nothing() {
     let mut ledger = ledger(0, 0);
-    ledger.read(&append(0, START, &[intent(&attempt("b", 1))]));
+    ledger.apply(&append(0, START, &[intent(&attempt("b", 1))]));
     let now = START + 2 * WINDOW;
     let key = key();
     let Admission::Claim(intent) = ledger.admit(&call(&key, BODY, now)) else {
         panic!("by its own clock the key is free");
     };
-    let events = ledger.read(&append(1, START + 1, &[Record::Intent(intent)]));
+    let events = ledger.apply(&append(1, START + 1, &[Record::Intent(intent)]));
     assert!(matches!(
         &events[..],
         [Event::Lost {
@@ -488,13 +496,13 @@
         data: vec![0xc1],
     };
     assert_eq!(
-        ledger.read(&garbage),
+        ledger.apply(&garbage),
         [Event::Unreadable {
             offset: 0,
             bytes: 1
         }]
     );
-    let events = ledger.read(&append(1, START, &[Record::Intent(first)]));
+    let events = ledger.apply(&append(1, START, &[Record::Intent(first)]));
     assert!(matches!(
         &events[..],
         [Event::Lost {
@@ -515,7 +523,7 @@
 fn what_waits_over_a_gap_is_lost() {
     let mut ledger = ledger(0, 0);
     let intent = claimed(&mut ledger, &key());
-    let events = ledger.read(&append(7, START, &[Record::Intent(intent)]));
+    let events = ledger.apply(&append(7, START, &[Record::Intent(intent)]));
     assert!(matches!(
         &events[..],
         [Event::Lost {
@@ -523,20 +531,20 @@
             ..
         }]
     ));
-    assert_eq!(ledger.owed().count(), 1);
-    assert_eq!(ledger.next(), 8);
+    assert_eq!(ledger.pending_records().count(), 1);
+    assert_eq!(ledger.next_offset(), 8);
 }
 
 #[test]
 fn forgetting_gives_the_bytes_back() {
     let mut ledger = ledger(0, 0);
-    let empty = ledger.size();
+    let empty = ledger.memory_bytes();
     let other = attempt("b", 1);
-    ledger.read(&append(0, START, &[intent(&other), done(&other, answer())]));
-    assert!(ledger.size() > empty);
+    ledger.apply(&append(0, START, &[intent(&other), done(&other, answer())]));
+    assert!(ledger.memory_bytes() > empty);
     assert_eq!(ledger.dump().keys, 1);
-    ledger.read(&append(1, START + WINDOW + AHEAD, &[]));
-    assert_eq!(ledger.size(), empty);
+    ledger.apply(&append(1, START + WINDOW + AHEAD, &[]));
+    assert_eq!(ledger.memory_bytes(), empty);
     assert_eq!(ledger.dump().keys, 0);
 }
 
@@ -544,7 +552,7 @@
 fn the_dump_names_attempts_under_way() {
     let mut ledger = ledger(0, 0);
     let won = won(&mut ledger);
-    let sent = ledger.sent(won, Millis(START)).unwrap();
+    let sent = ledger.mark_sent(won, Millis(START)).unwrap();
     let dump = ledger.dump();
     assert_eq!(dump.own[0].phase, "sent");
     assert_eq!(dump.own[0].attempt, *sent.attempt());
--- a/crates/ledger/tests/differential/main.rs
+++ b/crates/ledger/tests/differential/main.rs
@@ -26,7 +26,7 @@
 
 fn read_all(data: Vec<u8>) -> Ledger {
     let mut ledger = side();
-    ledger.read(&LogRecord {
+    ledger.apply(&LogRecord {
         offset: 0,
         at: 1,
         data,
@@ -47,7 +47,7 @@
 
     #[test]
     fn any_bytes_are_read_without_panic(data in prop::collection::vec(any::<u8>(), 0..BYTES)) {
-        prop_assert_eq!(read_all(data).next(), 1);
+        prop_assert_eq!(read_all(data).next_offset(), 1);
     }
 
     #[test]
@@ -55,7 +55,7 @@
         let mut data = Record::encode_batch(&records);
         let at = at.index(data.len());
         data[at] = byte;
-        prop_assert_eq!(read_all(data).next(), 1);
+        prop_assert_eq!(read_all(data).next_offset(), 1);
     }
 
     #[test]
--- a/crates/ledger/tests/differential/trace.rs
+++ b/crates/ledger/tests/differential/trace.rs
@@ -162,8 +162,8 @@
     }
 
     fn compare(&self) -> Checked {
-        prop_assert_eq!(self.real.next(), self.naive.next);
-        let real: Vec<&Record> = self.real.owed().collect();
+        prop_assert_eq!(self.real.next_offset(), self.naive.next);
+        let real: Vec<&Record> = self.real.pending_records().collect();
         let mut naive: Vec<&Record> = self.naive.owed.iter().collect();
         naive.sort_by_key(|r| r.attempt());
         prop_assert_eq!(real, naive);
@@ -225,7 +225,7 @@
 
     fn append_own(&mut self, ago: u64) {
         let mut records = std::mem::take(&mut self.pending);
-        records.extend(self.real.owed().cloned());
+        records.extend(self.real.pending_records().cloned());
         self.append(&records, ago);
     }
 
@@ -245,7 +245,7 @@
     }
 
     fn read(&mut self) -> Checked {
-        let next = usize::try_from(self.real.next()).unwrap();
+        let next = usize::try_from(self.real.next_offset()).unwrap();
         match self.log.get(next).cloned() {
             Some(record) => self.deliver(&record),
             None => Ok(()),
@@ -255,29 +255,29 @@
     fn again(&mut self, pick: usize) -> Checked {
         let record = self.log.get(pick).cloned();
         match record {
-            Some(record) if record.offset < self.real.next() => self.deliver(&record),
+            Some(record) if record.offset < self.real.next_offset() => self.deliver(&record),
             _ => Ok(()),
         }
     }
 
     fn deliver(&mut self, record: &LogRecord) -> Checked {
-        let real = self.real.read(record);
+        let real = self.real.apply(record);
         let naive = self.naive.read(record);
         self.meet(real, &naive)
     }
 
     fn trim(&mut self, count: u8) -> Checked {
-        let first = self.real.next() + u64::from(count);
+        let first = self.real.next_offset() + u64::from(count);
         if first > self.log.len() as u64 {
             return Ok(());
         }
-        let real = self.real.trimmed(first);
+        let real = self.real.handle_trim(first);
         let naive = self.naive.trimmed(first);
         self.meet(real, &naive)
     }
 
     fn expire(&mut self) -> Checked {
-        let real = self.real.expire(Millis(self.now));
+        let real = self.real.expire_attempts(Millis(self.now));
         let naive = self.naive.expire(self.now);
         self.meet(real, &naive)
     }
@@ -298,7 +298,7 @@
             return Ok(());
         };
         let attempt = won.attempt().clone();
-        let real = self.real.sent(won, Millis(self.now));
+        let real = self.real.mark_sent(won, Millis(self.now));
         let own = self
             .naive
             .own
@@ -341,7 +341,7 @@
         let Some(attempt) = self.intents.get(pick).map(|r| r.attempt().clone()) else {
             return Ok(());
         };
-        let real = self.real.void(&attempt);
+        let real = self.real.abandon(&attempt);
         let own = self.naive.own.iter().find(|o| o.intent.attempt == attempt);
         match (real, own) {
             (Ok(_), Some(own)) => {
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -228,14 +228,18 @@
 /// A part is for ever: another hash would forget the keys in use.
 #[test]
 fn parts_of_keys() {
-    let part = |c: &PartCase| Key::parse(&c.caller.into(), c.text).unwrap().part(c.parts);
+    let part = |c: &PartCase| {
+        Key::parse(&c.caller.into(), c.text)
+            .unwrap()
+            .partition(c.parts)
+    };
     let found: Vec<u32> = PARTS.iter().map(part).collect();
     let want: Vec<u32> = PARTS.iter().map(|c| c.part).collect();
     assert_eq!(found, want);
     let mut counts = [0_u32; 16];
     for n in 0..16_000 {
         let key = Key::parse(&caller(), &format!("seat-{n}")).unwrap();
-        counts[key.part(16) as usize] += 1;
+        counts[key.partition(16) as usize] += 1;
     }
     assert!(
         counts.iter().all(|c| (800..1_200).contains(c)),
--- a/crates/ledger/tests/model/moves.rs
+++ b/crates/ledger/tests/model/moves.rs
@@ -94,7 +94,7 @@
             return false;
         };
         let s = &self.sides[side];
-        let read = s.ledger.next() >= self.log.end();
+        let read = s.ledger.next_offset() >= self.log.end();
         read && !s.is_pending(attempt) && !s.won.contains_key(&call)
     }
 
@@ -123,7 +123,7 @@
                 moves.push(Move::Cut { side });
             }
         }
-        if self.log.up && s.ledger.next() < self.log.end() {
+        if self.log.up && s.ledger.next_offset() < self.log.end() {
             moves.push(Move::Read { side });
         }
     }
@@ -310,11 +310,11 @@
     }
 
     fn read(&mut self, side: usize) {
-        let next = self.sides[side].ledger.next();
+        let next = self.sides[side].ledger.next_offset();
         let Some(record) = self.log.after(next) else {
             return self.skip(side);
         };
-        for event in self.side(side).ledger.read(&record) {
+        for event in self.side(side).ledger.apply(&record) {
             self.meet(side, event);
         }
         if self.slips(Slip::ResendOpen) {
@@ -325,7 +325,7 @@
     // Nothing is kept of what this side has yet to read.
     fn skip(&mut self, side: usize) {
         let first = self.log.first as u64;
-        for event in self.side(side).ledger.trimmed(first) {
+        for event in self.side(side).ledger.handle_trim(first) {
             self.meet(side, event);
         }
     }
@@ -364,7 +364,7 @@
         assert!(self.slips(Slip::DenyOnCut));
         let attempt = won.attempt().clone();
         let now = Millis(self.clock);
-        if self.side(side).ledger.sent(won, now).is_ok() {
+        if self.side(side).ledger.mark_sent(won, now).is_ok() {
             self.affect(call, attempt);
         }
     }
@@ -380,7 +380,7 @@
             return;
         };
         let attempt = won.attempt().clone();
-        match s.ledger.sent(won, now) {
+        match s.ledger.mark_sent(won, now) {
             Ok(sent) => {
                 s.sent.insert(call, sent);
                 self.affect(call, attempt);
@@ -402,9 +402,9 @@
             return;
         };
         let attempt = won.attempt().clone();
-        match s.ledger.sent(won, now) {
+        match s.ledger.mark_sent(won, now) {
             Ok(sent) => {
-                s.ledger.unsent(sent).unwrap();
+                s.ledger.revert_send(sent).unwrap();
             }
             Err(StepError::DeadlinePassed { .. }) => {}
             Err(e) => panic!("{e}"),
@@ -466,7 +466,7 @@
         };
         let attempt = attempt.clone();
         let s = self.side(side);
-        let not_run = s.ledger.void(&attempt);
+        let not_run = s.ledger.abandon(&attempt);
         s.won.remove(&call);
         s.outbox.retain(|r| *r.attempt() != attempt);
         assert!(not_run.is_ok() || self.slips(Slip::DenySent));
--- a/crates/ledger/tests/model/parts.rs
+++ b/crates/ledger/tests/model/parts.rs
@@ -11,9 +11,9 @@
     /// Whether a side may stop following the stream.
     pub fn may_close(&self, side: usize) -> bool {
         let s = &self.sides[side];
-        let end = self.log.up && s.ledger.next() >= self.log.end();
+        let end = self.log.up && s.ledger.next_offset() >= self.log.end();
         let rests =
-            (end || self.slips(Slip::CloseUnread)) && s.outbox.is_empty() && s.ledger.is_settled();
+            (end || self.slips(Slip::CloseUnread)) && s.outbox.is_empty() && s.ledger.is_idle();
         let owes = s.outbox.is_empty() && !self.is_asked(side) && self.slips(Slip::CloseOwing);
         self.budget.closes > 0 && (rests || owes || self.slips(Slip::CloseBusy))
     }
--- a/crates/ledger/tests/model/side.rs
+++ b/crates/ledger/tests/model/side.rs
@@ -45,8 +45,8 @@
     /// What the next append would carry.
     pub fn batch(&self, with_owed: bool) -> Batch {
         let mut batch = self.outbox.clone();
-        if with_owed && self.ledger.next() >= self.landed {
-            batch.extend(self.ledger.owed().cloned());
+        if with_owed && self.ledger.next_offset() >= self.landed {
+            batch.extend(self.ledger.pending_records().cloned());
         }
         Rc::new(batch)
     }
@@ -59,6 +59,6 @@
     }
 
     pub fn owes(&self) -> bool {
-        self.ledger.owed().next().is_some()
+        self.ledger.pending_records().next().is_some()
     }
 }
--- a/crates/measure/src/slopes/keys.rs
+++ b/crates/measure/src/slopes/keys.rs
@@ -50,7 +50,7 @@
         let mut offset = u64::from(keys);
         let reading = cost(CALLS, |n| {
             let data = Record::encode_batch(&pair(keys + n));
-            ledger.read(&LogRecord {
+            ledger.apply(&LogRecord {
                 offset,
                 at: NOW.0,
                 data,
@@ -106,7 +106,7 @@
     let mut ledger = Ledger::new(owner, limits, OffsetRange { first: 0, end: 0 });
     for (offset, n) in (0..).zip(calls) {
         let data = Record::encode_batch(&pair(n));
-        ledger.read(&LogRecord {
+        ledger.apply(&LogRecord {
             offset,
             at: NOW.0,
             data,
--- a/crates/measure/src/slopes/split.rs
+++ b/crates/measure/src/slopes/split.rs
@@ -72,7 +72,7 @@
         let router = sides();
         let mut loads: BTreeMap<u32, BTreeMap<u32, Vec<u32>>> = BTreeMap::new();
         for n in 0..calls * WINDOW_S {
-            let part = key(n).part(parts);
+            let part = key(n).partition(parts);
             let side = home(&router, part);
             let load = loads.entry(side).or_default();
             load.entry(part).or_default().push(n);
--- a/crates/side/src/keys/claim.rs
+++ b/crates/side/src/keys/claim.rs
@@ -105,7 +105,7 @@
 
     /// Makes the attempt impossible before it is told as not run.
     fn void(&self, attempt: &Attempt, decided: &Receiver<Event>) -> Claim {
-        let voided = self.state.ledger.borrow_mut().void(attempt);
+        let voided = self.state.ledger.borrow_mut().abandon(attempt);
         self.wake();
         match (voided, decided.try_recv()) {
             (Ok(_), _) => Claim::Refused(Reason::LogDown),
--- a/crates/side/src/keys/mod.rs
+++ b/crates/side/src/keys/mod.rs
@@ -153,7 +153,7 @@
     /// # Errors
     /// Why the call is not run, if that takes too much of the time `left`.
     pub(crate) async fn hold(&self, key: &Key, left: Millis) -> Result<Hold, Reason> {
-        let at = key.part(self.state.parts);
+        let at = key.partition(self.state.parts);
         if let Some(hold) = self.try_hold(at)
             && (self.state.parts == 1 || hold.caught_up())
         {
--- a/crates/side/src/keys/part.rs
+++ b/crates/side/src/keys/part.rs
@@ -118,7 +118,7 @@
     /// Whether no own attempt is under way and the stream lacks nothing.
     pub(super) fn is_settled(&self) -> bool {
         let ledger = self.state.ledger.borrow();
-        ledger.is_settled()
+        ledger.is_idle()
     }
 
     /// Ends its tasks, and gives the last incarnation that it used.
@@ -143,19 +143,24 @@
 
     /// Notes that a call goes to the service now.
     pub(crate) fn sent(&self, won: SendPermit) -> Result<SentAttempt, StepError> {
-        self.state.ledger.borrow_mut().sent(won, wall_clock())
+        self.state.ledger.borrow_mut().mark_sent(won, wall_clock())
     }
 
     /// Takes back a call that failed before a byte left; `true` if it may be told as not run.
     pub(crate) fn unsent(&self, sent: SentAttempt) -> bool {
-        let taken = self.state.ledger.borrow_mut().unsent(sent).is_ok();
+        let taken = self.state.ledger.borrow_mut().revert_send(sent).is_ok();
         self.wake();
         taken
     }
 
     /// Gives up a call that was not sent; `true` if it may be told as not run.
     pub(crate) fn withdraw(&self, won: &SendPermit) -> bool {
-        let voided = self.state.ledger.borrow_mut().void(won.attempt()).is_ok();
+        let voided = self
+            .state
+            .ledger
+            .borrow_mut()
+            .abandon(won.attempt())
+            .is_ok();
         self.wake();
         voided
     }
--- a/crates/side/src/keys/reader.rs
+++ b/crates/side/src/keys/reader.rs
@@ -88,7 +88,7 @@
     }
 
     fn expire(&self) {
-        let due = self.state.ledger.borrow_mut().expire(wall_clock());
+        let due = self.state.ledger.borrow_mut().expire_attempts(wall_clock());
         self.tell(due);
     }
 
@@ -138,11 +138,11 @@
     fn skip_trimmed(&self, first: u64) {
         let fields = [
             field("stream", &self.state.stream),
-            field("wanted", self.state.ledger.borrow().next()),
+            field("wanted", self.state.ledger.borrow().next_offset()),
             field("first", first),
         ];
         self.state.events.emit(&events::RECORDS_TRIMMED, &fields);
-        let lost = self.state.ledger.borrow_mut().trimmed(first);
+        let lost = self.state.ledger.borrow_mut().handle_trim(first);
         self.tell(lost);
     }
 
@@ -180,7 +180,7 @@
         self.note_up();
         self.state.at_end.set(false);
         for record in records {
-            let events = self.state.ledger.borrow_mut().read(record);
+            let events = self.state.ledger.borrow_mut().apply(record);
             self.tell(events);
         }
         // What is owed may have become due, or have been read back.
--- a/crates/side/src/keys/writer.rs
+++ b/crates/side/src/keys/writer.rs
@@ -39,7 +39,7 @@
         let ledger = self.state.ledger.borrow();
         let now = self.state.timer.now();
         let mut kept = Appended::new();
-        for record in ledger.owed() {
+        for record in ledger.pending_records() {
             let attempt = record.attempt();
             let last = appended.get(attempt).copied();
             let due = last.is_none_or(|at| now.since(at) >= AGAIN);
