--- a/crates/ledger/src/ledger/dump.rs
+++ b/crates/ledger/src/ledger/dump.rs
@@ -18,23 +18,28 @@
     /// Spans.
     pub limits: Limits,
     /// Offset to read from.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_offset: u64,
     /// Whether it has read all that stood in the stream at its start.
     pub caught_up: bool,
     /// Latest time in the stream, milliseconds since 1970.
     pub clock: Millis,
     /// No call wins before this time, as a record could not be read.
-    pub blind: Millis,
+    #[serde(rename = "blind")]
+    pub blocked_until: Millis,
     /// Keys within the window.
     pub keys: usize,
     /// Attempts within the window.
-    pub marks: usize,
+    #[serde(rename = "marks")]
+    pub attempts: usize,
     /// Records that the stream still lacks.
-    pub owed: usize,
+    #[serde(rename = "owed")]
+    pub pending_records: usize,
     /// Bytes held, about.
     pub bytes: usize,
     /// Own attempts under way.
-    pub own: Vec<AttemptDump>,
+    #[serde(rename = "own")]
+    pub own_attempts: Vec<AttemptDump>,
 }
 
 /// Own attempt under way.
@@ -57,19 +62,19 @@
     /// State for people.
     #[must_use]
     pub fn dump(&self) -> Dump {
-        let (keys, marks) = self.book.counts();
+        let (keys, attempts) = self.book.counts();
         Dump {
             owner: self.owner.clone(),
             limits: self.limits,
-            next: self.next,
+            next_offset: self.next,
             caught_up: self.caught_up(),
             clock: self.clock,
-            blind: self.blind,
+            blocked_until: self.blind,
             keys,
-            marks,
-            owed: self.owed.len(),
+            attempts,
+            pending_records: self.owed.len(),
             bytes: self.memory_bytes(),
-            own: self.own_dump(),
+            own_attempts: self.own_dump(),
         }
     }
 
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -11,14 +11,14 @@
     #[snafu(display("step limits: the window is zero"))]
     ZeroWindow,
     /// The log trims records while they still count.
-    #[snafu(display("step limits: window {}+{} ms, but the log keeps {} ms", window.0, ahead.0, kept.0))]
+    #[snafu(display("step limits: window {}+{} ms, but the log keeps {} ms", window.0, max_ahead.0, log_retention.0))]
     RetentionTooShort {
         /// Window asked for.
         window: Millis,
         /// Span ahead asked for.
-        ahead: Millis,
+        max_ahead: Millis,
         /// Retention of the log.
-        kept: Millis,
+        log_retention: Millis,
     },
 }
 
@@ -26,27 +26,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Limits {
     window: Millis,
-    ahead: Millis,
+    #[serde(rename = "ahead")]
+    max_ahead: Millis,
 }
 
 impl Limits {
     /// A window in which a key has one effect, and how far ahead of the log's clock the time in
-    /// a key may be, for a log that keeps records for `kept`.
+    /// a key may be, for a log that keeps records for `log_retention`.
     ///
     /// # Errors
-    /// [`LimitError`] if the window is zero, or window and `ahead` together reach `kept`.
-    pub fn new(window: Millis, ahead: Millis, kept: Millis) -> Result<Self, LimitError> {
+    /// [`LimitError`] if the window is zero, or window and `max_ahead` together reach `log_retention`.
+    pub fn new(
+        window: Millis,
+        max_ahead: Millis,
+        log_retention: Millis,
+    ) -> Result<Self, LimitError> {
         ensure!(window > Millis(0), ZeroWindowSnafu);
-        let fits = window + ahead < kept;
+        let fits = window + max_ahead < log_retention;
         ensure!(
             fits,
             RetentionTooShortSnafu {
                 window,
-                ahead,
-                kept
+                max_ahead,
+                log_retention
             }
         );
-        Ok(Self { window, ahead })
+        Ok(Self { window, max_ahead })
     }
 
     /// Window from a key's first record on.
@@ -58,13 +63,13 @@
     /// How far ahead the time in a key may be.
     #[must_use]
     pub fn max_ahead(&self) -> Millis {
-        self.ahead
+        self.max_ahead
     }
 
-    /// How long a record counts. By `ahead` longer than the window, so that a key whose time is
+    /// How long a record counts. By `max_ahead` longer than the window, so that a key whose time is
     /// ahead has grown too old before its records are forgotten.
     pub(crate) fn keep(&self) -> Millis {
-        self.window + self.ahead
+        self.window + self.max_ahead
     }
 
     /// How long after its claim an attempt may still be sent: well before its record is forgotten.
--- a/crates/ledger/tests/decisions.rs
+++ b/crates/ledger/tests/decisions.rs
@@ -449,7 +449,7 @@
     let kept = decide(&mut ledger, &call(&key(), BODY, START + WINDOW + AHEAD));
     assert_eq!(kept, Decision::Replay(answer()));
     ledger.apply(&append(3, later + WINDOW + AHEAD, &[]));
-    assert_eq!(ledger.dump().marks, 0);
+    assert_eq!(ledger.dump().attempts, 0);
 }
 
 #[test]
@@ -554,9 +554,9 @@
     let won = won(&mut ledger);
     let sent = ledger.mark_sent(won, Millis(START)).unwrap();
     let dump = ledger.dump();
-    assert_eq!(dump.own[0].phase, "sent");
-    assert_eq!(dump.own[0].attempt, *sent.attempt());
-    assert_eq!(dump.own[0].attempt.to_string(), "a#2/0");
-    assert_eq!(dump.own[0].key.to_string(), "c/k");
+    assert_eq!(dump.own_attempts[0].phase, "sent");
+    assert_eq!(dump.own_attempts[0].attempt, *sent.attempt());
+    assert_eq!(dump.own_attempts[0].attempt.to_string(), "a#2/0");
+    assert_eq!(dump.own_attempts[0].key.to_string(), "c/k");
     assert!(!pumicecleat_types::encode(&dump).is_empty());
 }
--- a/crates/ledger/tests/differential/trace.rs
+++ b/crates/ledger/tests/differential/trace.rs
@@ -167,7 +167,7 @@
         let mut naive: Vec<&Record> = self.naive.owed.iter().collect();
         naive.sort_by_key(|r| r.attempt());
         prop_assert_eq!(real, naive);
-        let own = self.real.dump().own;
+        let own = self.real.dump().own_attempts;
         prop_assert_eq!(own.len(), self.naive.own.len());
         Ok(())
     }
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -111,8 +111,8 @@
         kept: 110,
         error: Some(LimitError::RetentionTooShort {
             window: Millis(100),
-            ahead: Millis(10),
-            kept: Millis(110),
+            max_ahead: Millis(10),
+            log_retention: Millis(110),
         }),
     },
     LimitCase {
@@ -121,8 +121,8 @@
         kept: u64::MAX,
         error: Some(LimitError::RetentionTooShort {
             window: Millis(u64::MAX),
-            ahead: Millis(1),
-            kept: Millis(u64::MAX),
+            max_ahead: Millis(1),
+            log_retention: Millis(u64::MAX),
         }),
     },
 ];
