--- a/crates/ledger/src/digest.rs
+++ b/crates/ledger/src/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 of what a call asks for, so that a key can't be used for two different calls.
+//! SHA-256 digests of requests, so that a key can't be used for two different calls.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 
 const LEN: usize = 32;
 
-/// SHA-256.
+/// SHA-256 digest.
 #[serde_as]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
@@ -21,7 +21,7 @@
         Self(Sha256::digest(bytes).into())
     }
 
-    /// Digest of a whole call: method, path with query, and body, each with its length.
+    /// Digest of a request: method, path with query, and body, each prefixed with its length.
     #[must_use]
     pub fn of_call(method: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -1,6 +1,6 @@
-//! Idempotency keys, one name space per caller.
+//! Idempotency keys, with a namespace per caller.
 //!
-//! A key that reads as a UUIDv7 carries its own time; any other text is opaque.
+//! A UUIDv7 key contains its creation time; any other text is opaque.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,41 +11,46 @@
 use snafu::{Snafu, ensure};
 use uuid::Uuid;
 
-/// Longest text of a key, bytes.
+/// Maximum length of a key.
 pub const MAX_KEY_BYTES: usize = 255;
 
-const TIMED_VERSION: usize = 7;
+/// UUID version with a Unix timestamp.
+const TIMESTAMP_VERSION: usize = 7;
 
-/// Text that can't be a key.
+/// Text that is not a valid key.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum KeyError {
-    /// Nothing between the quotes, or nothing at all.
-    #[snafu(display("step key, caller {caller}: empty"))]
+    /// The text is empty, or only a pair of quotes.
+    #[snafu(display("idempotency key of caller {caller} is empty"))]
     Empty {
         /// Caller.
         caller: CallerId,
     },
-    /// Too long.
-    #[snafu(display("step key, caller {caller}: {bytes} bytes, at most {MAX_KEY_BYTES}"))]
+    /// The text is too long.
+    #[snafu(display(
+        "idempotency key of caller {caller} has {bytes} bytes, at most {MAX_KEY_BYTES} are allowed"
+    ))]
     TooLong {
         /// Caller.
         caller: CallerId,
-        /// Length found, bytes.
+        /// Length of the text in bytes.
         bytes: usize,
     },
-    /// A character that is neither a visible ASCII one nor allowed.
-    #[snafu(display("step key, caller {caller}: character {found:?}"))]
+    /// The text contains a character other than visible ASCII, or a double quote.
+    #[snafu(display(
+        "idempotency key of caller {caller} contains {found:?}, which is not allowed"
+    ))]
     InvalidCharacter {
         /// Caller.
         caller: CallerId,
-        /// Character found.
+        /// First such character.
         found: char,
     },
 }
 
-/// Idempotency key of one caller.
+/// Idempotency key of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(try_from = "Raw", into = "Raw")]
+#[serde(try_from = "RawKey", into = "RawKey")]
 pub struct Key {
     caller: CallerId,
     text: Arc<str>,
@@ -53,12 +58,12 @@
 }
 
 impl Key {
-    /// Key from the text of a header, with or without the quotes of a structured field.
+    /// Parses the text of a header, with or without the quotes of a structured field.
     ///
     /// # Errors
     /// [`KeyError`] for a text that is empty, too long or not visible ASCII.
     pub fn parse(caller: &CallerId, text: &str) -> Result<Self, KeyError> {
-        let text = unquoted(text);
+        let text = unquote(text);
         ensure!(
             !text.is_empty(),
             EmptySnafu {
@@ -83,7 +88,7 @@
         Ok(Self {
             caller: caller.clone(),
             text: text.into(),
-            minted: minted(text),
+            minted: parse_timestamp(text),
         })
     }
 
@@ -93,19 +98,19 @@
         &self.caller
     }
 
-    /// Text, without quotes.
+    /// Text without quotes.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Time in a UUIDv7, milliseconds since 1970; `None` for an opaque key.
+    /// Creation time in a UUIDv7 key, milliseconds since 1970; `None` for an opaque key.
     #[must_use]
     pub fn minted(&self) -> Option<Millis> {
         self.minted
     }
 
-    /// The same key with another copy of its caller's name.
+    /// The same key with a shared copy of its caller's name.
     pub(crate) fn with_caller(&self, caller: CallerId) -> Self {
         Self {
             caller,
@@ -114,8 +119,10 @@
         }
     }
 
-    /// Which of `parts` parts of a service's keys it is in, from 0. The same at every process of
-    /// every version: keys would be forgotten else.
+    /// Index of the key's partition, from 0, if the service's keys are divided into `partitions`.
+    ///
+    /// The hash must be the same in all processes and versions: with another one, keys in use would
+    /// be looked up in another partition and their calls could run again.
     #[must_use]
     pub fn partition(&self, partitions: u32) -> u32 {
         let caller = self.caller.as_str();
@@ -124,13 +131,13 @@
         hash.update(caller);
         hash.update(self.text.as_bytes());
         let hash: [u8; 32] = hash.finalize().into();
-        let first = hash.first_chunk().copied().unwrap_or_default();
-        // A remainder by a `u32` is one.
-        u32::try_from(u64::from_be_bytes(first) % u64::from(partitions.max(1))).unwrap_or_default()
+        let prefix = hash.first_chunk().copied().unwrap_or_default();
+        // The remainder of a division by a `u32` fits a `u32`.
+        u32::try_from(u64::from_be_bytes(prefix) % u64::from(partitions.max(1))).unwrap_or_default()
     }
 
     /// Bytes of its text and its caller's name.
-    pub(crate) fn size(&self) -> usize {
+    pub(crate) fn heap_bytes(&self) -> usize {
         self.text.len() + self.caller.as_str().len()
     }
 }
@@ -142,20 +149,20 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Raw {
+struct RawKey {
     caller: CallerId,
     text: String,
 }
 
-impl TryFrom<Raw> for Key {
+impl TryFrom<RawKey> for Key {
     type Error = KeyError;
 
-    fn try_from(raw: Raw) -> Result<Self, KeyError> {
+    fn try_from(raw: RawKey) -> Result<Self, KeyError> {
         Self::parse(&raw.caller, &raw.text)
     }
 }
 
-impl From<Key> for Raw {
+impl From<Key> for RawKey {
     fn from(key: Key) -> Self {
         Self {
             caller: key.caller,
@@ -164,7 +171,7 @@
     }
 }
 
-fn unquoted(text: &str) -> &str {
+fn unquote(text: &str) -> &str {
     text.strip_prefix('"')
         .and_then(|t| t.strip_suffix('"'))
         .unwrap_or(text)
@@ -174,9 +181,9 @@
     c.is_ascii_graphic() && c != '"'
 }
 
-fn minted(text: &str) -> Option<Millis> {
+fn parse_timestamp(text: &str) -> Option<Millis> {
     let id = Uuid::try_parse(text).ok()?;
-    if id.get_version_num() != TIMED_VERSION {
+    if id.get_version_num() != TIMESTAMP_VERSION {
         return None;
     }
     let (secs, nanos) = id.get_timestamp()?.to_unix();
--- a/crates/ledger/src/ledger/admit.rs
+++ b/crates/ledger/src/ledger/admit.rs
@@ -1,20 +1,20 @@
-//! Admission: the answer that is known already, or a claim to append.
+//! Admission of a call: a recorded outcome, a refusal, or a claim to append.
 
 use pumicecleat_types::{Millis, Reason};
 
 use super::Ledger;
-use super::book::Finding;
-use super::own::{Own, Phase};
+use super::key_table::KeyStatus;
+use super::own_attempt::{OwnAttempt, Phase};
 use crate::{Attempt, Digest, Intent, Key, Limits, Outcome};
 
-/// A call that may not be repeated.
+/// A call that must run at most once.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
-    /// Key.
+    /// Idempotency key.
     pub key: &'a Key,
-    /// What is asked for.
+    /// Digest of the request.
     pub digest: Digest,
-    /// Now, milliseconds since 1970.
+    /// Current time, milliseconds since 1970.
     pub now: Millis,
     /// When the caller stops waiting, by the same clock.
     pub deadline: Millis,
@@ -23,11 +23,12 @@
 /// First decision on a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission<'a> {
-    /// Append this intent once, read on, and wait for the attempt's [`Event`](super::Event).
+    /// Append this intent once, keep applying records, and wait for the attempt's
+    /// [`Event`](super::Event).
     Claim(Intent),
-    /// It ran before: pass on what came of it.
+    /// The call ran before: return its outcome.
     Replay(&'a Outcome),
-    /// Not run.
+    /// The call is not run.
     Refuse(Reason),
 }
 
@@ -37,41 +38,43 @@
         if let Some(reason) = self.refusal(call) {
             return Admission::Refuse(reason);
         }
-        if self.finding(call) == Finding::Free {
+        if self.key_status(call) == KeyStatus::Free {
             return Admission::Claim(self.claim(call));
         }
-        match self.finding(call) {
-            Finding::Ran(outcome @ Outcome::Response(_)) => Admission::Replay(outcome),
-            Finding::Barred(reason) => Admission::Refuse(reason),
-            Finding::Ran(Outcome::Unknown) | Finding::Free => Admission::Refuse(Reason::KeyUnknown),
+        match self.key_status(call) {
+            KeyStatus::Done(outcome @ Outcome::Response(_)) => Admission::Replay(outcome),
+            KeyStatus::Blocked(reason) => Admission::Refuse(reason),
+            KeyStatus::Done(Outcome::Unknown) | KeyStatus::Free => {
+                Admission::Refuse(Reason::KeyUnknown)
+            }
         }
     }
 
     fn refusal(&self, call: &Call<'_>) -> Option<Reason> {
-        if !self.caught_up() || call.now < self.blind {
+        if !self.caught_up() || call.now < self.blocked_until {
             return Some(Reason::LogDown);
         }
-        if let Some(reason) = key_age(call.key, call.now, &self.limits) {
+        if let Some(reason) = check_key_time(call.key, call.now, &self.limits) {
             return Some(reason);
         }
         (call.deadline <= call.now).then_some(Reason::Deadline)
     }
 
-    fn finding(&self, call: &Call<'_>) -> Finding<'_> {
+    fn key_status(&self, call: &Call<'_>) -> KeyStatus<'_> {
         let owner = &self.owner;
-        self.book.judge(call.key, call.digest, call.now, owner)
+        self.keys.status(call.key, call.digest, call.now, owner)
     }
 
     fn claim(&mut self, call: &Call<'_>) -> Intent {
         let attempt = Attempt {
             owner: self.owner.clone(),
-            seq: self.seq,
+            seq: self.next_seq,
         };
-        self.seq += 1;
-        let own = Own {
+        self.next_seq += 1;
+        let own = OwnAttempt {
             key: call.key.clone(),
             digest: call.digest,
-            deadline: call.deadline.min(call.now + self.limits.patience()),
+            deadline: call.deadline.min(call.now + self.limits.max_send_delay()),
             phase: Phase::Waiting,
         };
         let intent = Intent {
@@ -80,13 +83,13 @@
             digest: call.digest,
             deadline: own.deadline,
         };
-        self.own.insert(attempt, own);
+        self.own_attempts.insert(attempt, own);
         intent
     }
 }
 
-/// Why the time in `key` bars it at `at`, if it does.
-pub(super) fn key_age(key: &Key, at: Millis, limits: &Limits) -> Option<Reason> {
+/// Why the time in `key` is not acceptable at `at`, if it isn't.
+pub(super) fn check_key_time(key: &Key, at: Millis, limits: &Limits) -> Option<Reason> {
     let minted = key.minted()?;
     if minted + limits.window() <= at {
         return Some(Reason::KeyExpired);
--- a/crates/ledger/src/ledger/dump.rs
+++ b/crates/ledger/src/ledger/dump.rs
@@ -1,95 +1,95 @@
-//! State for people, on request.
+//! Snapshot of a ledger's state, for operators.
 
 use pumicecleat_types::Millis;
 use serde::Serialize;
 use serde_with::{DisplayFromStr, serde_as};
 
 use super::Ledger;
-use super::own::Phase;
+use super::own_attempt::Phase;
 use crate::{Attempt, Key, Limits, Owner};
 
 /// State of a ledger.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Dump {
-    /// This side.
+    /// Owner of the ledger.
     #[serde_as(as = "DisplayFromStr")]
     pub owner: Owner,
-    /// Spans.
+    /// Time limits in force.
     pub limits: Limits,
-    /// Offset to read from.
+    /// Offset of the next record to apply.
     #[serde(rename = "next")]
     pub next_offset: u64,
-    /// Whether it has read all that stood in the stream at its start.
+    /// Whether all records that the stream held at the start have been applied.
     pub caught_up: bool,
-    /// Latest time in the stream, milliseconds since 1970.
+    /// Latest time of a record in the stream, milliseconds since 1970.
     pub clock: Millis,
-    /// No call wins before this time, as a record could not be read.
+    /// No call can win before this time, because a record could not be decoded.
     #[serde(rename = "blind")]
     pub blocked_until: Millis,
-    /// Keys within the window.
+    /// Number of keys within the window.
     pub keys: usize,
-    /// Attempts within the window.
+    /// Number of attempts within the window.
     #[serde(rename = "marks")]
     pub attempts: usize,
-    /// Records that the stream still lacks.
+    /// Number of records that the stream lacks.
     #[serde(rename = "owed")]
     pub pending_records: usize,
-    /// Bytes held, about.
+    /// Approximate memory use in bytes.
     pub bytes: usize,
-    /// Own attempts under way.
+    /// Own attempts in progress.
     #[serde(rename = "own")]
     pub own_attempts: Vec<AttemptDump>,
 }
 
-/// Own attempt under way.
+/// Own attempt in progress.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AttemptDump {
     /// Attempt.
     #[serde_as(as = "DisplayFromStr")]
     pub attempt: Attempt,
-    /// Key.
+    /// Idempotency key.
     #[serde_as(as = "DisplayFromStr")]
     pub key: Key,
-    /// When its caller stops waiting.
+    /// Latest time at which it may be sent, milliseconds since 1970.
     pub deadline: Millis,
     /// `waiting`, `won` or `sent`.
     pub phase: &'static str,
 }
 
 impl Ledger {
-    /// State for people.
+    /// Returns a snapshot of the state for operators.
     #[must_use]
     pub fn dump(&self) -> Dump {
-        let (keys, attempts) = self.book.counts();
+        let (keys, attempts) = self.keys.counts();
         Dump {
             owner: self.owner.clone(),
             limits: self.limits,
-            next_offset: self.next,
+            next_offset: self.next_offset,
             caught_up: self.caught_up(),
             clock: self.clock,
-            blocked_until: self.blind,
+            blocked_until: self.blocked_until,
             keys,
             attempts,
-            pending_records: self.owed.len(),
+            pending_records: self.pending_records.len(),
             bytes: self.memory_bytes(),
-            own_attempts: self.own_dump(),
+            own_attempts: self.dump_own_attempts(),
         }
     }
 
-    fn own_dump(&self) -> Vec<AttemptDump> {
-        let rows = self.own.iter().map(|(attempt, own)| AttemptDump {
+    fn dump_own_attempts(&self) -> Vec<AttemptDump> {
+        let rows = self.own_attempts.iter().map(|(attempt, own)| AttemptDump {
             attempt: attempt.clone(),
             key: own.key.clone(),
             deadline: own.deadline,
-            phase: name(own.phase),
+            phase: phase_name(own.phase),
         });
         rows.collect()
     }
 }
 
-fn name(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Waiting => "waiting",
         Phase::Won => "won",
--- a/crates/ledger/src/ledger/error.rs
+++ b/crates/ledger/src/ledger/error.rs
@@ -1,38 +1,39 @@
-//! Steps that an attempt can't take.
+//! Errors of steps that are not allowed in an attempt's current phase.
 
 use pumicecleat_types::Millis;
 use snafu::Snafu;
 
 use crate::Attempt;
 
-/// Step that an attempt can't take.
+/// A step that is not allowed in the attempt's current phase.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum StepError {
-    /// Void, finished, or never claimed here.
-    #[snafu(display("step {step}, attempt {attempt}: not open here"))]
+    /// The attempt was abandoned or finished, or never claimed by this ledger.
+    #[snafu(display("cannot {step} attempt {attempt}: it is not open in this process"))]
     NotOpen {
-        /// Step.
+        /// Step, as a verb.
         step: &'static str,
         /// Attempt.
         attempt: Attempt,
     },
-    /// AlreadySent already: it may have run.
-    #[snafu(display("step {step}, attempt {attempt}: already sent"))]
+    /// The attempt was sent before, so it may have run.
+    #[snafu(display("cannot {step} attempt {attempt}: it was already sent"))]
     AlreadySent {
-        /// Step.
+        /// Step, as a verb.
         step: &'static str,
         /// Attempt.
         attempt: Attempt,
     },
-    /// Too late to send. It is void now, and its caller may be told that it wasn't run.
-    #[snafu(display("step {step}, attempt {attempt}: deadline {} ms has passed", deadline.0))]
+    /// The deadline has passed. The attempt is abandoned now, and its caller may be told that it
+    /// was not run.
+    #[snafu(display("cannot {step} attempt {attempt}: its deadline {} ms has passed", deadline.0))]
     DeadlinePassed {
-        /// Step.
+        /// Step, as a verb.
         step: &'static str,
         /// Attempt.
         attempt: Attempt,
-        /// Deadline.
+        /// Deadline, milliseconds since 1970.
         deadline: Millis,
     },
 }
--- a/crates/ledger/src/ledger/names.rs
+++ b/crates/ledger/src/ledger/interner.rs
@@ -1,4 +1,4 @@
-//! One copy of each name that many marks hold: of VMs and of callers.
+//! Interned VM and caller names, of which many entries hold the same ones.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -7,31 +7,31 @@
 
 use crate::{Attempt, Key, Owner};
 
-/// Names seen so far. There are as many as VMs and callers, so that none is forgotten.
+/// Names seen so far. Their number is bounded by that of VMs and callers, so none is removed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Names {
+pub(super) struct Interner {
     vms: BTreeSet<VmId>,
     callers: BTreeSet<CallerId>,
 }
 
-impl Names {
-    /// The same attempt, with the copy of its VM's name that the others hold.
+impl Interner {
+    /// The same attempt, with the shared copy of its VM's name.
     pub(super) fn attempt(&mut self, attempt: &Attempt) -> Attempt {
         let owner = Owner {
-            vm: shared(&mut self.vms, &attempt.owner.vm),
+            vm: intern(&mut self.vms, &attempt.owner.vm),
             incarnation: attempt.owner.incarnation,
         };
         let seq = attempt.seq;
         Attempt { owner, seq }
     }
 
-    /// The same key, with the copy of its caller's name that the others hold.
+    /// The same key, with the shared copy of its caller's name.
     pub(super) fn key(&mut self, key: &Key) -> Key {
-        key.with_caller(shared(&mut self.callers, key.caller()))
+        key.with_caller(intern(&mut self.callers, key.caller()))
     }
 }
 
-fn shared<T: Clone + Ord>(known: &mut BTreeSet<T>, name: &T) -> T {
+fn intern<T: Clone + Ord>(known: &mut BTreeSet<T>, name: &T) -> T {
     if let Some(copy) = known.get(name) {
         return copy.clone();
     }
@@ -39,15 +39,15 @@
     name.clone()
 }
 
-// Copies are no state: books that hold the same marks are the same.
-impl PartialEq for Names {
+// Interned names are not state: tables with the same entries are equal.
+impl PartialEq for Interner {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
 
-impl Eq for Names {}
+impl Eq for Interner {}
 
-impl Hash for Names {
+impl Hash for Interner {
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
--- a/crates/ledger/src/ledger/mod.rs
+++ b/crates/ledger/src/ledger/mod.rs
@@ -1,12 +1,12 @@
-//! State of one side: what the stream says of each key, and what becomes of its own attempts.
+//! State of one side: the state of each key according to the stream, and the side's own attempts.
 
 mod admit;
-mod book;
+mod apply;
 mod dump;
 mod error;
-mod names;
-mod own;
-mod read;
+mod interner;
+mod key_table;
+mod own_attempt;
 mod step;
 
 use std::collections::BTreeMap;
@@ -14,93 +14,95 @@
 use pumicecleat_types::Millis;
 
 pub use admit::{Admission, Call};
+pub use apply::{Event, Verdict};
 pub use dump::{AttemptDump, Dump};
 pub use error::StepError;
-pub use read::{Event, Verdict};
 pub use step::{NotRunProof, SendPermit, SentAttempt};
 
 use crate::{Attempt, Limits, Owner, Record};
-use book::Book;
-use own::Own;
+use key_table::KeyTable;
+use own_attempt::OwnAttempt;
 
-/// Part of a stream, by offset.
+/// Range of offsets in a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OffsetRange {
-    /// Earliest record kept.
+    /// Offset of the earliest record kept.
     pub first: u64,
-    /// One past the last record.
+    /// One past the offset of the last record.
     pub end: u64,
 }
 
 /// Decisions of one side on the keys of one service.
 ///
-/// Everything that another side has to agree on comes from records in the order of the log and
-/// from the log's clock; the side's own clock only ever makes it refuse.
+/// Everything that sides have to agree on is derived from the order of the log's records and from
+/// the log's clock. The side's own clock can only make it refuse a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     owner: Owner,
     limits: Limits,
-    book: Book,
-    own: BTreeMap<Attempt, Own>,
-    owed: BTreeMap<Attempt, Record>,
-    seq: u64,
-    next: u64,
-    end: u64,
+    keys: KeyTable,
+    own_attempts: BTreeMap<Attempt, OwnAttempt>,
+    pending_records: BTreeMap<Attempt, Record>,
+    next_seq: u64,
+    next_offset: u64,
+    catch_up_offset: u64,
     clock: Millis,
-    blind: Millis,
+    blocked_until: Millis,
 }
 
 impl Ledger {
-    /// Ledger of a side that has just started and found `span` in the stream.
+    /// Creates the ledger of a side that starts to read a stream with the offsets `range`.
     #[must_use]
-    pub fn new(owner: Owner, limits: Limits, span: OffsetRange) -> Self {
+    pub fn new(owner: Owner, limits: Limits, range: OffsetRange) -> Self {
         Self {
             owner,
             limits,
-            book: Book::default(),
-            own: BTreeMap::new(),
-            owed: BTreeMap::new(),
-            seq: 0,
-            next: span.first,
-            end: span.end,
+            keys: KeyTable::default(),
+            own_attempts: BTreeMap::new(),
+            pending_records: BTreeMap::new(),
+            next_seq: 0,
+            next_offset: range.first,
+            catch_up_offset: range.end,
             clock: Millis(0),
-            blind: Millis(0),
+            blocked_until: Millis(0),
         }
     }
 
-    /// Offset to read from.
+    /// Offset of the next record to apply.
     #[must_use]
     pub fn next_offset(&self) -> u64 {
-        self.next
+        self.next_offset
     }
 
-    /// Whether it has read all that stood in the stream at its start.
+    /// Whether all records that the stream held at the start have been applied.
     #[must_use]
     pub fn caught_up(&self) -> bool {
-        self.next >= self.end
+        self.next_offset >= self.catch_up_offset
     }
 
-    /// Records that the stream still lacks: append them, and again until they're read back.
+    /// Records that the stream lacks. Append them, repeatedly, until they have been read back.
     pub fn pending_records(&self) -> impl Iterator<Item = &Record> {
-        self.owed.values()
+        self.pending_records.values()
     }
 
-    /// Whose attempts are own.
+    /// Owner of this ledger's own attempts.
     #[must_use]
     pub fn owner(&self) -> &Owner {
         &self.owner
     }
 
-    /// Whether no own attempt is under way and the stream lacks nothing: the reader may stop
-    /// here, and another ledger of the same stream take its place.
+    /// Whether no own attempt is in progress and no record is pending. The side may then stop
+    /// reading, and another ledger may take over the stream.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.own.is_empty() && self.owed.is_empty()
+        self.own_attempts.is_empty() && self.pending_records.is_empty()
     }
 
-    /// Bytes held, about.
+    /// Approximate memory use in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
-        size_of::<Self>() + self.book.size() + self.own.len() * size_of::<(Attempt, Own)>()
+        size_of::<Self>()
+            + self.keys.memory_bytes()
+            + self.own_attempts.len() * size_of::<(Attempt, OwnAttempt)>()
     }
 }
--- a/crates/ledger/src/ledger/own.rs
+++ b/crates/ledger/src/ledger/own_attempt.rs
@@ -1,16 +1,16 @@
 //! This side's own attempts, from claim to outcome.
 //!
-//! An attempt that isn't listed is void: it was never sent or has its outcome. An intent of this
-//! incarnation that turns up in the stream unlisted is abandoned at once.
+//! An attempt that is not listed was never sent or has its outcome. An intent of this incarnation
+//! that is read from the stream but not listed is abandoned at once.
 
 use pumicecleat_types::Millis;
 
 use crate::{Digest, Key};
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
-    /// Its intent hasn't been read back.
+    /// Its intent has not been read back yet.
     Waiting,
     /// It may be sent.
     Won,
@@ -18,9 +18,9 @@
     Sent,
 }
 
-/// Own attempt.
+/// Own attempt in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Own {
+pub(super) struct OwnAttempt {
     pub(super) key: Key,
     pub(super) digest: Digest,
     pub(super) deadline: Millis,
--- a/crates/ledger/src/ledger/step.rs
+++ b/crates/ledger/src/ledger/step.rs
@@ -1,16 +1,17 @@
-//! Steps of an own attempt. Only a [`SendPermit`] can be sent, and only a [`SentAttempt`] has an outcome.
+//! State transitions of an own attempt. Only a [`SendPermit`] can be sent, and only a
+//! [`SentAttempt`] gets an outcome.
 
 use pumicecleat_types::Millis;
 use snafu::{OptionExt, ensure};
 
 use super::Ledger;
 use super::error::{AlreadySentSnafu, DeadlinePassedSnafu, NotOpenSnafu, StepError};
-use super::own::{Own, Phase};
+use super::own_attempt::{OwnAttempt, Phase};
 use crate::{Attempt, Done, Outcome, Record};
 
-/// Leave to send an attempt. A clone is of no use: the ledger takes one of them.
+/// Permission to send an attempt. Clones are useless: the ledger accepts only one of them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[must_use = "send it, or void it"]
+#[must_use = "send or abandon the attempt"]
 pub struct SendPermit {
     attempt: Attempt,
 }
@@ -22,7 +23,7 @@
     attempt: Attempt,
 }
 
-/// Leave to tell a caller that an attempt was not run.
+/// Proof that an attempt was not run and never will be; its caller may be told so.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NotRunProof {
     attempt: Attempt,
@@ -33,7 +34,7 @@
         Self { attempt }
     }
 
-    /// Attempt.
+    /// Attempt that may be sent.
     #[must_use]
     pub fn attempt(&self) -> &Attempt {
         &self.attempt
@@ -41,7 +42,7 @@
 }
 
 impl SentAttempt {
-    /// Attempt.
+    /// Attempt that was sent.
     #[must_use]
     pub fn attempt(&self) -> &Attempt {
         &self.attempt
@@ -49,7 +50,7 @@
 }
 
 impl NotRunProof {
-    /// Attempt.
+    /// Attempt that was not run.
     #[must_use]
     pub fn attempt(&self) -> &Attempt {
         &self.attempt
@@ -57,18 +58,18 @@
 }
 
 impl Ledger {
-    /// Notes that a won attempt goes to the upstream now: call it just before the first byte.
+    /// Marks a won attempt as sent. Must be called just before the first byte goes to the upstream.
     ///
     /// # Errors
-    /// [`StepError::DeadlinePassed`] once its deadline has passed; [`StepError::NotOpen`] or
-    /// [`StepError::AlreadySent`] if it was voided or sent before.
-    pub fn mark_sent(&mut self, won: SendPermit, now: Millis) -> Result<SentAttempt, StepError> {
+    /// [`StepError::DeadlinePassed`] if its deadline has passed; [`StepError::NotOpen`] if it was
+    /// abandoned and [`StepError::AlreadySent`] if it was sent before.
+    pub fn mark_sent(&mut self, permit: SendPermit, now: Millis) -> Result<SentAttempt, StepError> {
         let step = "send";
-        let attempt = won.attempt;
-        let own = self.own_mut(step, &attempt)?;
+        let attempt = permit.attempt;
+        let own = self.unsent_own(step, &attempt)?;
         let deadline = own.deadline;
         if deadline <= now {
-            self.drop_own(&attempt);
+            self.abandon_own(&attempt);
             return DeadlinePassedSnafu {
                 step,
                 attempt,
@@ -80,13 +81,14 @@
         Ok(SentAttempt { attempt })
     }
 
-    /// Ends an attempt that was sent. Gives the record to append; it stays [owed](Ledger::pending_records).
+    /// Ends an attempt that was sent. Returns the record to append, which is also one of the
+    /// [pending records](Ledger::pending_records) until it is read back.
     ///
     /// # Errors
-    /// [`StepError::NotOpen`] if it has an outcome already.
+    /// [`StepError::NotOpen`] if it already has an outcome.
     pub fn finish(&mut self, sent: SentAttempt, outcome: Outcome) -> Result<&Record, StepError> {
         let attempt = sent.attempt;
-        let own = self.own.remove(&attempt);
+        let own = self.own_attempts.remove(&attempt);
         let own = own.with_context(|| NotOpenSnafu {
             step: "finish",
             attempt: attempt.clone(),
@@ -97,44 +99,52 @@
             digest: own.digest,
             outcome,
         };
-        Ok(self.owed.entry(attempt).or_insert(Record::Done(done)))
+        Ok(self
+            .pending_records
+            .entry(attempt)
+            .or_insert(Record::Done(done)))
     }
 
-    /// Takes back a send that failed before a byte left, by the transport's proof. The attempt is
-    /// void from then on, as by [`abandon`](Ledger::abandon).
+    /// Reverts a send of which the transport proves that no byte left. The attempt is abandoned, as
+    /// by [`abandon`](Ledger::abandon).
     ///
     /// # Errors
-    /// [`StepError::NotOpen`] if it has an outcome already.
+    /// [`StepError::NotOpen`] if it already has an outcome.
     pub fn revert_send(&mut self, sent: SentAttempt) -> Result<NotRunProof, StepError> {
         let attempt = sent.attempt;
-        let known = self.own.contains_key(&attempt);
+        let is_own = self.own_attempts.contains_key(&attempt);
         ensure!(
-            known,
+            is_own,
             NotOpenSnafu {
-                step: "take back",
+                step: "revert the send of",
                 attempt
             }
         );
-        self.drop_own(&attempt);
+        self.abandon_own(&attempt);
         Ok(NotRunProof { attempt })
     }
 
-    /// Gives up an attempt that was not sent: it never will be. Its intent, if it is in the
-    /// stream now or turns up later, is abandoned by an [owed](Ledger::pending_records) record.
+    /// Abandons an attempt that was not sent, so that it never will be. If its intent is in the
+    /// stream now or appears later, an [`Abandon`](crate::Abandon) becomes a
+    /// [pending record](Ledger::pending_records).
     ///
     /// # Errors
     /// [`StepError::AlreadySent`] if it was sent; [`StepError::NotOpen`] if it has ended.
     pub fn abandon(&mut self, attempt: &Attempt) -> Result<NotRunProof, StepError> {
-        self.own_mut("void", attempt)?;
-        self.drop_own(attempt);
+        self.unsent_own("abandon", attempt)?;
+        self.abandon_own(attempt);
         Ok(NotRunProof {
             attempt: attempt.clone(),
         })
     }
 
-    /// Own attempt that was not sent.
-    fn own_mut(&mut self, step: &'static str, attempt: &Attempt) -> Result<&mut Own, StepError> {
-        let own = self.own.get_mut(attempt);
+    /// Own attempt, if it was not sent.
+    fn unsent_own(
+        &mut self,
+        step: &'static str,
+        attempt: &Attempt,
+    ) -> Result<&mut OwnAttempt, StepError> {
+        let own = self.own_attempts.get_mut(attempt);
         let own = own.with_context(|| NotOpenSnafu {
             step,
             attempt: attempt.clone(),
@@ -149,13 +159,14 @@
         Ok(own)
     }
 
-    /// Voids an own attempt. An intent that isn't in the stream yet is abandoned on sight.
-    pub(super) fn drop_own(&mut self, attempt: &Attempt) {
-        let Some(own) = self.own.remove(attempt) else {
+    /// Abandons an own attempt. An intent that is not in the stream yet is abandoned when it is
+    /// read.
+    pub(super) fn abandon_own(&mut self, attempt: &Attempt) {
+        let Some(own) = self.own_attempts.remove(attempt) else {
             return;
         };
-        if self.book.holds(&own.key, attempt) {
-            self.owe_abandon(attempt, &own.key);
+        if self.keys.contains(&own.key, attempt) {
+            self.queue_abandon(attempt, &own.key);
         }
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,16 +1,19 @@
-//! At-most-once decisions for calls that may not be repeated, from the order of records in the log.
+//! At-most-once execution of calls, decided by the order of records in a shared log.
 //!
-//! A side owns a [`Ledger`] for its service's stream. To run a call it appends an intent, reads the
-//! stream back, and sends the call only if its intent is the first live one for the key. No lease
-//! is involved: a side that was paused still owns what it won, and nobody else can have won it.
+//! A side is the process beside a service instance, and has a [`Ledger`] for the service's stream.
+//! To run a call, the side appends an intent, reads the stream back, and sends the call only if its
+//! intent is the first live one for the key. There are no leases: a side that was paused still holds
+//! the claims it won, and no other side can have won them.
 //!
-//! Nothing here does I/O or reads a clock. The side that drives it appends what
-//! [`Ledger::admit`] and [`Ledger::pending_records`] give, and passes each record of the stream, in order, to
-//! [`Ledger::apply`]. Lost append replies need no care: what counts is what is read back.
+//! This crate does no I/O and reads no clock. The side appends the records that [`Ledger::admit`]
+//! and [`Ledger::pending_records`] return, and passes each record of the stream, in order, to
+//! [`Ledger::apply`]. Lost replies to appends need no handling, because only the records read back
+//! count.
 //!
 //! ```
 //! use pumicecleat_ledger::{
-//!     Admission, RecordedResponse, Call, Digest, Event, Key, Ledger, Limits, Outcome, Owner, Record, OffsetRange,
+//!     Admission, Call, Digest, Event, Key, Ledger, Limits, OffsetRange, Outcome, Owner, Record,
+//!     RecordedResponse,
 //! };
 //! use pumicecleat_types::{LogRecord, Millis};
 //!
@@ -23,21 +26,21 @@
 //! let call = Call { key: &key, digest, now: Millis(1_000), deadline: Millis(6_000) };
 //! let Admission::Claim(intent) = ledger.admit(&call) else { panic!("a new key is free") };
 //!
-//! // The driver appends the intent, in a batch with others, and reads it back.
+//! // The side appends the intent, possibly in a batch with others, and reads it back.
 //! let data = Record::encode_batch(&[Record::Intent(intent)]);
 //! let events = ledger.apply(&LogRecord { offset: 0, at: 1_004, data });
-//! let [Event::Won(won)] = &events[..] else { panic!("it was first") };
+//! let [Event::Won(permit)] = &events[..] else { panic!("its intent is the first") };
 //!
-//! // Just before the first byte goes to the upstream:
-//! let sent = ledger.mark_sent(won.clone(), Millis(1_005)).unwrap();
+//! // Called just before the first byte goes to the upstream.
+//! let sent = ledger.mark_sent(permit.clone(), Millis(1_005)).unwrap();
 //! let response = RecordedResponse::new(201, Vec::new(), b"held", 4_096);
 //! let record = ledger.finish(sent, Outcome::Response(response.clone())).unwrap().clone();
 //! let data = Record::encode_batch(&[record]);
 //! ledger.apply(&LogRecord { offset: 1, at: 1_050, data });
 //!
-//! // A repeat gets the recorded answer, from this side or any other.
-//! let again = Call { now: Millis(2_000), deadline: Millis(7_000), ..call };
-//! assert_eq!(ledger.admit(&again), Admission::Replay(&Outcome::Response(response)));
+//! // A retry gets the recorded response, from this side or any other.
+//! let retry = Call { now: Millis(2_000), deadline: Millis(7_000), ..call };
+//! assert_eq!(ledger.admit(&retry), Admission::Replay(&Outcome::Response(response)));
 //! ```
 
 mod digest;
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -1,28 +1,28 @@
-//! Spans of time that the promise of at most one effect rests on.
+//! Time limits that at-most-once execution depends on.
 
 use pumicecleat_types::Millis;
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
 
-/// Spans that don't fit together.
+/// Limits that are invalid or contradict each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum LimitError {
-    /// The window is no time at all.
-    #[snafu(display("step limits: the window is zero"))]
+    /// The window is zero.
+    #[snafu(display("the window of idempotency keys is 0 ms"))]
     ZeroWindow,
-    /// The log trims records while they still count.
-    #[snafu(display("step limits: window {}+{} ms, but the log keeps {} ms", window.0, max_ahead.0, log_retention.0))]
+    /// The log trims records that still count.
+    #[snafu(display("the log keeps records for {} ms, which is not longer than the window of idempotency keys, {} ms, plus the {} ms that a key's time may be ahead", log_retention.0, window.0, max_ahead.0))]
     RetentionTooShort {
-        /// Window asked for.
+        /// Requested window.
         window: Millis,
-        /// Span ahead asked for.
+        /// Requested limit on how far ahead the time in a key may be.
         max_ahead: Millis,
         /// Retention of the log.
         log_retention: Millis,
     },
 }
 
-/// Spans, all in milliseconds.
+/// Time limits of idempotency keys, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Limits {
     window: Millis,
@@ -31,11 +31,12 @@
 }
 
 impl Limits {
-    /// A window in which a key has one effect, and how far ahead of the log's clock the time in
-    /// a key may be, for a log that keeps records for `log_retention`.
+    /// Creates limits for a log that keeps records for `log_retention`. Within `window` a key has
+    /// one effect; the time in a key may be at most `max_ahead` ahead of the log's clock.
     ///
     /// # Errors
-    /// [`LimitError`] if the window is zero, or window and `max_ahead` together reach `log_retention`.
+    /// [`LimitError`] if the window is zero, or if `window` plus `max_ahead` is not shorter than
+    /// `log_retention`.
     pub fn new(
         window: Millis,
         max_ahead: Millis,
@@ -54,26 +55,27 @@
         Ok(Self { window, max_ahead })
     }
 
-    /// Window from a key's first record on.
+    /// Window, starting at a key's first record, in which the key has one effect.
     #[must_use]
     pub fn window(&self) -> Millis {
         self.window
     }
 
-    /// How far ahead the time in a key may be.
+    /// How far ahead of the log's clock the time in a key may be.
     #[must_use]
     pub fn max_ahead(&self) -> Millis {
         self.max_ahead
     }
 
-    /// How long a record counts. By `max_ahead` longer than the window, so that a key whose time is
-    /// ahead has grown too old before its records are forgotten.
-    pub(crate) fn keep(&self) -> Millis {
+    /// How long a record counts. Longer than the window by `max_ahead`, so that a key whose time
+    /// is ahead has expired before its records are forgotten.
+    pub(crate) fn retention(&self) -> Millis {
         self.window + self.max_ahead
     }
 
-    /// How long after its claim an attempt may still be sent: well before its record is forgotten.
-    pub(crate) fn patience(&self) -> Millis {
+    /// How long after its claim an attempt may be sent. Half the window, so that it ends well
+    /// before the attempt's record is forgotten.
+    pub(crate) fn max_send_delay(&self) -> Millis {
         Millis(self.window.0 / 2)
     }
 }
--- a/crates/ledger/src/record/mod.rs
+++ b/crates/ledger/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! Records of a service's stream, many in one append.
+//! Records of a service's stream. One append holds a batch of them.
 
 mod outcome;
 
@@ -11,18 +11,18 @@
 
 use crate::{Digest, Key};
 
-/// One start of the side on one VM.
+/// One start of the side on a VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// VM.
+    /// VM of the side.
     pub vm: VmId,
-    /// Start of the process, never used twice on one VM.
+    /// Number of the start, never reused on a VM.
     pub incarnation: u64,
 }
 
 impl Owner {
-    /// Whether `other` is another start on the same VM.
-    pub(crate) fn is_kin(&self, other: &Self) -> bool {
+    /// Whether `other` is another incarnation on the same VM.
+    pub(crate) fn is_other_incarnation(&self, other: &Self) -> bool {
         self.vm == other.vm && self.incarnation != other.incarnation
     }
 }
@@ -33,12 +33,12 @@
     }
 }
 
-/// One attempt at a call, unique in the stream.
+/// Identifies one attempt at a call, uniquely in the stream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Side that decides on it.
+    /// Side that made the attempt.
     pub owner: Owner,
-    /// Number in the owner's incarnation.
+    /// Sequence number within the owner's incarnation.
     pub seq: u64,
 }
 
@@ -48,14 +48,14 @@
     }
 }
 
-/// Entry of the stream.
+/// Record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// The owner means to send the call, if this intent is the key's first live one.
+    /// The owner will send the call if this is the key's first live intent.
     Intent(Intent),
     /// The owner has not sent this attempt and never will.
     Abandon(Abandon),
-    /// The owner sent this attempt, and this came of it.
+    /// The owner sent this attempt, with this outcome.
     Done(Done),
 }
 
@@ -64,20 +64,20 @@
 pub struct Intent {
     /// Attempt.
     pub attempt: Attempt,
-    /// Key.
+    /// Idempotency key.
     pub key: Key,
-    /// What is asked for.
+    /// Digest of the request.
     pub digest: Digest,
-    /// When its caller stops waiting, milliseconds since 1970 by the owner's clock.
+    /// Latest time at which it may be sent, milliseconds since 1970 by the owner's clock.
     pub deadline: Millis,
 }
 
-/// End of an attempt that did not run.
+/// End of an attempt that was not sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Abandon {
     /// Attempt.
     pub attempt: Attempt,
-    /// Key.
+    /// Idempotency key.
     pub key: Key,
 }
 
@@ -86,16 +86,16 @@
 pub struct Done {
     /// Attempt.
     pub attempt: Attempt,
-    /// Key.
+    /// Idempotency key.
     pub key: Key,
-    /// What was asked for.
+    /// Digest of the request.
     pub digest: Digest,
-    /// What came of it.
+    /// Outcome.
     pub outcome: Outcome,
 }
 
 impl Record {
-    /// Attempt it is about.
+    /// Attempt that the record belongs to.
     #[must_use]
     pub fn attempt(&self) -> &Attempt {
         match self {
@@ -105,16 +105,16 @@
         }
     }
 
-    /// Bytes of one append, for these records in this order.
+    /// Encodes `records`, in this order, as the data of one append.
     #[must_use]
     pub fn encode_batch(records: &[Self]) -> Vec<u8> {
         encode(&records)
     }
 
-    /// Records of one append.
+    /// Decodes the records of one append.
     ///
     /// # Errors
-    /// [`CodecError`] if `bytes` are not such a batch.
+    /// [`CodecError`] if `bytes` is not a batch of records.
     pub fn decode_batch(bytes: &[u8]) -> Result<Vec<Self>, CodecError> {
         decode(bytes)
     }
--- a/crates/ledger/src/record/outcome.rs
+++ b/crates/ledger/src/record/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of an attempt that was sent.
+//! Outcomes of attempts that were sent.
 
 use std::hash::{Hash, Hasher};
 
@@ -8,45 +8,45 @@
 
 use crate::Digest;
 
-/// What came of an attempt that was sent.
+/// Outcome of an attempt that was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The upstream's whole answer.
+    /// The upstream's complete response.
     #[serde(rename = "Answer")]
     Response(RecordedResponse),
-    /// The answer was lost: it may have run.
+    /// The response was lost: the call may have run.
     Unknown,
 }
 
-/// Answer of the upstream.
+/// Response of the upstream, as recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers passed on.
+    /// Headers that are forwarded to the caller.
     pub headers: Vec<HeaderField>,
     /// Body.
     pub body: Body,
 }
 
-/// Body as recorded.
+/// Recorded body.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     #[serde(rename = "Whole")]
     Complete(#[serde_as(as = "Bytes")] Vec<u8>),
-    /// Too large to keep.
+    /// Digest of a body that is too large to keep.
     Large {
         /// Digest of the body.
         digest: Digest,
-        /// Length, bytes.
+        /// Length of the body in bytes.
         bytes: u64,
     },
 }
 
 impl RecordedResponse {
-    /// Answer to record; a body longer than `limit` bytes is kept as its digest.
+    /// Creates the response to record. Of a body longer than `limit` bytes only the digest is kept.
     #[must_use]
     pub fn new(status: u16, headers: Vec<HeaderField>, body: &[u8], limit: usize) -> Self {
         let body = if body.len() <= limit {
@@ -65,7 +65,7 @@
     }
 }
 
-// `HeaderField` has no `Hash` to derive from.
+// Not derived, because `HeaderField` does not implement `Hash`.
 impl Hash for RecordedResponse {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.status.hash(state);
@@ -79,18 +79,18 @@
 }
 
 impl Outcome {
-    /// Bytes on the heap, about.
-    pub(crate) fn size(&self) -> usize {
+    /// Approximate number of bytes on the heap.
+    pub(crate) fn heap_bytes(&self) -> usize {
         match self {
             Self::Unknown => 0,
-            Self::Response(response) => response.size(),
+            Self::Response(response) => response.heap_bytes(),
         }
     }
 }
 
 impl RecordedResponse {
-    fn size(&self) -> usize {
-        let fields: usize = self.headers.iter().map(field_size).sum();
+    fn heap_bytes(&self) -> usize {
+        let fields: usize = self.headers.iter().map(field_bytes).sum();
         match &self.body {
             Body::Complete(bytes) => fields + bytes.len(),
             Body::Large { .. } => fields,
@@ -98,6 +98,6 @@
     }
 }
 
-fn field_size(field: &HeaderField) -> usize {
+fn field_bytes(field: &HeaderField) -> usize {
     size_of::<HeaderField>() + field.name.len() + field.value.len()
 }
--- a/crates/ledger/tests/decisions.rs
+++ b/crates/ledger/tests/decisions.rs
@@ -388,7 +388,7 @@
         .unwrap_err();
     assert_eq!(
         late.to_string(),
-        "step send, attempt a#2/0: deadline 1000500 ms has passed"
+        "cannot send attempt a#2/0: its deadline 1000500 ms has passed"
     );
     assert_eq!(
         ledger.pending_records().collect::<Vec<_>>(),
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -74,7 +74,7 @@
     let error = Key::parse(&caller(), &longer).unwrap_err();
     assert_eq!(
         error.to_string(),
-        "step key, caller csillagkapu: 256 bytes, at most 255"
+        "idempotency key of caller csillagkapu has 256 bytes, at most 255 are allowed"
     );
 }
 
