--- a/crates/ledger/src/ledger/key_table.rs
+++ b/crates/ledger/src/ledger/key_table.rs
@@ -31,7 +31,7 @@
 /// Scheduled removal of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Expiry {
-    at: Millis,
+    expires_at: Millis,
     key: Key,
 }
 
@@ -50,7 +50,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct KeyTable {
     attempts: BTreeMap<Key, Vec<AttemptEntry>>,
-    /// One for each intent, and one for each outcome whose intent expired before it; sorted by time.
+    /// One for each intent, and one for each outcome whose intent expired before it, sorted by
+    /// time.
     expiries: VecDeque<Expiry>,
     bytes: usize,
     interner: Interner,
@@ -140,7 +141,7 @@
 
     /// Removes entries that no longer count at `at`.
     pub(super) fn expire(&mut self, at: Millis) {
-        while let Some(expiry) = self.expiries.pop_front_if(|e| e.at <= at) {
+        while let Some(expiry) = self.expiries.pop_front_if(|e| e.expires_at <= at) {
             self.bytes -= size_of::<Expiry>();
             self.prune(&expiry.key, at);
             if let Some(next) = self.next_outcome_expiry(&expiry.key) {
@@ -204,10 +205,12 @@
 
     // The log's clock never goes back, so an expiry is added at the end or, if rescheduled, near
     // the front.
-    fn schedule_expiry(&mut self, key: Key, at: Millis) {
+    fn schedule_expiry(&mut self, key: Key, expires_at: Millis) {
         self.bytes += size_of::<Expiry>();
-        let index = self.expiries.partition_point(|e| e.at <= at);
-        self.expiries.insert(index, Expiry { at, key });
+        let index = self
+            .expiries
+            .partition_point(|e| e.expires_at <= expires_at);
+        self.expiries.insert(index, Expiry { expires_at, key });
     }
 
     fn prune(&mut self, key: &Key, at: Millis) {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A side is the process beside a service instance, and has a [`Ledger`] for the service's stream.
 //! To run a call, the side appends an intent, reads the stream back, and sends the call only if its
-//! intent is the first live one for the key. There are no leases: a side that was paused still holds
-//! the claims it won, and no other side can have won them.
+//! intent is the first live one for the key. There are no leases: a side that was paused still
+//! holds the claims it won, and no other side can have won them.
 //!
 //! This crate does no I/O and reads no clock. The side appends the records that [`Ledger::admit`]
 //! and [`Ledger::pending_records`] return, and passes each record of the stream, in order, to
--- a/crates/ledger/tests/decisions.rs
+++ b/crates/ledger/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What a side decides on a call, by what stands in its stream: tables of cases.
+//! Table-driven tests of the decisions on a call, given the records in the stream.
 
 use pumicecleat_ledger::{
     Abandon, Admission, Attempt, Call, Digest, Done, Event, Intent, Key, Ledger, Limits,
@@ -8,9 +8,9 @@
 
 const START: u64 = 1_000_000;
 const WINDOW: u64 = 10_000;
-const AHEAD: u64 = 1_000;
-const KEPT: u64 = 20_000;
-const WAIT: u64 = 500;
+const MAX_AHEAD: u64 = 1_000;
+const LOG_RETENTION: u64 = 20_000;
+const CALL_TIMEOUT: u64 = 500;
 const BODY: &[u8] = b"seat 41";
 
 fn owner(vm: &str, incarnation: u64) -> Owner {
@@ -21,7 +21,7 @@
 }
 
 fn ledger(first: u64, end: u64) -> Ledger {
-    let limits = Limits::new(Millis(WINDOW), Millis(AHEAD), Millis(KEPT)).unwrap();
+    let limits = Limits::new(Millis(WINDOW), Millis(MAX_AHEAD), Millis(LOG_RETENTION)).unwrap();
     Ledger::new(owner("a", 2), limits, OffsetRange { first, end })
 }
 
@@ -29,7 +29,7 @@
     Key::parse(&"c".into(), "k").unwrap()
 }
 
-fn timed(at: u64) -> Key {
+fn uuid_key(at: u64) -> Key {
     let id = uuid::Builder::from_unix_timestamp_millis(at, &[7; 10]).into_uuid();
     Key::parse(&"c".into(), &id.to_string()).unwrap()
 }
@@ -46,7 +46,7 @@
         attempt: attempt.clone(),
         key: key(),
         digest: Digest::of(BODY),
-        deadline: Millis(START + WAIT),
+        deadline: Millis(START + CALL_TIMEOUT),
     })
 }
 
@@ -66,7 +66,7 @@
     })
 }
 
-fn answer() -> Outcome {
+fn response() -> Outcome {
     Outcome::Response(RecordedResponse::new(201, Vec::new(), b"held", 64))
 }
 
@@ -83,7 +83,7 @@
         key,
         digest: Digest::of(body),
         now: Millis(now),
-        deadline: Millis(now + WAIT),
+        deadline: Millis(now + CALL_TIMEOUT),
     }
 }
 
@@ -125,15 +125,19 @@
     let before = attempt("a", 1);
     let busy = Decision::Refuse(Reason::KeyBusy);
     let unknown = || Decision::Refuse(Reason::KeyUnknown);
-    let replay = || Decision::Replay(answer());
-    let answered = vec![intent(&other), done(&other, answer())];
+    let replay = || Decision::Replay(response());
+    let answered = vec![intent(&other), done(&other, response())];
     let lost = vec![intent(&other), done(&other, Outcome::Unknown)];
-    let reversed = vec![intent(&other), done(&other, answer()), abandon(&other)];
+    let reversed = vec![intent(&other), done(&other, response()), abandon(&other)];
     let second = vec![intent(&other), intent(&before), abandon(&other)];
     vec![
         stream_case("empty stream", vec![], Decision::Claim),
         stream_case("running elsewhere", vec![intent(&other)], busy),
-        stream_case("of a predecessor", vec![intent(&before)], unknown()),
+        stream_case(
+            "of an earlier incarnation",
+            vec![intent(&before)],
+            unknown(),
+        ),
         stream_case(
             "abandoned",
             vec![intent(&other), abandon(&other)],
@@ -142,11 +146,11 @@
         stream_case("answered", answered, replay()),
         stream_case(
             "answered, intent trimmed",
-            vec![done(&other, answer())],
+            vec![done(&other, response())],
             replay(),
         ),
-        stream_case("answer lost", lost, unknown()),
-        stream_case("abandoned after its answer", reversed, replay()),
+        stream_case("response lost", lost, unknown()),
+        stream_case("abandoned after its response", reversed, replay()),
         stream_case("second in line, first abandoned", second, unknown()),
     ]
 }
@@ -156,13 +160,17 @@
     let reused = || Decision::Refuse(Reason::KeyReused);
     let abandoned = vec![intent(&other), abandon(&other)];
     let mut cases = vec![
-        stream_case("than a running one", vec![intent(&other)], reused()),
         stream_case(
-            "than an answered one",
-            vec![done(&other, answer())],
+            "other body than a running one",
+            vec![intent(&other)],
             reused(),
         ),
-        stream_case("than an abandoned one", abandoned, reused()),
+        stream_case(
+            "other body than an answered one",
+            vec![done(&other, response())],
+            reused(),
+        ),
+        stream_case("other body than an abandoned one", abandoned, reused()),
     ];
     for case in &mut cases {
         case.body = b"seat 42";
@@ -174,19 +182,19 @@
     let open = || vec![intent(&attempt("b", 1))];
     let unknown = || Decision::Refuse(Reason::KeyUnknown);
     let late = stream_case("deadline passed", open(), unknown());
-    let kept = stream_case("window over, key kept on", open(), unknown());
+    let kept = stream_case("window over, key still kept", open(), unknown());
     let gone = stream_case("forgotten", open(), Decision::Claim);
     vec![
         StreamCase {
-            now: START + WAIT + 1,
+            now: START + CALL_TIMEOUT + 1,
             ..late
         },
         StreamCase {
-            now: START + WINDOW + AHEAD - 1,
+            now: START + WINDOW + MAX_AHEAD - 1,
             ..kept
         },
         StreamCase {
-            now: START + WINDOW + AHEAD,
+            now: START + WINDOW + MAX_AHEAD,
             ..gone
         },
     ]
@@ -208,21 +216,21 @@
     decision: Decision,
 }
 
-const fn age(minted: u64, decision: Decision) -> AgeCase {
+const fn age_case(minted: u64, decision: Decision) -> AgeCase {
     AgeCase { minted, decision }
 }
 
 const AGES: &[AgeCase] = &[
-    age(START - WINDOW, Decision::Refuse(Reason::KeyExpired)),
-    age(START - WINDOW + 1, Decision::Claim),
-    age(START + AHEAD, Decision::Claim),
-    age(START + AHEAD + 1, Decision::Refuse(Reason::KeyInvalid)),
+    age_case(START - WINDOW, Decision::Refuse(Reason::KeyExpired)),
+    age_case(START - WINDOW + 1, Decision::Claim),
+    age_case(START + MAX_AHEAD, Decision::Claim),
+    age_case(START + MAX_AHEAD + 1, Decision::Refuse(Reason::KeyInvalid)),
 ];
 
 #[test]
-fn keys_with_a_time_are_bound_to_the_window() {
+fn keys_with_a_time_are_checked_against_the_window() {
     for case in AGES {
-        let key = timed(case.minted);
+        let key = uuid_key(case.minted);
         let decision = decide(&mut ledger(0, 0), &call(&key, BODY, START));
         assert_eq!(decision, case.decision, "{}", case.minted);
     }
@@ -230,25 +238,25 @@
 
 struct ReadCase {
     name: &'static str,
-    /// Records before the own intent, in the same append.
+    /// Records ahead of the own intent, in the same append.
     before: Vec<Record>,
     /// Time of the append by the log's clock.
     at: u64,
-    /// Loss, or `None` for a win.
+    /// Expected verdict, or `None` for a win.
     loss: Option<Verdict>,
-    /// Whether an abandon is owed.
-    owed: bool,
+    /// Whether an abandon record is pending afterwards.
+    pending: bool,
 }
 
 fn read_cases() -> Vec<ReadCase> {
     let other = attempt("b", 1);
     let refused = |reason| Some(Verdict::Refuse(reason));
-    let case = |name, before, loss, owed| ReadCase {
+    let case = |name, before, loss, pending| ReadCase {
         name,
         before,
         at: START,
         loss,
-        owed,
+        pending,
     };
     vec![
         case("first", vec![], None, false),
@@ -265,13 +273,13 @@
             false,
         ),
         case(
-            "behind an answer",
-            vec![done(&other, answer())],
-            Some(Verdict::Replay(answer())),
+            "behind a response",
+            vec![done(&other, response())],
+            Some(Verdict::Replay(response())),
             false,
         ),
         case(
-            "behind a lost answer",
+            "behind a lost response",
             vec![done(&other, Outcome::Unknown)],
             refused(Reason::KeyUnknown),
             false,
@@ -286,7 +294,7 @@
             )
         },
         ReadCase {
-            at: START - AHEAD - 1,
+            at: START - MAX_AHEAD - 1,
             ..case(
                 "too new by the log's clock",
                 vec![],
@@ -297,14 +305,14 @@
     ]
 }
 
-fn claimed(ledger: &mut Ledger, key: &Key) -> Intent {
+fn claim(ledger: &mut Ledger, key: &Key) -> Intent {
     match ledger.admit(&call(key, BODY, START)) {
         Admission::Claim(intent) => intent,
         other => panic!("{other:?}"),
     }
 }
 
-/// The records of a case, for the key of the intent.
+/// A record of a case, with the key of the intent.
 fn rekey(record: &Record, key: &Key) -> Record {
     let mut record = record.clone();
     match &mut record {
@@ -317,10 +325,10 @@
 
 #[test]
 fn an_intent_wins_only_if_it_is_first() {
-    let key = timed(START);
+    let key = uuid_key(START);
     for case in read_cases() {
         let mut ledger = ledger(0, 0);
-        let intent = claimed(&mut ledger, &key);
+        let intent = claim(&mut ledger, &key);
         let attempt = intent.attempt.clone();
         let mut batch: Vec<Record> = case.before.iter().map(|r| rekey(r, &key)).collect();
         batch.push(Record::Intent(intent));
@@ -334,7 +342,7 @@
         }
         assert_eq!(
             ledger.pending_records().count(),
-            usize::from(case.owed),
+            usize::from(case.pending),
             "{}",
             case.name
         );
@@ -347,7 +355,7 @@
 }
 
 fn won(ledger: &mut Ledger) -> SendPermit {
-    let intent = claimed(ledger, &key());
+    let intent = claim(ledger, &key());
     let offset = ledger.next_offset();
     let events = ledger.apply(&append(offset, START, &[Record::Intent(intent)]));
     match events.into_iter().next() {
@@ -368,9 +376,9 @@
         Err(StepError::AlreadySent { .. })
     ));
     assert!(ledger.expire_attempts(Millis(START + WINDOW)).is_empty());
-    ledger.finish(sent.clone(), answer()).unwrap();
+    ledger.finish(sent.clone(), response()).unwrap();
     assert!(matches!(
-        ledger.finish(sent, answer()),
+        ledger.finish(sent, response()),
         Err(StepError::NotOpen { .. })
     ));
     assert!(matches!(
@@ -380,11 +388,11 @@
 }
 
 #[test]
-fn a_late_win_is_void() {
+fn a_win_after_its_deadline_is_abandoned() {
     let mut ledger = ledger(0, 0);
     let won = won(&mut ledger);
     let late = ledger
-        .mark_sent(won.clone(), Millis(START + WAIT))
+        .mark_sent(won.clone(), Millis(START + CALL_TIMEOUT))
         .unwrap_err();
     assert_eq!(
         late.to_string(),
@@ -401,9 +409,9 @@
 }
 
 #[test]
-fn a_void_intent_is_abandoned_when_it_turns_up() {
+fn a_late_intent_of_an_abandoned_attempt_is_abandoned() {
     let mut ledger = ledger(0, 0);
-    let intent = claimed(&mut ledger, &key());
+    let intent = claim(&mut ledger, &key());
     let attempt = intent.attempt.clone();
     let not_run = ledger.abandon(&attempt).unwrap();
     assert_eq!(*not_run.attempt(), attempt);
@@ -426,29 +434,29 @@
 }
 
 #[test]
-fn an_outcome_is_owed_until_it_is_read_back() {
+fn an_outcome_is_pending_until_it_is_read_back() {
     let mut ledger = ledger(0, 0);
     let won = won(&mut ledger);
     let sent = ledger.mark_sent(won, Millis(START)).unwrap();
-    let record = ledger.finish(sent, answer()).unwrap().clone();
+    let record = ledger.finish(sent, response()).unwrap().clone();
     assert_eq!(ledger.pending_records().collect::<Vec<_>>(), [&record]);
     ledger.apply(&append(1, START, &[record]));
     assert_eq!(ledger.pending_records().count(), 0);
     let again = decide(&mut ledger, &call(&key(), BODY, START + 1));
-    assert_eq!(again, Decision::Replay(answer()));
+    assert_eq!(again, Decision::Replay(response()));
 }
 
 #[test]
-fn an_answer_counts_from_its_own_record_on() {
+fn a_response_counts_from_its_own_record_on() {
     let mut ledger = ledger(0, 0);
     let other = attempt("b", 1);
     let later = START + WINDOW;
     ledger.apply(&append(0, START, &[intent(&other)]));
-    ledger.apply(&append(1, later, &[done(&other, answer())]));
-    ledger.apply(&append(2, START + WINDOW + AHEAD, &[]));
-    let kept = decide(&mut ledger, &call(&key(), BODY, START + WINDOW + AHEAD));
-    assert_eq!(kept, Decision::Replay(answer()));
-    ledger.apply(&append(3, later + WINDOW + AHEAD, &[]));
+    ledger.apply(&append(1, later, &[done(&other, response())]));
+    ledger.apply(&append(2, START + WINDOW + MAX_AHEAD, &[]));
+    let kept = decide(&mut ledger, &call(&key(), BODY, START + WINDOW + MAX_AHEAD));
+    assert_eq!(kept, Decision::Replay(response()));
+    ledger.apply(&append(3, later + WINDOW + MAX_AHEAD, &[]));
     assert_eq!(ledger.dump().attempts, 0);
 }
 
@@ -473,7 +481,7 @@
     let now = START + 2 * WINDOW;
     let key = key();
     let Admission::Claim(intent) = ledger.admit(&call(&key, BODY, now)) else {
-        panic!("by its own clock the key is free");
+        panic!("the key is free by the side's own clock");
     };
     let events = ledger.apply(&append(1, START + 1, &[Record::Intent(intent)]));
     assert!(matches!(
@@ -486,10 +494,10 @@
 }
 
 #[test]
-fn a_record_that_cannot_be_read_bars_its_window() {
+fn an_unreadable_record_blocks_its_window() {
     let mut ledger = ledger(0, 0);
     let key = key();
-    let first = claimed(&mut ledger, &key);
+    let first = claim(&mut ledger, &key);
     let garbage = LogRecord {
         offset: 0,
         at: START,
@@ -514,15 +522,15 @@
     assert_eq!(barred, Decision::Refuse(Reason::LogDown));
     let free = decide(
         &mut ledger,
-        &call(&timed(START + WINDOW), BODY, START + WINDOW + AHEAD),
+        &call(&uuid_key(START + WINDOW), BODY, START + WINDOW + MAX_AHEAD),
     );
     assert_eq!(free, Decision::Claim);
 }
 
 #[test]
-fn what_waits_over_a_gap_is_lost() {
+fn attempts_that_wait_across_a_gap_are_lost() {
     let mut ledger = ledger(0, 0);
-    let intent = claimed(&mut ledger, &key());
+    let intent = claim(&mut ledger, &key());
     let events = ledger.apply(&append(7, START, &[Record::Intent(intent)]));
     assert!(matches!(
         &events[..],
@@ -536,20 +544,24 @@
 }
 
 #[test]
-fn forgetting_gives_the_bytes_back() {
+fn expired_entries_release_their_memory() {
     let mut ledger = ledger(0, 0);
     let empty = ledger.memory_bytes();
     let other = attempt("b", 1);
-    ledger.apply(&append(0, START, &[intent(&other), done(&other, answer())]));
+    ledger.apply(&append(
+        0,
+        START,
+        &[intent(&other), done(&other, response())],
+    ));
     assert!(ledger.memory_bytes() > empty);
     assert_eq!(ledger.dump().keys, 1);
-    ledger.apply(&append(1, START + WINDOW + AHEAD, &[]));
+    ledger.apply(&append(1, START + WINDOW + MAX_AHEAD, &[]));
     assert_eq!(ledger.memory_bytes(), empty);
     assert_eq!(ledger.dump().keys, 0);
 }
 
 #[test]
-fn the_dump_names_attempts_under_way() {
+fn the_dump_lists_attempts_in_progress() {
     let mut ledger = ledger(0, 0);
     let won = won(&mut ledger);
     let sent = ledger.mark_sent(won, Millis(START)).unwrap();
--- a/crates/ledger/tests/differential/main.rs
+++ b/crates/ledger/tests/differential/main.rs
@@ -1,5 +1,6 @@
-//! Random traces through [`Ledger`](pumicecleat_ledger::Ledger) and through a naive version that
-//! keeps all it has read and decides by scanning it. Seeds are fixed; failures shrink.
+//! Compares [`Ledger`](pumicecleat_ledger::Ledger) with a naive implementation on random traces.
+//! The naive one keeps all records read and scans them for each decision. The seed is fixed, and
+//! failing cases are shrunk.
 
 mod naive;
 mod trace;
@@ -9,11 +10,11 @@
 use pumicecleat_ledger::{Key, Ledger, Record};
 use pumicecleat_types::LogRecord;
 
-use trace::{Pair, batch, ops, side};
+use trace::{Pair, batch, new_ledger, ops};
 
 const SEED: u64 = 20_261_202;
 const CASES: u32 = 600;
-const BYTES: usize = 300;
+const MAX_BYTES: usize = 300;
 
 fn config() -> Config {
     Config {
@@ -24,8 +25,8 @@
     }
 }
 
-fn read_all(data: Vec<u8>) -> Ledger {
-    let mut ledger = side();
+fn apply_one(data: Vec<u8>) -> Ledger {
+    let mut ledger = new_ledger();
     ledger.apply(&LogRecord {
         offset: 0,
         at: 1,
@@ -38,7 +39,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn decides_as_the_naive_version(ops in ops()) {
+    fn decides_as_the_naive_implementation(ops in ops()) {
         let mut pair = Pair::new();
         for op in ops {
             pair.step(&op)?;
@@ -46,8 +47,8 @@
     }
 
     #[test]
-    fn any_bytes_are_read_without_panic(data in prop::collection::vec(any::<u8>(), 0..BYTES)) {
-        prop_assert_eq!(read_all(data).next_offset(), 1);
+    fn any_bytes_are_read_without_panic(data in prop::collection::vec(any::<u8>(), 0..MAX_BYTES)) {
+        prop_assert_eq!(apply_one(data).next_offset(), 1);
     }
 
     #[test]
@@ -55,7 +56,7 @@
         let mut data = Record::encode_batch(&records);
         let at = at.index(data.len());
         data[at] = byte;
-        prop_assert_eq!(read_all(data).next_offset(), 1);
+        prop_assert_eq!(apply_one(data).next_offset(), 1);
     }
 
     #[test]
--- a/crates/ledger/tests/differential/trace.rs
+++ b/crates/ledger/tests/differential/trace.rs
@@ -1,4 +1,4 @@
-//! Random traces, and both versions side by side.
+//! Random traces, run through both implementations with their results compared.
 
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
@@ -9,16 +9,16 @@
 };
 use pumicecleat_types::{LogRecord, Millis, Reason};
 
-use crate::naive::{Finding, Happening, Naive, Own, key_age};
+use crate::naive::{KeyStatus, Naive, NaiveAttempt, NaiveEvent, check_key_time};
 
 pub const WINDOW: u64 = 100;
-pub const AHEAD: u64 = 10;
+pub const MAX_AHEAD: u64 = 10;
 
-const KEPT: u64 = 1_000;
+const LOG_RETENTION: u64 = 1_000;
 const START: u64 = 1_000_000;
-const TRACE: usize = 80;
+const MAX_OPS: usize = 80;
 const KEYS: u8 = 4;
-const ME: (&str, u64) = ("a", 2);
+const OWNER: (&str, u64) = ("a", 2);
 
 /// One step of a trace.
 #[derive(Clone, Debug)]
@@ -26,31 +26,32 @@
     Admit {
         key: u8,
         body: u8,
-        wait: u64,
+        timeout: u64,
     },
-    /// Own intents and owed records reach the log, so many milliseconds ago by its clock.
+    /// Own intents and pending records are appended `ago` milliseconds before now, by the log's
+    /// clock.
     Append {
         ago: u64,
     },
-    /// An own intent reaches the log a second time.
-    Repeat {
+    /// An own intent is appended again.
+    AppendAgain {
         pick: usize,
     },
-    /// Another side's records reach the log.
-    Other {
+    /// Records of another side are appended.
+    AppendForeign {
         records: Vec<Record>,
         ago: u64,
     },
-    /// Bytes of no known meaning reach the log.
-    Garbage,
+    /// A record that can't be decoded is appended.
+    AppendGarbage,
     Read {
         count: u8,
     },
-    /// A record is delivered again.
-    Again {
+    /// A record that was read before is delivered again.
+    Redeliver {
         pick: usize,
     },
-    /// The log has trimmed records unread.
+    /// The log trims records that were not read.
     Trim {
         count: u8,
     },
@@ -61,7 +62,7 @@
         pick: usize,
         lost: bool,
     },
-    Void {
+    Abandon {
         pick: usize,
     },
     Expire,
@@ -73,48 +74,48 @@
 pub fn ops() -> impl Strategy<Value = Vec<Op>> {
     let pick = 0_usize..4;
     let op = prop_oneof![
-        6 => (0..KEYS, 0_u8..2, 0_u64..60).prop_map(|(key, body, wait)| Op::Admit { key, body, wait }),
+        6 => (0..KEYS, 0_u8..2, 0_u64..60).prop_map(|(key, body, timeout)| Op::Admit { key, body, timeout }),
         6 => (0_u64..20).prop_map(|ago| Op::Append { ago }),
-        1 => pick.clone().prop_map(|pick| Op::Repeat { pick }),
-        3 => (batch(), 0_u64..20).prop_map(|(records, ago)| Op::Other { records, ago }),
-        1 => Just(Op::Garbage),
+        1 => pick.clone().prop_map(|pick| Op::AppendAgain { pick }),
+        3 => (batch(), 0_u64..20).prop_map(|(records, ago)| Op::AppendForeign { records, ago }),
+        1 => Just(Op::AppendGarbage),
         8 => (1_u8..4).prop_map(|count| Op::Read { count }),
-        1 => pick.clone().prop_map(|pick| Op::Again { pick }),
+        1 => pick.clone().prop_map(|pick| Op::Redeliver { pick }),
         1 => (1_u8..3).prop_map(|count| Op::Trim { count }),
         5 => pick.clone().prop_map(|pick| Op::Send { pick }),
         4 => (pick.clone(), any::<bool>()).prop_map(|(pick, lost)| Op::Finish { pick, lost }),
-        2 => pick.prop_map(|pick| Op::Void { pick }),
+        2 => pick.prop_map(|pick| Op::Abandon { pick }),
         1 => Just(Op::Expire),
         3 => (1_u64..70).prop_map(|step| Op::Tick { step }),
     ];
-    prop::collection::vec(op, 1..TRACE)
+    prop::collection::vec(op, 1..MAX_OPS)
 }
 
-/// Records of another side, or of this side's predecessor.
+/// Records of another side, or of an earlier incarnation of this one.
 pub fn batch() -> impl Strategy<Value = Vec<Record>> {
     let owner = prop_oneof![Just(("a", 1)), Just(("b", 1)), Just(("b", 2))];
     let record = (owner, 0_u64..3, 0..KEYS, 0_u8..2, 0_u8..4, 0_u64..60);
-    let record = record.prop_map(|(by, seq, key, body, kind, wait)| {
+    let record = record.prop_map(|(owner, seq, key, body, kind, timeout)| {
         let attempt = Attempt {
-            owner: owner_of(by),
+            owner: owner_of(owner),
             seq,
         };
-        foreign(attempt, key, body, kind, wait)
+        foreign_record(attempt, key, body, kind, timeout)
     });
     prop::collection::vec(record, 1..4)
 }
 
-pub fn side() -> Ledger {
-    let limits = Limits::new(Millis(WINDOW), Millis(AHEAD), Millis(KEPT)).unwrap();
-    Ledger::new(owner_of(ME), limits, OffsetRange { first: 0, end: 0 })
+pub fn new_ledger() -> Ledger {
+    let limits = Limits::new(Millis(WINDOW), Millis(MAX_AHEAD), Millis(LOG_RETENTION)).unwrap();
+    Ledger::new(owner_of(OWNER), limits, OffsetRange { first: 0, end: 0 })
 }
 
-/// Both versions, and the log they read.
+/// Both implementations, and the log they read.
 pub struct Pair {
     real: Ledger,
     naive: Naive,
     log: Vec<LogRecord>,
-    pending: Vec<Record>,
+    unappended: Vec<Record>,
     intents: Vec<Record>,
     won: Vec<SendPermit>,
     sent: Vec<SentAttempt>,
@@ -122,15 +123,15 @@
     seq: u64,
 }
 
-type Checked = Result<(), TestCaseError>;
+type CheckResult = Result<(), TestCaseError>;
 
 impl Pair {
     pub fn new() -> Self {
         Self {
-            real: side(),
-            naive: Naive::new(owner_of(ME)),
+            real: new_ledger(),
+            naive: Naive::new(owner_of(OWNER)),
             log: Vec::new(),
-            pending: Vec::new(),
+            unappended: Vec::new(),
             intents: Vec::new(),
             won: Vec::new(),
             sent: Vec::new(),
@@ -139,42 +140,42 @@
         }
     }
 
-    pub fn step(&mut self, op: &Op) -> Checked {
+    pub fn step(&mut self, op: &Op) -> CheckResult {
         match op {
-            Op::Admit { key, body, wait } => self.admit(*key, *body, *wait)?,
+            Op::Admit { key, body, timeout } => self.admit(*key, *body, *timeout)?,
             Op::Append { ago } => self.append_own(*ago),
-            Op::Repeat { pick } => {
+            Op::AppendAgain { pick } => {
                 let again = self.intents.get(*pick).cloned();
                 self.append(&again.into_iter().collect::<Vec<_>>(), 0);
             }
-            Op::Other { records, ago } => self.append(records, *ago),
-            Op::Garbage => self.push(vec![0xc1], 0),
+            Op::AppendForeign { records, ago } => self.append(records, *ago),
+            Op::AppendGarbage => self.push(vec![0xc1], 0),
             Op::Read { count } => (0..*count).try_for_each(|_| self.read())?,
-            Op::Again { pick } => self.again(*pick)?,
+            Op::Redeliver { pick } => self.redeliver(*pick)?,
             Op::Trim { count } => self.trim(*count)?,
             Op::Send { pick } => self.send(*pick)?,
             Op::Finish { pick, lost } => self.finish(*pick, *lost),
-            Op::Void { pick } => self.void(*pick)?,
+            Op::Abandon { pick } => self.abandon(*pick)?,
             Op::Expire => self.expire()?,
             Op::Tick { step } => self.now += step,
         }
         self.compare()
     }
 
-    fn compare(&self) -> Checked {
-        prop_assert_eq!(self.real.next_offset(), self.naive.next);
+    fn compare(&self) -> CheckResult {
+        prop_assert_eq!(self.real.next_offset(), self.naive.next_offset);
         let real: Vec<&Record> = self.real.pending_records().collect();
-        let mut naive: Vec<&Record> = self.naive.owed.iter().collect();
+        let mut naive: Vec<&Record> = self.naive.pending_records.iter().collect();
         naive.sort_by_key(|r| r.attempt());
         prop_assert_eq!(real, naive);
         let own = self.real.dump().own_attempts;
-        prop_assert_eq!(own.len(), self.naive.own.len());
+        prop_assert_eq!(own.len(), self.naive.own_attempts.len());
         Ok(())
     }
 
-    fn admit(&mut self, key: u8, body: u8, wait: u64) -> Checked {
+    fn admit(&mut self, key: u8, body: u8, timeout: u64) -> CheckResult {
         let (key, digest) = (key_of(key), Digest::of(&[body]));
-        let (now, deadline) = (Millis(self.now), Millis(self.now + wait));
+        let (now, deadline) = (Millis(self.now), Millis(self.now + timeout));
         let call = Call {
             key: &key,
             digest,
@@ -185,46 +186,46 @@
         let found = match self.real.admit(&call) {
             Admission::Claim(intent) => {
                 self.claim(intent)?;
-                Finding::Free
+                KeyStatus::Free
             }
-            Admission::Replay(outcome) => Finding::Lost(Verdict::Replay(outcome.clone())),
-            Admission::Refuse(reason) => Finding::Lost(Verdict::Refuse(reason)),
+            Admission::Replay(outcome) => KeyStatus::Decided(Verdict::Replay(outcome.clone())),
+            Admission::Refuse(reason) => KeyStatus::Decided(Verdict::Refuse(reason)),
         };
         prop_assert_eq!(found, expected);
         Ok(())
     }
 
-    fn expected(&self, call: &Call<'_>) -> Finding {
+    fn expected(&self, call: &Call<'_>) -> KeyStatus {
         let now = call.now.0;
-        let early = if now < self.naive.blind() {
+        let early = if now < self.naive.blocked_until() {
             Some(Reason::LogDown)
-        } else if let Some(reason) = key_age(call.key, now) {
+        } else if let Some(reason) = check_key_time(call.key, now) {
             Some(reason)
         } else {
             (call.deadline <= call.now).then_some(Reason::Deadline)
         };
         match early {
-            Some(reason) => Finding::Lost(Verdict::Refuse(reason)),
-            None => self.naive.find(call.key, call.digest, now),
+            Some(reason) => KeyStatus::Decided(Verdict::Refuse(reason)),
+            None => self.naive.status(call.key, call.digest, now),
         }
     }
 
-    fn claim(&mut self, intent: Intent) -> Checked {
+    fn claim(&mut self, intent: Intent) -> CheckResult {
         prop_assert_eq!(intent.attempt.seq, self.seq);
         prop_assert!(intent.deadline.0 <= self.now + WINDOW / 2);
         self.seq += 1;
-        self.naive.own.push(Own {
+        self.naive.own_attempts.push(NaiveAttempt {
             intent: intent.clone(),
             won: false,
             sent: false,
         });
         self.intents.push(Record::Intent(intent.clone()));
-        self.pending.push(Record::Intent(intent));
+        self.unappended.push(Record::Intent(intent));
         Ok(())
     }
 
     fn append_own(&mut self, ago: u64) {
-        let mut records = std::mem::take(&mut self.pending);
+        let mut records = std::mem::take(&mut self.unappended);
         records.extend(self.real.pending_records().cloned());
         self.append(&records, ago);
     }
@@ -244,7 +245,7 @@
         });
     }
 
-    fn read(&mut self) -> Checked {
+    fn read(&mut self) -> CheckResult {
         let next = usize::try_from(self.real.next_offset()).unwrap();
         match self.log.get(next).cloned() {
             Some(record) => self.deliver(&record),
@@ -252,7 +253,7 @@
         }
     }
 
-    fn again(&mut self, pick: usize) -> Checked {
+    fn redeliver(&mut self, pick: usize) -> CheckResult {
         let record = self.log.get(pick).cloned();
         match record {
             Some(record) if record.offset < self.real.next_offset() => self.deliver(&record),
@@ -260,30 +261,30 @@
         }
     }
 
-    fn deliver(&mut self, record: &LogRecord) -> Checked {
+    fn deliver(&mut self, record: &LogRecord) -> CheckResult {
         let real = self.real.apply(record);
-        let naive = self.naive.read(record);
-        self.meet(real, &naive)
+        let naive = self.naive.apply(record);
+        self.compare_events(real, &naive)
     }
 
-    fn trim(&mut self, count: u8) -> Checked {
+    fn trim(&mut self, count: u8) -> CheckResult {
         let first = self.real.next_offset() + u64::from(count);
         if first > self.log.len() as u64 {
             return Ok(());
         }
         let real = self.real.handle_trim(first);
-        let naive = self.naive.trimmed(first);
-        self.meet(real, &naive)
+        let naive = self.naive.handle_trim(first);
+        self.compare_events(real, &naive)
     }
 
-    fn expire(&mut self) -> Checked {
+    fn expire(&mut self) -> CheckResult {
         let real = self.real.expire_attempts(Millis(self.now));
-        let naive = self.naive.expire(self.now);
-        self.meet(real, &naive)
+        let naive = self.naive.expire_attempts(self.now);
+        self.compare_events(real, &naive)
     }
 
-    fn meet(&mut self, real: Vec<Event>, naive: &[Happening]) -> Checked {
-        let found: Vec<Happening> = real.iter().map(happening).collect();
+    fn compare_events(&mut self, real: Vec<Event>, naive: &[NaiveEvent]) -> CheckResult {
+        let found: Vec<NaiveEvent> = real.iter().map(naive_event).collect();
         prop_assert_eq!(&found[..], naive);
         for event in real {
             if let Event::Won(won) = event {
@@ -293,7 +294,7 @@
         Ok(())
     }
 
-    fn send(&mut self, pick: usize) -> Checked {
+    fn send(&mut self, pick: usize) -> CheckResult {
         let Some(won) = self.won.get(pick).cloned() else {
             return Ok(());
         };
@@ -301,7 +302,7 @@
         let real = self.real.mark_sent(won, Millis(self.now));
         let own = self
             .naive
-            .own
+            .own_attempts
             .iter_mut()
             .find(|o| o.intent.attempt == attempt);
         match (real, own) {
@@ -309,7 +310,7 @@
             (Err(StepError::AlreadySent { .. }), Some(own)) => prop_assert!(own.sent),
             (Err(StepError::DeadlinePassed { .. }), Some(own)) => {
                 prop_assert!(own.intent.deadline.0 <= self.now);
-                self.naive.give_up(&attempt);
+                self.naive.abandon_own(&attempt);
             }
             (Ok(sent), Some(own)) => {
                 prop_assert!(own.won && !own.sent && own.intent.deadline.0 > self.now);
@@ -330,23 +331,29 @@
         let outcome = if lost {
             Outcome::Unknown
         } else {
-            answer(attempt.seq)
+            response(attempt.seq)
         };
         let record = self.real.finish(sent, outcome).unwrap().clone();
-        self.naive.own.retain(|o| o.intent.attempt != attempt);
-        self.naive.owed.push(record);
+        self.naive
+            .own_attempts
+            .retain(|o| o.intent.attempt != attempt);
+        self.naive.pending_records.push(record);
     }
 
-    fn void(&mut self, pick: usize) -> Checked {
+    fn abandon(&mut self, pick: usize) -> CheckResult {
         let Some(attempt) = self.intents.get(pick).map(|r| r.attempt().clone()) else {
             return Ok(());
         };
         let real = self.real.abandon(&attempt);
-        let own = self.naive.own.iter().find(|o| o.intent.attempt == attempt);
+        let own = self
+            .naive
+            .own_attempts
+            .iter()
+            .find(|o| o.intent.attempt == attempt);
         match (real, own) {
             (Ok(_), Some(own)) => {
                 prop_assert!(!own.sent);
-                self.naive.give_up(&attempt);
+                self.naive.abandon_own(&attempt);
             }
             (Err(StepError::AlreadySent { .. }), Some(own)) => prop_assert!(own.sent),
             (Err(StepError::NotOpen { .. }), None) => {}
@@ -356,11 +363,11 @@
     }
 }
 
-fn happening(event: &Event) -> Happening {
+fn naive_event(event: &Event) -> NaiveEvent {
     match event {
-        Event::Won(won) => Happening::Won(won.attempt().clone()),
-        Event::Lost { attempt, verdict } => Happening::Lost(attempt.clone(), verdict.clone()),
-        Event::Unreadable { offset, .. } => Happening::Unreadable(*offset),
+        Event::Won(won) => NaiveEvent::Won(won.attempt().clone()),
+        Event::Lost { attempt, verdict } => NaiveEvent::Lost(attempt.clone(), verdict.clone()),
+        Event::Unreadable { offset, .. } => NaiveEvent::Unreadable(*offset),
     }
 }
 
@@ -371,24 +378,24 @@
     }
 }
 
-/// Two opaque keys, then two that carry a time.
+/// Keys 0 and 1 are opaque; the others are UUIDs that contain a time.
 fn key_of(key: u8) -> Key {
     let text = match key {
         0 => "seat-1".to_owned(),
         1 => "seat-2".to_owned(),
-        2 => timed(START),
-        _ => timed(START + 2 * AHEAD),
+        2 => uuid_text(START),
+        _ => uuid_text(START + 2 * MAX_AHEAD),
     };
     Key::parse(&"c".into(), &text).unwrap()
 }
 
-fn timed(at: u64) -> String {
+fn uuid_text(at: u64) -> String {
     uuid::Builder::from_unix_timestamp_millis(at, &[7; 10])
         .into_uuid()
         .to_string()
 }
 
-fn answer(seq: u64) -> Outcome {
+fn response(seq: u64) -> Outcome {
     Outcome::Response(RecordedResponse::new(
         200,
         Vec::new(),
@@ -397,7 +404,7 @@
     ))
 }
 
-fn foreign(attempt: Attempt, key: u8, body: u8, kind: u8, wait: u64) -> Record {
+fn foreign_record(attempt: Attempt, key: u8, body: u8, kind: u8, timeout: u64) -> Record {
     let (key, digest) = (key_of(key), Digest::of(&[body]));
     match kind {
         0 => Record::Abandon(Abandon { attempt, key }),
@@ -405,7 +412,7 @@
             let outcome = if body == 0 {
                 Outcome::Unknown
             } else {
-                answer(attempt.seq)
+                response(attempt.seq)
             };
             Record::Done(Done {
                 attempt,
@@ -415,7 +422,7 @@
             })
         }
         _ => {
-            let deadline = Millis(START + wait);
+            let deadline = Millis(START + timeout);
             Record::Intent(Intent {
                 attempt,
                 key,
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Texts of keys, spans, digests and bodies: tables of cases.
+//! Table-driven tests of keys, limits, digests and recorded bodies.
 
 use pumicecleat_ledger::{
     Body, Digest, Key, KeyError, LimitError, Limits, MAX_KEY_BYTES, RecordedResponse,
@@ -24,7 +24,7 @@
 }
 
 fn key_cases() -> Vec<KeyCase> {
-    let strange = |found| KeyError::InvalidCharacter {
+    let invalid = |found| KeyError::InvalidCharacter {
         caller: caller(),
         found,
     };
@@ -34,10 +34,10 @@
         key_case("\"seat-41\"", Ok("seat-41"), None),
         key_case("", Err(empty.clone()), None),
         key_case("\"\"", Err(empty), None),
-        key_case("\"", Err(strange('"')), None),
-        key_case("seat 41", Err(strange(' ')), None),
-        key_case("seat\n41", Err(strange('\n')), None),
-        key_case("szék", Err(strange('é')), None),
+        key_case("\"", Err(invalid('"')), None),
+        key_case("seat 41", Err(invalid(' ')), None),
+        key_case("seat\n41", Err(invalid('\n')), None),
+        key_case("szék", Err(invalid('é')), None),
         key_case(
             "017f22e2-79b0-7cc3-98c4-dc0c0c07398f",
             Ok("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn texts_are_checked() {
+fn key_texts_are_checked() {
     for case in key_cases() {
         let key = Key::parse(&caller(), case.text);
         let minted = key.as_ref().ok().and_then(Key::minted);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn long_texts_are_refused() {
+fn long_keys_are_refused() {
     let longest = "k".repeat(MAX_KEY_BYTES);
     let longer = "k".repeat(MAX_KEY_BYTES + 1);
     assert!(Key::parse(&caller(), &longest).is_ok());
@@ -87,28 +87,28 @@
 
 struct LimitCase {
     window: u64,
-    ahead: u64,
-    kept: u64,
+    max_ahead: u64,
+    log_retention: u64,
     error: Option<LimitError>,
 }
 
 const LIMITS: &[LimitCase] = &[
     LimitCase {
         window: 100,
-        ahead: 10,
-        kept: 111,
+        max_ahead: 10,
+        log_retention: 111,
         error: None,
     },
     LimitCase {
         window: 0,
-        ahead: 10,
-        kept: 111,
+        max_ahead: 10,
+        log_retention: 111,
         error: Some(LimitError::ZeroWindow),
     },
     LimitCase {
         window: 100,
-        ahead: 10,
-        kept: 110,
+        max_ahead: 10,
+        log_retention: 110,
         error: Some(LimitError::RetentionTooShort {
             window: Millis(100),
             max_ahead: Millis(10),
@@ -117,8 +117,8 @@
     },
     LimitCase {
         window: u64::MAX,
-        ahead: 1,
-        kept: u64::MAX,
+        max_ahead: 1,
+        log_retention: u64::MAX,
         error: Some(LimitError::RetentionTooShort {
             window: Millis(u64::MAX),
             max_ahead: Millis(1),
@@ -128,16 +128,20 @@
 ];
 
 #[test]
-fn a_window_is_shorter_than_the_log() {
+fn a_window_is_shorter_than_the_log_retention() {
     for case in LIMITS {
-        let limits = Limits::new(Millis(case.window), Millis(case.ahead), Millis(case.kept));
+        let limits = Limits::new(
+            Millis(case.window),
+            Millis(case.max_ahead),
+            Millis(case.log_retention),
+        );
         assert_eq!(
             limits.err(),
             case.error,
             "{} {} {}",
             case.window,
-            case.ahead,
-            case.kept
+            case.max_ahead,
+            case.log_retention
         );
     }
 }
@@ -170,36 +174,36 @@
 struct BodyCase {
     body: &'static [u8],
     limit: usize,
-    whole: bool,
+    complete: bool,
 }
 
 const BODIES: &[BodyCase] = &[
     BodyCase {
         body: b"",
         limit: 0,
-        whole: true,
+        complete: true,
     },
     BodyCase {
         body: b"held",
         limit: 4,
-        whole: true,
+        complete: true,
     },
     BodyCase {
         body: b"held!",
         limit: 4,
-        whole: false,
+        complete: false,
     },
 ];
 
 #[test]
-fn large_bodies_are_kept_as_digests() {
+fn large_bodies_are_recorded_as_digests() {
     for case in BODIES {
         let answer = RecordedResponse::new(200, Vec::new(), case.body, case.limit);
         let large = Body::Large {
             digest: Digest::of(case.body),
             bytes: case.body.len() as u64,
         };
-        let expected = if case.whole {
+        let expected = if case.complete {
             Body::Complete(case.body.to_vec())
         } else {
             large
@@ -208,33 +212,34 @@
     }
 }
 
-struct PartCase {
+struct PartitionCase {
     caller: &'static str,
     text: &'static str,
-    parts: u32,
-    part: u32,
+    partitions: u32,
+    partition: u32,
 }
 
 #[rustfmt::skip]
-const PARTS: &[PartCase] = &[
-    PartCase { caller: "csillagkapu", text: "seat-41", parts: 1, part: 0 },
-    PartCase { caller: "csillagkapu", text: "seat-41", parts: 8, part: 2 },
-    PartCase { caller: "csillagkapu", text: "\"seat-41\"", parts: 8, part: 2 },
-    PartCase { caller: "vithu-koottam", text: "seat-41", parts: 8, part: 0 },
-    PartCase { caller: "csillagkapu", text: "seat-42", parts: 8, part: 6 },
-    PartCase { caller: "csillagkapu", text: "seat-41", parts: 1_024, part: 1_018 },
+const PARTITIONS: &[PartitionCase] = &[
+    PartitionCase { caller: "csillagkapu", text: "seat-41", partitions: 1, partition: 0 },
+    PartitionCase { caller: "csillagkapu", text: "seat-41", partitions: 8, partition: 2 },
+    PartitionCase { caller: "csillagkapu", text: "\"seat-41\"", partitions: 8, partition: 2 },
+    PartitionCase { caller: "vithu-koottam", text: "seat-41", partitions: 8, partition: 0 },
+    PartitionCase { caller: "csillagkapu", text: "seat-42", partitions: 8, partition: 6 },
+    PartitionCase { caller: "csillagkapu", text: "seat-41", partitions: 1_024, partition: 1_018 },
 ];
 
-/// A part is for ever: another hash would forget the keys in use.
+/// A key must always map to the same partition: with another hash, the records of keys in use would
+/// not be found.
 #[test]
-fn parts_of_keys() {
-    let part = |c: &PartCase| {
+fn partitions_of_keys() {
+    let partition = |c: &PartitionCase| {
         Key::parse(&c.caller.into(), c.text)
             .unwrap()
-            .partition(c.parts)
+            .partition(c.partitions)
     };
-    let found: Vec<u32> = PARTS.iter().map(part).collect();
-    let want: Vec<u32> = PARTS.iter().map(|c| c.part).collect();
+    let found: Vec<u32> = PARTITIONS.iter().map(partition).collect();
+    let want: Vec<u32> = PARTITIONS.iter().map(|c| c.partition).collect();
     assert_eq!(found, want);
     let mut counts = [0_u32; 16];
     for n in 0..16_000 {
