--- a/crates/ledger/tests/model/check.rs
+++ b/crates/ledger/tests/model/check.rs
@@ -1,65 +1,70 @@
-//! Invariants of docs/AT-MOST-ONCE.md, checked in each state.
+//! Checks the invariants of docs/AT-MOST-ONCE.md in each state.
 
 use pumicecleat_ledger::{Admission, Attempt, Call, Intent, Record};
 use pumicecleat_types::Millis;
 
 use crate::side::Side;
-use crate::world::{Effect, Progress, Slip, Told, WAIT, WINDOW, World};
+use crate::state::{CALL_TIMEOUT, CallResult, Effect, Mutation, Progress, State, WINDOW};
 
-impl World {
-    /// First invariant that this state breaks.
-    pub fn breach(&self) -> Option<&'static str> {
+impl State {
+    /// First invariant that this state violates.
+    pub fn violation(&self) -> Option<&'static str> {
         let checks = [
             ("I1", self.has_one_effect()),
-            ("I2", self.denies_truly()),
-            ("I3", self.answers_truly()),
-            ("I4", self.runs_one_body()),
-            ("I5", self.abandons_truly()),
+            ("I2", self.denied_calls_have_no_effect()),
+            ("I3", self.responses_match_effects()),
+            ("I4", self.effects_have_first_body()),
+            ("I5", self.abandoned_attempts_have_no_effect()),
         ];
         let broken = checks.into_iter().filter(|(_, holds)| !holds);
-        broken.map(|(rule, _)| rule).find(|rule| self.minds(rule))
+        broken
+            .map(|(invariant, _)| invariant)
+            .find(|invariant| self.is_checked(invariant))
     }
 
-    /// Whether an invariant is to be checked.
-    pub fn minds(&self, rule: &str) -> bool {
-        self.fixed.only.is_none_or(|only| only == rule)
+    /// Whether an invariant is checked in this search.
+    pub fn is_checked(&self, invariant: &str) -> bool {
+        self.settings
+            .only_invariant
+            .is_none_or(|only| only == invariant)
     }
 
     /// L1: whether each call that reached a side has ended.
-    pub fn is_answered(&self) -> bool {
+    pub fn all_calls_ended(&self) -> bool {
         let mut calls = self.calls.iter();
         calls.all(|c| !matches!(c.progress, Progress::Open { .. }))
     }
 
-    /// L2: whether no key is held for nothing, once each side has read and appended all it can.
-    pub fn is_settled(&self) -> bool {
-        let owes = self.sides.iter().any(|s| s.owes());
-        !owes && (self.is_held() || self.sides.iter().all(|s| self.admits(s)))
+    /// L2: whether no record is pending and no key is blocked without reason, once each side has
+    /// read and appended all it can.
+    pub fn is_every_key_usable(&self) -> bool {
+        let has_pending_records = self.sides.iter().any(|s| s.has_pending_records());
+        !has_pending_records && (self.is_key_taken() || self.sides.iter().all(|s| self.admits(s)))
     }
 
-    // Held for good reason: it ran, or a side that has stopped may have run it.
-    fn is_held(&self) -> bool {
-        let known = |s: &Side, a: &Attempt| s.owner == a.owner || s.ended.contains(a);
+    // Rightly blocked: the call ran, or a side that has stopped may have run it.
+    fn is_key_taken(&self) -> bool {
+        let known = |s: &Side, a: &Attempt| s.owner == a.owner || s.ended_attempts.contains(a);
         let lives = |a: &Attempt| self.sides.iter().any(|s| known(s, a));
         !self.effects.is_empty() || !self.attempts.keys().all(lives)
     }
 
-    // The body that came first may be asked for again.
+    // Whether a side would accept a new call with one of the bodies.
     fn admits(&self, side: &Side) -> bool {
         self.calls.iter().any(|c| {
             let now = Millis(self.clock);
             let call = Call {
-                key: &self.fixed.key,
+                key: &self.settings.key,
                 digest: self.digest(c.body),
                 now,
-                deadline: now + Millis(WAIT),
+                deadline: now + Millis(CALL_TIMEOUT),
             };
             let mut ledger = side.ledger.clone();
             matches!(ledger.admit(&call), Admission::Claim(_))
         })
     }
 
-    // I1: one effect within the window.
+    // I1: at most one effect within the window.
     fn has_one_effect(&self) -> bool {
         let effects = self.effects.iter().enumerate();
         effects
@@ -67,32 +72,37 @@
             .all(|(a, b)| a.at.abs_diff(b.at) >= WINDOW)
     }
 
-    // I2: no effect, ever, of a call that was told "not run".
-    fn denies_truly(&self) -> bool {
-        let denied = |e: &Effect| self.calls[e.call].progress == Progress::Told(Told::NotRun);
+    // I2: a call that was reported as "not run" never has an effect.
+    fn denied_calls_have_no_effect(&self) -> bool {
+        let denied =
+            |e: &Effect| self.calls[e.call].progress == Progress::Ended(CallResult::NotRun);
         !self.effects.iter().any(denied)
     }
 
-    // I3: an answer is the one of the attempt that ran.
-    fn answers_truly(&self) -> bool {
+    // I3: a response is the one of the attempt that ran.
+    fn responses_match_effects(&self) -> bool {
         self.calls
             .iter()
             .enumerate()
             .all(|(call, c)| match c.progress {
-                Progress::Told(Told::Ran(by)) => usize::from(by) == call && self.ran(by, c.body),
-                Progress::Told(Told::Replay(by)) => self.ran(by, c.body),
+                Progress::Ended(CallResult::Ran(by)) => {
+                    usize::from(by) == call && self.has_effect(by, c.body)
+                }
+                Progress::Ended(CallResult::Replay(by)) => self.has_effect(by, c.body),
                 _ => true,
             })
     }
 
-    fn ran(&self, by: u8, body: u8) -> bool {
+    fn has_effect(&self, by: u8, body: u8) -> bool {
         let mut effects = self.effects.iter();
         effects.any(|e| e.call == usize::from(by) && e.body == body)
     }
 
-    // I4: what ran has the body that its key's first intent in the window before it had.
-    fn runs_one_body(&self) -> bool {
-        let named = |e: &Effect| self.slips(Slip::BlankDigest) || self.is_named(e);
+    // I4: a call that ran has the body of the key's first intent within the window before it.
+    fn effects_have_first_body(&self) -> bool {
+        let named = |e: &Effect| {
+            self.has_mutation(Mutation::DigestWithoutBody) || self.intents_have_body(e)
+        };
         self.effects
             .iter()
             .all(|e| match self.first_body(&e.attempt) {
@@ -101,8 +111,8 @@
             })
     }
 
-    // Each intent under the attempt's name has the body that ran.
-    fn is_named(&self, effect: &Effect) -> bool {
+    // Each intent with the attempt's identity has the body that ran.
+    fn intents_have_body(&self, effect: &Effect) -> bool {
         let mut own = self.intents().filter(|(_, i)| i.attempt == effect.attempt);
         own.all(|(_, i)| i.digest == self.digest(effect.body))
     }
@@ -116,7 +126,7 @@
     }
 
     // I5: an abandoned attempt has no effect.
-    fn abandons_truly(&self) -> bool {
+    fn abandoned_attempts_have_no_effect(&self) -> bool {
         let records = self.log.entries.iter().flat_map(|e| e.batch.iter());
         let abandoned = records.filter(|r| matches!(r, Record::Abandon(_)));
         let mut attempts = abandoned.map(Record::attempt);
--- a/crates/ledger/tests/model/log.rs
+++ b/crates/ledger/tests/model/log.rs
@@ -1,14 +1,14 @@
-//! Log of the small world: one append, one offset; the oldest entries are trimmed.
+//! Log of the model. Each append gets one offset, and the oldest entries are trimmed.
 
 use std::rc::Rc;
 
 use pumicecleat_ledger::{OffsetRange, Record};
 use pumicecleat_types::LogRecord;
 
-/// Records on their way to the log, in one append.
+/// Records of one append.
 pub type Batch = Rc<Vec<Record>>;
 
-/// Entry of the log, kept here also after it was trimmed, for the checks.
+/// Entry of the log. It stays here for the checks after it was trimmed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
     pub at: u64,
@@ -32,7 +32,7 @@
         }
     }
 
-    pub fn span(&self) -> OffsetRange {
+    pub fn range(&self) -> OffsetRange {
         OffsetRange {
             first: self.first as u64,
             end: self.end(),
@@ -47,8 +47,8 @@
         self.entries.push(Entry { at, batch });
     }
 
-    /// Entry that a reader at `next` gets, past what was trimmed.
-    pub fn after(&self, next: u64) -> Option<LogRecord> {
+    /// Entry that a reader at `next` gets; trimmed entries are skipped.
+    pub fn read_from(&self, next: u64) -> Option<LogRecord> {
         let offset = next.max(self.first as u64);
         let entry = self.entries.get(usize::try_from(offset).unwrap())?;
         Some(LogRecord {
@@ -58,11 +58,11 @@
         })
     }
 
-    /// Entries older than `kept` at `now`.
-    pub fn old(&self, now: u64, kept: u64) -> usize {
+    /// Number of entries that are older than `log_retention` at `now`.
+    pub fn expired(&self, now: u64, log_retention: u64) -> usize {
         self.entries
             .iter()
-            .take_while(|e| e.at + kept <= now)
+            .take_while(|e| e.at + log_retention <= now)
             .count()
     }
 }
--- a/crates/ledger/tests/model/main.rs
+++ b/crates/ledger/tests/model/main.rs
@@ -1,35 +1,37 @@
-//! Exhaustive search of the real [`Ledger`](pumicecleat_ledger::Ledger) in a small world: two
-//! sides, a log, an upstream that counts effects, and callers that repeat through either side.
+//! Exhaustive model check of the real [`Ledger`](pumicecleat_ledger::Ledger) with two sides, a log,
+//! an upstream that counts effects, and callers that retry through either side.
 //!
-//! `PUMICECLEAT_DEEP=1` searches larger bounds. docs/AT-MOST-ONCE.md names the invariants.
+//! `PUMICECLEAT_DEEP=1` searches larger bounds. docs/AT-MOST-ONCE.md defines the invariants.
 
 mod check;
 mod log;
 mod moves;
-mod parts;
+mod reopen;
 mod search;
 mod side;
-mod world;
+mod state;
 
 use std::time::Instant;
 
 use search::{Report, explore};
-use world::{Budget, GONE, LATE, LONG, Scenario, Slip, Spec, World};
+use state::{
+    Budget, CallSpec, MOST_OF_WINDOW, Mutation, PAST_DEADLINE, PAST_RETENTION, Scenario, State,
+};
 
-const SAME: Spec = Spec { body: 0 };
-const OTHER: Spec = Spec { body: 1 };
-const ONE: &[Spec] = &[SAME];
-const PAIR: &[Spec] = &[SAME, SAME];
-const RIVALS: &[Spec] = &[SAME, OTHER];
-const MIXED: &[Spec] = &[SAME, SAME, OTHER];
+const BODY_0: CallSpec = CallSpec { body: 0 };
+const BODY_1: CallSpec = CallSpec { body: 1 };
+const ONE_CALL: &[CallSpec] = &[BODY_0];
+const TWO_CALLS: &[CallSpec] = &[BODY_0, BODY_0];
+const TWO_BODIES: &[CallSpec] = &[BODY_0, BODY_1];
+const THREE_CALLS: &[CallSpec] = &[BODY_0, BODY_0, BODY_1];
 
 struct Bound {
     name: &'static str,
-    calls: &'static [Spec],
+    calls: &'static [CallSpec],
     budget: Budget,
 }
 
-const fn bound(name: &'static str, calls: &'static [Spec], budget: Budget) -> Bound {
+const fn bound(name: &'static str, calls: &'static [CallSpec], budget: Budget) -> Bound {
     Bound {
         name,
         calls,
@@ -40,84 +42,116 @@
 const BOUNDS: &[Bound] = &[
     bound(
         "other body",
-        RIVALS,
+        TWO_BODIES,
         Budget {
             outages: 1,
             ..Budget::NONE
         },
     ),
-    bound("lost answer, crash", PAIR, Budget::CRASH.losses(1)),
-    bound("lost reply, crash", PAIR, Budget::CUT.crashes(1)),
-    bound("deadline", RIVALS, Budget::NONE.ticks(&[LATE])),
+    bound(
+        "lost response, crash",
+        TWO_CALLS,
+        Budget::CRASH.lost_responses(1),
+    ),
+    bound(
+        "lost reply, crash",
+        TWO_CALLS,
+        Budget::LOST_REPLY.crashes(1),
+    ),
+    bound(
+        "deadline",
+        TWO_BODIES,
+        Budget::NONE.clock_steps(&[PAST_DEADLINE]),
+    ),
     bound(
         "late start after a trim",
-        PAIR,
-        Budget::CRASH.ticks(&[GONE]).trims(1),
+        TWO_CALLS,
+        Budget::CRASH.clock_steps(&[PAST_RETENTION]).trims(1),
     ),
     bound(
         "trim within a window",
-        PAIR,
-        Budget::NONE.ticks(&[LONG, LATE]).trims(1),
+        TWO_CALLS,
+        Budget::NONE
+            .clock_steps(&[MOST_OF_WINDOW, PAST_DEADLINE])
+            .trims(1),
     ),
     bound(
-        "missed send, lost answer",
-        PAIR,
+        "failed send, lost response",
+        TWO_CALLS,
         Budget {
-            misses: 1,
-            ..Budget::LOSS
+            failed_sends: 1,
+            ..Budget::LOST_RESPONSE
         },
     ),
-    bound("two closings", RIVALS, Budget::NONE.closes(2)),
-    bound("closing, lost reply", PAIR, Budget::CUT.closes(1)),
+    bound("two closings", TWO_BODIES, Budget::NONE.closes(2)),
+    bound(
+        "closing, lost reply",
+        TWO_CALLS,
+        Budget::LOST_REPLY.closes(1),
+    ),
     bound(
         "closing, trim within a window",
-        PAIR,
-        Budget::CLOSE.ticks(&[LONG, LATE]).trims(1),
+        TWO_CALLS,
+        Budget::CLOSE
+            .clock_steps(&[MOST_OF_WINDOW, PAST_DEADLINE])
+            .trims(1),
     ),
-    bound("three calls", MIXED, Budget::NONE),
+    bound("three calls", THREE_CALLS, Budget::NONE),
 ];
 
 const DEEP: &[Bound] = &[
     bound(
         "two closings, lost reply, crash",
-        PAIR,
-        Budget::CUT.crashes(1).closes(2),
+        TWO_CALLS,
+        Budget::LOST_REPLY.crashes(1).closes(2),
     ),
     bound(
         "two lost replies",
-        PAIR,
+        TWO_CALLS,
         Budget {
-            cuts: 2,
+            lost_replies: 2,
             ..Budget::NONE
         },
     ),
     bound(
-        "lost reply and answer, crash",
-        PAIR,
-        Budget::CUT.crashes(1).losses(1),
+        "lost reply and response, crash",
+        TWO_CALLS,
+        Budget::LOST_REPLY.crashes(1).lost_responses(1),
+    ),
+    bound(
+        "two crashes",
+        TWO_CALLS,
+        Budget::LOST_REPLY.crashes(2).lost_responses(1),
     ),
-    bound("two crashes", PAIR, Budget::CUT.crashes(2).losses(1)),
     bound(
         "crash, trim within a window",
-        PAIR,
-        Budget::CRASH.ticks(&[LONG, LATE]).trims(1),
+        TWO_CALLS,
+        Budget::CRASH
+            .clock_steps(&[MOST_OF_WINDOW, PAST_DEADLINE])
+            .trims(1),
+    ),
+    bound("three calls, crash", THREE_CALLS, Budget::CRASH),
+    bound(
+        "three calls, lost reply",
+        &[BODY_0, BODY_0, BODY_0],
+        Budget::LOST_REPLY,
     ),
-    bound("three calls, crash", MIXED, Budget::CRASH),
-    bound("three calls, lost reply", &[SAME, SAME, SAME], Budget::CUT),
     bound(
         "three calls, trim within a window",
-        &[SAME, SAME, SAME],
-        Budget::NONE.ticks(&[LONG, LATE]).trims(1),
+        &[BODY_0, BODY_0, BODY_0],
+        Budget::NONE
+            .clock_steps(&[MOST_OF_WINDOW, PAST_DEADLINE])
+            .trims(1),
     ),
 ];
 
 fn run(bound: &Bound) -> Report {
     let scenario = Scenario {
         calls: bound.calls,
-        slip: Slip::None,
-        only: None,
+        mutation: Mutation::None,
+        only_invariant: None,
     };
-    explore(World::new(&scenario, bound.budget))
+    explore(State::new(&scenario, bound.budget))
 }
 
 fn search_all(bounds: &[Bound]) {
@@ -125,7 +159,7 @@
         let start = Instant::now();
         let report = run(bound);
         println!("{}: {report}, {:.1?}", bound.name, start.elapsed());
-        assert!(report.breach.is_none(), "{}: {report}", bound.name);
+        assert!(report.violation.is_none(), "{}: {report}", bound.name);
     }
 }
 
@@ -144,61 +178,101 @@
 }
 
 struct Mutant {
-    slip: Slip,
-    breaks: &'static str,
-    calls: &'static [Spec],
+    mutation: Mutation,
+    invariant: &'static str,
+    calls: &'static [CallSpec],
     budget: Budget,
 }
 
 const fn mutant(
-    slip: Slip,
-    breaks: &'static str,
-    calls: &'static [Spec],
+    mutation: Mutation,
+    invariant: &'static str,
+    calls: &'static [CallSpec],
     budget: Budget,
 ) -> Mutant {
     Mutant {
-        slip,
-        breaks,
+        mutation,
+        invariant,
         calls,
         budget,
     }
 }
 
 const MUTANTS: &[Mutant] = &[
-    mutant(Slip::SendUnread, "I1", PAIR, Budget::NONE),
-    mutant(Slip::ResendOpen, "I1", ONE, Budget::CRASH),
-    mutant(Slip::ReadFromEnd, "I1", PAIR, Budget::CRASH),
-    mutant(Slip::ShortWindow, "I1", PAIR, Budget::NONE.ticks(&[LATE])),
+    mutant(Mutation::SendBeforeReadBack, "I1", TWO_CALLS, Budget::NONE),
+    mutant(Mutation::ResendAfterRestart, "I1", ONE_CALL, Budget::CRASH),
+    mutant(Mutation::ReadFromEnd, "I1", TWO_CALLS, Budget::CRASH),
     mutant(
-        Slip::ShortLog,
+        Mutation::ShortWindow,
         "I1",
-        PAIR,
-        Budget::CRASH.ticks(&[LATE]).trims(1),
-    ),
-    mutant(Slip::TakeOver, "I1", PAIR, Budget::NONE.ticks(&[LATE])),
-    mutant(Slip::TakeOver, "I5", PAIR, Budget::NONE.ticks(&[LATE])),
-    mutant(Slip::SendLate, "I1", PAIR, Budget::NONE.ticks(&[GONE])),
-    mutant(Slip::DenyOnCut, "I2", ONE, Budget::CUT),
-    mutant(Slip::DenyOnCrash, "I2", ONE, Budget::CRASH),
-    mutant(Slip::DenySent, "I2", ONE, Budget::NONE),
+        TWO_CALLS,
+        Budget::NONE.clock_steps(&[PAST_DEADLINE]),
+    ),
     mutant(
-        Slip::MissSent,
+        Mutation::ShortRetention,
+        "I1",
+        TWO_CALLS,
+        Budget::CRASH.clock_steps(&[PAST_DEADLINE]).trims(1),
+    ),
+    mutant(
+        Mutation::AbandonForeign,
+        "I1",
+        TWO_CALLS,
+        Budget::NONE.clock_steps(&[PAST_DEADLINE]),
+    ),
+    mutant(
+        Mutation::AbandonForeign,
+        "I5",
+        TWO_CALLS,
+        Budget::NONE.clock_steps(&[PAST_DEADLINE]),
+    ),
+    mutant(
+        Mutation::SendAfterDeadline,
+        "I1",
+        TWO_CALLS,
+        Budget::NONE.clock_steps(&[PAST_RETENTION]),
+    ),
+    mutant(
+        Mutation::DenyOnLostReply,
+        "I2",
+        ONE_CALL,
+        Budget::LOST_REPLY,
+    ),
+    mutant(Mutation::DenyOnCrash, "I2", ONE_CALL, Budget::CRASH),
+    mutant(Mutation::DenySent, "I2", ONE_CALL, Budget::NONE),
+    mutant(
+        Mutation::RevertRealSend,
         "I2",
-        ONE,
+        ONE_CALL,
         Budget {
-            misses: 1,
+            failed_sends: 1,
             ..Budget::NONE
         },
     ),
-    mutant(Slip::InventAnswer, "I3", PAIR, Budget::LOSS),
-    mutant(Slip::BlankDigest, "I4", RIVALS, Budget::NONE),
-    mutant(Slip::NeverGiveUp, "L1", ONE, Budget::CUT),
-    mutant(Slip::ReadFromEnd, "I1", PAIR, Budget::CLOSE),
-    mutant(Slip::CloseBusy, "I2", ONE, Budget::CLOSE),
-    mutant(Slip::ReopenAlike, "I4", RIVALS, Budget::CUT.closes(1)),
-    mutant(Slip::CloseOwing, "L2", ONE, Budget::CLOSE),
-    mutant(Slip::CloseUnread, "L2", ONE, Budget::CLOSE),
-    mutant(Slip::ForgetOwed, "L2", PAIR, Budget::NONE),
+    mutant(
+        Mutation::InventResponse,
+        "I3",
+        TWO_CALLS,
+        Budget::LOST_RESPONSE,
+    ),
+    mutant(Mutation::DigestWithoutBody, "I4", TWO_BODIES, Budget::NONE),
+    mutant(Mutation::NeverAbandon, "L1", ONE_CALL, Budget::LOST_REPLY),
+    mutant(Mutation::ReadFromEnd, "I1", TWO_CALLS, Budget::CLOSE),
+    mutant(Mutation::CloseWithOpenCalls, "I2", ONE_CALL, Budget::CLOSE),
+    mutant(
+        Mutation::ReopenAsSameOwner,
+        "I4",
+        TWO_BODIES,
+        Budget::LOST_REPLY.closes(1),
+    ),
+    mutant(
+        Mutation::CloseWithPendingRecords,
+        "L2",
+        ONE_CALL,
+        Budget::CLOSE,
+    ),
+    mutant(Mutation::CloseBeforeReadBack, "L2", ONE_CALL, Budget::CLOSE),
+    mutant(Mutation::DropPendingRecords, "L2", TWO_CALLS, Budget::NONE),
 ];
 
 #[test]
@@ -206,20 +280,24 @@
     for m in MUTANTS {
         let scenario = Scenario {
             calls: m.calls,
-            slip: m.slip,
-            only: Some(m.breaks),
+            mutation: m.mutation,
+            only_invariant: Some(m.invariant),
         };
-        let report = explore(World::new(&scenario, m.budget));
-        let breach = report.breach.as_ref();
-        let breach = breach.unwrap_or_else(|| panic!("{:?} not found: {report}", m.slip));
+        let report = explore(State::new(&scenario, m.budget));
+        let violation = report.violation.as_ref();
+        let violation = violation.unwrap_or_else(|| panic!("{:?} not found: {report}", m.mutation));
         println!(
             "{:?}: {} after {} moves: {:?}",
-            m.slip,
-            breach.rule,
-            breach.trace.len(),
-            breach.trace
+            m.mutation,
+            violation.invariant,
+            violation.trace.len(),
+            violation.trace
+        );
+        assert_eq!(
+            violation.invariant, m.invariant,
+            "{:?}: {report}",
+            m.mutation
         );
-        assert_eq!(breach.rule, m.breaks, "{:?}: {report}", m.slip);
     }
 }
 
@@ -228,11 +306,15 @@
     for m in MUTANTS {
         let scenario = Scenario {
             calls: m.calls,
-            slip: Slip::None,
-            only: None,
+            mutation: Mutation::None,
+            only_invariant: None,
         };
-        let report = explore(World::new(&scenario, m.budget));
-        println!("bounds of {:?}: {report}", m.slip);
-        assert!(report.breach.is_none(), "bounds of {:?}: {report}", m.slip);
+        let report = explore(State::new(&scenario, m.budget));
+        println!("bounds of {:?}: {report}", m.mutation);
+        assert!(
+            report.violation.is_none(),
+            "bounds of {:?}: {report}",
+            m.mutation
+        );
     }
 }
--- a/crates/ledger/tests/model/moves.rs
+++ b/crates/ledger/tests/model/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of the small world. Each is one step of a side, a caller, the log or the clock.
+//! Moves of the model. Each is one step of a side, a caller, the log or the clock.
 
 use std::rc::Rc;
 
@@ -10,92 +10,95 @@
 
 use crate::log::Batch;
 use crate::side::Side;
-use crate::world::{Effect, Progress, Slip, Told, WAIT, World, owner};
+use crate::state::{CALL_TIMEOUT, CallResult, Effect, Mutation, Progress, State, owner};
 
-const MADE_UP: u8 = 99;
+const INVENTED_CALL: u8 = 99;
 
-/// Move.
+/// One step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Move {
-    /// A call reaches a side.
+    /// A call arrives at a side.
     Submit { call: usize, side: usize },
     /// A side starts an append.
-    Flush { side: usize },
-    /// The append takes effect, and its reply comes.
-    Land { side: usize },
+    StartAppend { side: usize },
+    /// The append takes effect, and the side receives the reply.
+    FinishAppend { side: usize },
     /// The side stops waiting for the reply; the append may still take effect.
-    Cut { side: usize },
-    /// A stray append takes effect.
-    StrayLand { stray: usize },
-    /// A side reads one entry.
+    LoseAppendReply { side: usize },
+    /// An append that no side waits for takes effect.
+    FinishOrphanedAppend { orphan: usize },
+    /// A side reads one entry of the log.
     Read { side: usize },
-    /// A side sends a won call; the upstream does it.
+    /// A side sends a won call, and the upstream executes it.
     Send { call: usize },
-    /// A side finds that no byte of a won call left: the upstream has seen nothing.
-    Miss { call: usize },
-    /// The answer reaches the side.
-    Answer { call: usize },
-    /// The answer is lost.
-    LoseAnswer { call: usize },
-    /// A side gives up an attempt that wasn't sent.
-    Void { call: usize },
-    /// A side stops; another incarnation starts.
+    /// The send of a won call fails before a byte left, so the upstream has received nothing.
+    FailSend { call: usize },
+    /// The response reaches the side.
+    ReceiveResponse { call: usize },
+    /// The response is lost.
+    LoseResponse { call: usize },
+    /// A side abandons an attempt that was not sent.
+    Abandon { call: usize },
+    /// A side crashes, and its next incarnation starts.
     Crash { side: usize },
-    /// A side stops following the stream.
+    /// A side closes the stream.
     Close { side: usize },
-    /// A side follows the stream again, as another owner.
+    /// A side opens the stream again, as a new owner.
     Open { side: usize },
-    /// The log goes away.
-    Down,
-    /// The log comes back.
-    Up,
-    /// The log trims old entries.
+    /// The log becomes unavailable.
+    LogDown,
+    /// The log becomes available again.
+    LogUp,
+    /// The log trims entries older than its retention.
     Trim,
     /// Time passes.
-    Tick { step: u64 },
+    AdvanceClock { step: u64 },
 }
 
-impl World {
-    /// Moves that can be made now.
+impl State {
+    /// All moves that are possible in this state.
     pub fn moves(&self) -> Vec<Move> {
         let mut moves = Vec::new();
         (0..self.sides.len()).for_each(|side| self.side_moves(side, &mut moves));
         (0..self.calls.len()).for_each(|call| self.call_moves(call, &mut moves));
-        self.stray_moves(&mut moves);
-        self.world_moves(&mut moves);
+        self.orphan_moves(&mut moves);
+        self.environment_moves(&mut moves);
         moves
     }
 
-    /// Whether a move is no fault: nothing else is needed for each call to end.
+    /// Whether a move is fair, i.e. not a fault. Fair moves alone must be enough for each call to
+    /// end.
     pub fn is_fair(&self, step: Move) -> bool {
         match step {
-            Move::Flush { .. }
-            | Move::Land { .. }
+            Move::StartAppend { .. }
+            | Move::FinishAppend { .. }
             | Move::Read { .. }
             | Move::Send { .. }
-            | Move::Answer { .. }
+            | Move::ReceiveResponse { .. }
             | Move::Open { .. }
-            | Move::Up => true,
-            Move::Void { call } => !self.slips(Slip::NeverGiveUp) && self.is_hopeless(call),
+            | Move::LogUp => true,
+            Move::Abandon { call } => {
+                !self.has_mutation(Mutation::NeverAbandon) && self.is_intent_lost(call)
+            }
             _ => false,
         }
     }
 
-    /// World after a move.
-    pub fn after(&self, step: Move) -> Self {
+    /// State after a move.
+    pub fn successor(&self, step: Move) -> Self {
         let mut next = self.clone();
-        next.make(step);
+        next.perform(step);
         next
     }
 
-    // The side has read all there is, and the intent wasn't among it.
-    fn is_hopeless(&self, call: usize) -> bool {
+    // The side has read the whole log without finding the intent.
+    fn is_intent_lost(&self, call: usize) -> bool {
         let Some((side, attempt)) = self.attempt(call) else {
             return false;
         };
         let s = &self.sides[side];
         let read = s.ledger.next_offset() >= self.log.end();
-        read && !s.is_pending(attempt) && !s.won.contains_key(&call)
+        read && !s.is_unconfirmed(attempt) && !s.won.contains_key(&call)
     }
 
     fn side_moves(&self, side: usize, moves: &mut Vec<Move>) {
@@ -112,15 +115,15 @@
         if self.may_close(side) {
             moves.push(Move::Close { side });
         }
-        if self.log.up && s.flight.is_none() && !self.next_batch(side).is_empty() {
-            moves.push(Move::Flush { side });
+        if self.log.up && s.in_flight.is_none() && !self.next_batch(side).is_empty() {
+            moves.push(Move::StartAppend { side });
         }
-        if s.flight.is_some() {
+        if s.in_flight.is_some() {
             if self.log.up {
-                moves.push(Move::Land { side });
+                moves.push(Move::FinishAppend { side });
             }
-            if self.budget.cuts > 0 {
-                moves.push(Move::Cut { side });
+            if self.budget.lost_replies > 0 {
+                moves.push(Move::LoseAppendReply { side });
             }
         }
         if self.log.up && s.ledger.next_offset() < self.log.end() {
@@ -132,16 +135,17 @@
         match &self.calls[call].progress {
             Progress::New => self.new_moves(call, moves),
             Progress::Open { side, .. } => self.open_moves(call, *side, moves),
-            Progress::Told(_) => {}
+            Progress::Ended(_) => {}
         }
     }
 
-    // Sides are alike at first, and so are calls with one body: the first call goes to the first
-    // side, and like calls go in order. Any other run is one of these under other names.
+    // Symmetry reduction: sides are interchangeable at first, and so are calls with the same body.
+    // The first call goes to the first side, and calls with the same body are made in order. Any
+    // other run equals one of these with other names.
     fn new_moves(&self, call: usize, moves: &mut Vec<Move>) {
         let body = self.calls[call].body;
-        let mut before = self.calls[..call].iter();
-        if before.any(|c| c.body == body && c.progress == Progress::New) {
+        let mut earlier = self.calls[..call].iter();
+        if earlier.any(|c| c.body == body && c.progress == Progress::New) {
             return;
         }
         let sides = if call == 0 { 1 } else { self.sides.len() };
@@ -152,79 +156,81 @@
     fn open_moves(&self, call: usize, side: usize, moves: &mut Vec<Move>) {
         let s = &self.sides[side];
         if s.sent.contains_key(&call) {
-            moves.push(Move::Answer { call });
-            if self.budget.losses > 0 {
-                moves.push(Move::LoseAnswer { call });
+            moves.push(Move::ReceiveResponse { call });
+            if self.budget.lost_responses > 0 {
+                moves.push(Move::LoseResponse { call });
             }
-            if self.slips(Slip::DenySent) {
-                moves.push(Move::Void { call });
+            if self.has_mutation(Mutation::DenySent) {
+                moves.push(Move::Abandon { call });
             }
             return;
         }
         if s.won.contains_key(&call) {
             moves.push(Move::Send { call });
-            if self.budget.misses > 0 {
-                moves.push(Move::Miss { call });
+            if self.budget.failed_sends > 0 {
+                moves.push(Move::FailSend { call });
             }
         }
-        moves.push(Move::Void { call });
+        moves.push(Move::Abandon { call });
     }
 
-    fn stray_moves(&self, moves: &mut Vec<Move>) {
+    fn orphan_moves(&self, moves: &mut Vec<Move>) {
         if self.log.up {
-            let strays = 0..self.strays.len();
-            moves.extend(strays.map(|stray| Move::StrayLand { stray }));
+            let orphaned_appends = 0..self.orphaned_appends.len();
+            moves.extend(orphaned_appends.map(|orphan| Move::FinishOrphanedAppend { orphan }));
         }
     }
 
-    fn world_moves(&self, moves: &mut Vec<Move>) {
+    fn environment_moves(&self, moves: &mut Vec<Move>) {
         if !self.log.up {
-            moves.push(Move::Up);
+            moves.push(Move::LogUp);
         } else if self.budget.outages > 0 {
-            moves.push(Move::Down);
+            moves.push(Move::LogDown);
         }
-        if self.budget.trims > 0 && self.log.old(self.clock, self.fixed.kept) > self.log.first {
+        if self.budget.trims > 0
+            && self.log.expired(self.clock, self.settings.log_retention) > self.log.first
+        {
             moves.push(Move::Trim);
         }
-        if let Some(&step) = self.budget.ticks.first() {
-            moves.push(Move::Tick { step });
+        if let Some(&step) = self.budget.clock_steps.first() {
+            moves.push(Move::AdvanceClock { step });
         }
     }
 
     fn next_batch(&self, side: usize) -> Batch {
-        self.sides[side].batch(!self.slips(Slip::ForgetOwed))
+        self.sides[side].batch(!self.has_mutation(Mutation::DropPendingRecords))
     }
 
-    fn make(&mut self, step: Move) {
+    fn perform(&mut self, step: Move) {
         match step {
             Move::Submit { call, side } => self.submit(call, side),
-            Move::Flush { side } => self.flush(side),
-            Move::Land { side } => self.land(side),
-            Move::Cut { side } => self.cut(side),
-            Move::StrayLand { stray } => {
-                let batch = self.strays.remove(stray);
+            Move::StartAppend { side } => self.start_append(side),
+            Move::FinishAppend { side } => self.finish_append(side),
+            Move::LoseAppendReply { side } => self.lose_append_reply(side),
+            Move::FinishOrphanedAppend { orphan } => {
+                let batch = self.orphaned_appends.remove(orphan);
                 self.append(batch);
             }
             Move::Read { side } => self.read(side),
             Move::Send { call } => self.send(call),
-            Move::Miss { call } => self.miss(call),
-            Move::Answer { call } => self.answer(call),
-            Move::LoseAnswer { call } => self.lose_answer(call),
-            Move::Void { call } => self.void(call),
+            Move::FailSend { call } => self.fail_send(call),
+            Move::ReceiveResponse { call } => self.receive_response(call),
+            Move::LoseResponse { call } => self.lose_response(call),
+            Move::Abandon { call } => self.abandon_call(call),
             Move::Crash { side } => self.crash(side),
             Move::Close { side } => self.close(side),
             Move::Open { side } => self.open(side),
-            Move::Down => {
+            Move::LogDown => {
                 self.budget.outages -= 1;
                 self.log().up = false;
             }
-            Move::Up => self.log().up = true,
+            Move::LogUp => self.log().up = true,
             Move::Trim => {
                 self.budget.trims -= 1;
-                self.log().first = self.log.old(self.clock, self.fixed.kept);
+                self.log().first = self.log.expired(self.clock, self.settings.log_retention);
             }
-            Move::Tick { step } => {
-                self.budget.ticks = &self.budget.ticks[1..];
+            Move::AdvanceClock { step } => {
+                self.budget.clock_steps = &self.budget.clock_steps[1..];
                 self.clock += step;
             }
         }
@@ -233,15 +239,15 @@
     fn submit(&mut self, call: usize, side: usize) {
         let digest = self.digest(self.calls[call].body);
         let now = Millis(self.clock);
-        let fixed = Rc::clone(&self.fixed);
+        let settings = Rc::clone(&self.settings);
         let s = self.side(side);
-        let asked = Call {
-            key: &fixed.key,
+        let request = Call {
+            key: &settings.key,
             digest,
             now,
-            deadline: now + Millis(WAIT),
+            deadline: now + Millis(CALL_TIMEOUT),
         };
-        match s.ledger.admit(&asked) {
+        match s.ledger.admit(&request) {
             Admission::Claim(intent) => {
                 let attempt = intent.attempt.clone();
                 s.outbox.push(Record::Intent(intent));
@@ -249,44 +255,45 @@
                 self.calls[call].progress = Progress::Open { side, attempt };
             }
             Admission::Replay(outcome) => {
-                let told = Told::Replay(author(outcome));
-                self.tell(call, told);
+                let result = CallResult::Replay(response_call(outcome));
+                self.end_call(call, result);
             }
             Admission::Refuse(reason) => self.refuse(call, side, reason),
         }
     }
 
     fn refuse(&mut self, call: usize, side: usize, reason: Reason) {
-        let frees = self.slips(Slip::TakeOver) && reason == Reason::KeyUnknown;
+        let frees = self.has_mutation(Mutation::AbandonForeign) && reason == Reason::KeyUnknown;
         if frees && self.sides[side].outbox.is_empty() {
-            return self.take_over(side);
+            return self.abandon_foreign(side);
         }
-        self.tell(call, Told::NotRun);
+        self.end_call(call, CallResult::NotRun);
     }
 
-    // Frees the key of an attempt that another side holds; the call can then be made again.
-    fn take_over(&mut self, side: usize) {
+    // Abandons all intents in the log, also those of other sides, so that the call can be made
+    // again.
+    fn abandon_foreign(&mut self, side: usize) {
         let entries = self.log.entries.iter();
         let records = entries.flat_map(|e| e.batch.iter());
         let abandons: Vec<Record> = records.filter_map(abandon).collect();
         self.side(side).outbox.extend(abandons);
     }
 
-    fn flush(&mut self, side: usize) {
+    fn start_append(&mut self, side: usize) {
         let batch = self.next_batch(side);
         let s = self.side(side);
         s.outbox.clear();
-        s.flight = Some(batch);
+        s.in_flight = Some(batch);
     }
 
-    fn land(&mut self, side: usize) {
-        let Some(batch) = self.side(side).flight.take() else {
+    fn finish_append(&mut self, side: usize) {
+        let Some(batch) = self.side(side).in_flight.take() else {
             return;
         };
         self.append(Rc::clone(&batch));
-        self.side(side).landed = self.log.end();
-        if self.slips(Slip::SendUnread) {
-            batch.iter().for_each(|r| self.send_unasked(r));
+        self.side(side).confirmed_end = self.log.end();
+        if self.has_mutation(Mutation::SendBeforeReadBack) {
+            batch.iter().for_each(|r| self.send_unchecked(r));
         }
     }
 
@@ -295,38 +302,38 @@
         self.log().append(at, batch);
     }
 
-    fn cut(&mut self, side: usize) {
-        self.budget.cuts -= 1;
-        let Some(batch) = self.side(side).flight.take() else {
+    fn lose_append_reply(&mut self, side: usize) {
+        self.budget.lost_replies -= 1;
+        let Some(batch) = self.side(side).in_flight.take() else {
             return;
         };
-        if self.slips(Slip::DenyOnCut) {
+        if self.has_mutation(Mutation::DenyOnLostReply) {
             for record in batch.iter().filter(|r| is_intent(r)) {
                 let call = self.attempts[record.attempt()];
-                self.tell(call, Told::NotRun);
+                self.end_call(call, CallResult::NotRun);
             }
         }
-        self.strays.push(batch);
+        self.orphaned_appends.push(batch);
     }
 
     fn read(&mut self, side: usize) {
         let next = self.sides[side].ledger.next_offset();
-        let Some(record) = self.log.after(next) else {
-            return self.skip(side);
+        let Some(record) = self.log.read_from(next) else {
+            return self.skip_trimmed(side);
         };
         for event in self.side(side).ledger.apply(&record) {
-            self.meet(side, event);
+            self.handle_event(side, event);
         }
-        if self.slips(Slip::ResendOpen) {
+        if self.has_mutation(Mutation::ResendAfterRestart) {
             self.resend(side, record.offset);
         }
     }
 
-    // Nothing is kept of what this side has yet to read.
-    fn skip(&mut self, side: usize) {
+    // All entries that this side has not read were trimmed.
+    fn skip_trimmed(&mut self, side: usize) {
         let first = self.log.first as u64;
         for event in self.side(side).ledger.handle_trim(first) {
-            self.meet(side, event);
+            self.handle_event(side, event);
         }
     }
 
@@ -337,18 +344,18 @@
         for record in batch.iter() {
             let by = &record.attempt().owner;
             if by.vm == owner.vm && by.incarnation < owner.incarnation {
-                self.send_unasked(record);
+                self.send_unchecked(record);
             }
         }
     }
 
-    fn meet(&mut self, side: usize, event: Event) {
+    fn handle_event(&mut self, side: usize, event: Event) {
         match event {
-            Event::Won(_) if self.slips(Slip::SendUnread) => {}
+            Event::Won(_) if self.has_mutation(Mutation::SendBeforeReadBack) => {}
             Event::Won(won) => self.win(side, won),
             Event::Lost { attempt, verdict } => {
                 let call = self.attempts[&attempt];
-                self.tell(call, told(&verdict));
+                self.end_call(call, result_of(&verdict));
             }
             Event::Unreadable { offset, .. } => panic!("offset {offset} can't be read"),
         }
@@ -360,12 +367,12 @@
             self.side(side).won.insert(call, won);
             return;
         }
-        // Only a driver that denied a call without voiding it gets here.
-        assert!(self.slips(Slip::DenyOnCut));
+        // Reached only by the mutation that answers "not run" without abandoning the attempt.
+        assert!(self.has_mutation(Mutation::DenyOnLostReply));
         let attempt = won.attempt().clone();
         let now = Millis(self.clock);
         if self.side(side).ledger.mark_sent(won, now).is_ok() {
-            self.affect(call, attempt);
+            self.record_effect(call, attempt);
         }
     }
 
@@ -373,7 +380,7 @@
         let Some((side, _)) = self.attempt(call) else {
             return;
         };
-        let late = self.slips(Slip::SendLate);
+        let late = self.has_mutation(Mutation::SendAfterDeadline);
         let now = if late { Millis(0) } else { Millis(self.clock) };
         let s = self.side(side);
         let Some(won) = s.won.remove(&call) else {
@@ -383,20 +390,20 @@
         match s.ledger.mark_sent(won, now) {
             Ok(sent) => {
                 s.sent.insert(call, sent);
-                self.affect(call, attempt);
+                self.record_effect(call, attempt);
             }
-            Err(StepError::DeadlinePassed { .. }) => self.tell(call, Told::NotRun),
+            Err(StepError::DeadlinePassed { .. }) => self.end_call(call, CallResult::NotRun),
             Err(e) => panic!("{e}"),
         }
     }
 
-    fn miss(&mut self, call: usize) {
-        self.budget.misses -= 1;
+    fn fail_send(&mut self, call: usize) {
+        self.budget.failed_sends -= 1;
         let Some((side, _)) = self.attempt(call) else {
             return;
         };
         let now = Millis(self.clock);
-        let late = self.slips(Slip::MissSent);
+        let late = self.has_mutation(Mutation::RevertRealSend);
         let s = self.side(side);
         let Some(won) = s.won.remove(&call) else {
             return;
@@ -410,12 +417,12 @@
             Err(e) => panic!("{e}"),
         }
         if late {
-            self.affect(call, attempt);
+            self.record_effect(call, attempt);
         }
-        self.tell(call, Told::NotRun);
+        self.end_call(call, CallResult::NotRun);
     }
 
-    fn affect(&mut self, call: usize, attempt: Attempt) {
+    fn record_effect(&mut self, call: usize, attempt: Attempt) {
         self.effects.push(Effect {
             call,
             body: self.calls[call].body,
@@ -424,30 +431,30 @@
         });
     }
 
-    // A mutant's send, which asks no ledger.
-    fn send_unasked(&mut self, record: &Record) {
+    // A mutation's send, which bypasses the ledger.
+    fn send_unchecked(&mut self, record: &Record) {
         let Record::Intent(intent) = record else {
             return;
         };
         let call = self.attempts[&intent.attempt];
-        self.affect(call, intent.attempt.clone());
+        self.record_effect(call, intent.attempt.clone());
     }
 
-    fn answer(&mut self, call: usize) {
+    fn receive_response(&mut self, call: usize) {
         let id = u8::try_from(call).unwrap();
-        self.finish(call, answer_of(id));
-        self.tell(call, Told::Ran(id));
+        self.finish(call, response_of(id));
+        self.end_call(call, CallResult::Ran(id));
     }
 
-    fn lose_answer(&mut self, call: usize) {
-        self.budget.losses -= 1;
-        let outcome = if self.slips(Slip::InventAnswer) {
-            answer_of(MADE_UP)
+    fn lose_response(&mut self, call: usize) {
+        self.budget.lost_responses -= 1;
+        let outcome = if self.has_mutation(Mutation::InventResponse) {
+            response_of(INVENTED_CALL)
         } else {
             Outcome::Unknown
         };
         self.finish(call, outcome);
-        self.tell(call, Told::Unknown);
+        self.end_call(call, CallResult::Unknown);
     }
 
     fn finish(&mut self, call: usize, outcome: Outcome) {
@@ -460,7 +467,7 @@
         }
     }
 
-    fn void(&mut self, call: usize) {
+    fn abandon_call(&mut self, call: usize) {
         let Some((side, attempt)) = self.attempt(call) else {
             return;
         };
@@ -469,54 +476,59 @@
         let not_run = s.ledger.abandon(&attempt);
         s.won.remove(&call);
         s.outbox.retain(|r| *r.attempt() != attempt);
-        assert!(not_run.is_ok() || self.slips(Slip::DenySent));
-        self.tell(call, Told::NotRun);
+        assert!(not_run.is_ok() || self.has_mutation(Mutation::DenySent));
+        self.end_call(call, CallResult::NotRun);
     }
 
     fn crash(&mut self, side: usize) {
         self.budget.crashes -= 1;
         let old = &self.sides[side];
         let next = owner(old.owner.vm.as_str(), old.owner.incarnation + 1);
-        let new = Side::new(next, self.fixed.limits, self.start_span());
+        let new = Side::new(next, self.settings.limits, self.start_range());
         let old = std::mem::replace(self.side(side), new);
-        self.strays.extend(old.flight);
-        self.hang_up(side);
+        self.orphaned_appends.extend(old.in_flight);
+        self.disconnect(side);
     }
 
-    // What a side that starts to read finds.
-    pub(crate) fn start_span(&self) -> OffsetRange {
-        let mut span = self.log.span();
-        if self.slips(Slip::ReadFromEnd) {
-            span.first = span.end;
+    // Range of the log that a side reads from its start.
+    pub(crate) fn start_range(&self) -> OffsetRange {
+        let mut range = self.log.range();
+        if self.has_mutation(Mutation::ReadFromEnd) {
+            range.first = range.end;
         }
-        span
+        range
     }
 
-    // The entry sees its connection to the side break.
-    pub(crate) fn hang_up(&mut self, side: usize) {
-        let denies = self.slips(Slip::DenyOnCrash) || self.slips(Slip::CloseBusy);
-        let told = if denies { Told::NotRun } else { Told::Unknown };
+    // The entry's connection to the side breaks.
+    pub(crate) fn disconnect(&mut self, side: usize) {
+        let denies = self.has_mutation(Mutation::DenyOnCrash)
+            || self.has_mutation(Mutation::CloseWithOpenCalls);
+        let result = if denies {
+            CallResult::NotRun
+        } else {
+            CallResult::Unknown
+        };
         for call in 0..self.calls.len() {
             if self.attempt(call).is_some_and(|(s, _)| s == side) {
-                self.tell(call, told);
+                self.end_call(call, result);
             }
         }
     }
 }
 
-fn told(verdict: &Verdict) -> Told {
+fn result_of(verdict: &Verdict) -> CallResult {
     match verdict {
-        Verdict::Replay(outcome) => Told::Replay(author(outcome)),
-        Verdict::Refuse(_) => Told::NotRun,
+        Verdict::Replay(outcome) => CallResult::Replay(response_call(outcome)),
+        Verdict::Refuse(_) => CallResult::NotRun,
     }
 }
 
-fn answer_of(call: u8) -> Outcome {
+fn response_of(call: u8) -> Outcome {
     Outcome::Response(RecordedResponse::new(200, Vec::new(), &[call], 1))
 }
 
-/// Call that an answer came of.
-fn author(outcome: &Outcome) -> u8 {
+/// Call whose execution gave the response.
+fn response_call(outcome: &Outcome) -> u8 {
     match outcome {
         Outcome::Response(RecordedResponse {
             body: Body::Complete(bytes),
--- a/crates/ledger/tests/model/search.rs
+++ b/crates/ledger/tests/model/search.rs
@@ -1,7 +1,8 @@
-//! Breadth-first search of all states, so that a breach comes with a shortest trace.
+//! Breadth-first search of all reachable states, so that a violation comes with a shortest trace.
 //!
-//! States are told apart exactly. Each part of a state (log, side, the rest) is kept once, and a
-//! state is the numbers of its parts, as Spin's collapse compression does it.
+//! States are compared exactly, not by hash. Each distinct component (log, side, the rest) is
+//! stored once, and a state is the tuple of its components' numbers, as in Spin's collapse
+//! compression.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -9,27 +10,27 @@
 use std::rc::Rc;
 
 use crate::moves::Move;
-use crate::world::World;
+use crate::state::State;
 
-const PARTS: usize = 4;
+const COMPONENTS: usize = 4;
 
-/// A state, as the numbers of its parts.
-type Id = [u32; PARTS];
+/// A state, as the numbers of its components.
+type StateId = [u32; COMPONENTS];
 
-/// A broken invariant.
+/// A violated invariant and the moves that lead to it.
 #[derive(Debug)]
-pub struct Breach {
-    pub rule: &'static str,
+pub struct Violation {
+    pub invariant: &'static str,
     pub trace: Vec<Move>,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug)]
 pub struct Report {
     pub states: usize,
     pub steps: usize,
     pub depth: usize,
-    pub breach: Option<Breach>,
+    pub violation: Option<Violation>,
 }
 
 impl fmt::Display for Report {
@@ -38,36 +39,36 @@
             states,
             steps,
             depth,
-            breach,
+            violation,
         } = self;
         write!(f, "{states} states, {steps} moves, depth {depth}")?;
-        match breach {
-            Some(b) => write!(f, ", {} broken by {:?}", b.rule, b.trace),
+        match violation {
+            Some(v) => write!(f, ", {} violated by {:?}", v.invariant, v.trace),
             None => Ok(()),
         }
     }
 }
 
-/// Searches all states that can be reached.
-pub fn explore(start: World) -> Report {
+/// Searches all reachable states.
+pub fn explore(start: State) -> Report {
     let mut search = Search::default();
-    let parts = search.parts.all(&start);
-    search.add(start, parts, None);
+    let components = search.components.all(&start);
+    search.add(start, components, None);
     while let Some(node) = search.queue.pop_front() {
         let id = node.id;
-        if let Some(rule) = search.visit(&node) {
-            return search.report(Some(Breach {
-                rule,
+        if let Some(invariant) = search.visit(&node) {
+            return search.report(Some(Violation {
+                invariant,
                 trace: search.trace(id),
             }));
         }
     }
     let loops = search.fair_loop();
-    let breach = loops.map(|id| Breach {
-        rule: "L1",
+    let violation = loops.map(|id| Violation {
+        invariant: "L1",
         trace: search.trace(id),
     });
-    search.report(breach)
+    search.report(violation)
 }
 
 struct Origin {
@@ -78,14 +79,14 @@
 
 struct Node {
     id: usize,
-    parts: Id,
-    world: World,
+    components: StateId,
+    state: State,
 }
 
 #[derive(Default)]
 struct Search {
-    parts: Parts,
-    known: BTreeMap<Id, usize>,
+    components: Components,
+    known: BTreeMap<StateId, usize>,
     origins: Vec<Option<Origin>>,
     queue: VecDeque<Node>,
     fair: Vec<Vec<usize>>,
@@ -93,12 +94,12 @@
 }
 
 impl Search {
-    fn add(&mut self, world: World, parts: Id, from: Option<(usize, Move)>) -> usize {
-        if let Some(id) = self.known.get(&parts) {
+    fn add(&mut self, state: State, components: StateId, from: Option<(usize, Move)>) -> usize {
+        if let Some(id) = self.known.get(&components) {
             return *id;
         }
         let id = self.origins.len();
-        self.known.insert(parts, id);
+        self.known.insert(components, id);
         let origin = from.map(|(parent, step)| Origin {
             parent,
             step,
@@ -106,49 +107,58 @@
         });
         self.origins.push(origin);
         self.fair.push(Vec::new());
-        self.queue.push_back(Node { id, parts, world });
+        self.queue.push_back(Node {
+            id,
+            components,
+            state,
+        });
         id
     }
 
     fn visit(&mut self, node: &Node) -> Option<&'static str> {
-        let (id, world) = (node.id, &node.world);
-        if let Some(rule) = world.breach() {
-            return Some(rule);
+        let (id, state) = (node.id, &node.state);
+        if let Some(invariant) = state.violation() {
+            return Some(invariant);
         }
-        for step in world.moves() {
+        for step in state.moves() {
             self.steps += 1;
-            let after = world.after(step);
-            let parts = self.parts.changed(&after, node);
-            let next = self.add(after, parts, Some((id, step)));
-            if world.is_fair(step) {
+            let successor = state.successor(step);
+            let components = self.components.changed(&successor, node);
+            let next = self.add(successor, components, Some((id, step)));
+            if state.is_fair(step) {
                 self.fair[id].push(next);
             }
         }
         if !self.fair[id].is_empty() {
             return None;
         }
-        // Only faults could change anything here.
-        if world.minds("L1") && !world.is_answered() {
+        // No fair move is left: only faults could still change this state.
+        if state.is_checked("L1") && !state.all_calls_ended() {
             return Some("L1");
         }
-        let settled = world.is_settled() || !world.minds("L2");
+        let settled = state.is_every_key_usable() || !state.is_checked("L2");
         (!settled).then_some("L2")
     }
 
-    /// A state on a loop of fair moves, if there is one: then a call might never end.
+    /// Returns a state on a cycle of fair moves, if there is one: a call might then never end.
     fn fair_loop(&self) -> Option<usize> {
-        let mut before = vec![0_usize; self.fair.len()];
-        self.fair.iter().flatten().for_each(|&to| before[to] += 1);
-        let mut free: Vec<usize> = (0..before.len()).filter(|&id| before[id] == 0).collect();
-        while let Some(id) = free.pop() {
+        let mut predecessors = vec![0_usize; self.fair.len()];
+        self.fair
+            .iter()
+            .flatten()
+            .for_each(|&to| predecessors[to] += 1);
+        let mut roots: Vec<usize> = (0..predecessors.len())
+            .filter(|&id| predecessors[id] == 0)
+            .collect();
+        while let Some(id) = roots.pop() {
             for &to in &self.fair[id] {
-                before[to] -= 1;
-                if before[to] == 0 {
-                    free.push(to);
+                predecessors[to] -= 1;
+                if predecessors[to] == 0 {
+                    roots.push(to);
                 }
             }
         }
-        before.iter().position(|&n| n > 0)
+        predecessors.iter().position(|&n| n > 0)
     }
 
     fn depth(&self, id: usize) -> usize {
@@ -165,71 +175,71 @@
         trace
     }
 
-    fn report(&self, breach: Option<Breach>) -> Report {
+    fn report(&self, violation: Option<Violation>) -> Report {
         let states = self.origins.len();
         Report {
             states,
             steps: self.steps,
             depth: self.depth(states - 1),
-            breach,
+            violation,
         }
     }
 }
 
-/// Parts seen so far, by all that their `Hash` feeds in.
+/// Components seen so far, keyed by all bytes that their `Hash` feeds to the hasher.
 #[derive(Default)]
-struct Parts(BTreeMap<Vec<u8>, u32>);
+struct Components(BTreeMap<Vec<u8>, u32>);
 
-impl Parts {
-    fn all(&mut self, world: &World) -> Id {
+impl Components {
+    fn all(&mut self, state: &State) -> StateId {
         [
-            self.part(&world.log),
-            self.part(&world.sides[0]),
-            self.part(&world.sides[1]),
-            self.rest(world),
+            self.component(&state.log),
+            self.component(&state.sides[0]),
+            self.component(&state.sides[1]),
+            self.rest(state),
         ]
     }
 
-    /// Parts of a successor; those that the move left alone are still shared.
-    fn changed(&mut self, world: &World, from: &Node) -> Id {
-        let old = &from.world;
-        let mut id = from.parts;
-        if !Rc::ptr_eq(&world.log, &old.log) {
-            id[0] = self.part(&world.log);
+    /// Components of a successor. Those that the move did not change are still shared.
+    fn changed(&mut self, state: &State, from: &Node) -> StateId {
+        let old = &from.state;
+        let mut id = from.components;
+        if !Rc::ptr_eq(&state.log, &old.log) {
+            id[0] = self.component(&state.log);
         }
-        for side in 0..world.sides.len() {
-            if !Rc::ptr_eq(&world.sides[side], &old.sides[side]) {
-                id[side + 1] = self.part(&world.sides[side]);
+        for side in 0..state.sides.len() {
+            if !Rc::ptr_eq(&state.sides[side], &old.sides[side]) {
+                id[side + 1] = self.component(&state.sides[side]);
             }
         }
-        id[PARTS - 1] = self.rest(world);
+        id[COMPONENTS - 1] = self.rest(state);
         id
     }
 
-    fn rest(&mut self, world: &World) -> u32 {
-        let ghosts = (&world.attempts, &world.effects);
-        self.part(&(
-            world.clock,
-            world.budget,
-            &world.strays,
-            &world.calls,
-            ghosts,
+    fn rest(&mut self, state: &State) -> u32 {
+        let history = (&state.attempts, &state.effects);
+        self.component(&(
+            state.clock,
+            state.budget,
+            &state.orphaned_appends,
+            &state.calls,
+            history,
         ))
     }
 
-    fn part(&mut self, part: &impl Hash) -> u32 {
-        let mut bytes = Bytes::default();
-        part.hash(&mut bytes);
+    fn component(&mut self, component: &impl Hash) -> u32 {
+        let mut bytes = RecordingHasher::default();
+        component.hash(&mut bytes);
         let next = u32::try_from(self.0.len()).unwrap();
         *self.0.entry(bytes.0).or_insert(next)
     }
 }
 
-/// Keeps what it is fed.
+/// Records all bytes that it is given.
 #[derive(Default)]
-struct Bytes(Vec<u8>);
+struct RecordingHasher(Vec<u8>);
 
-impl Hasher for Bytes {
+impl Hasher for RecordingHasher {
     fn write(&mut self, bytes: &[u8]) {
         self.0.extend_from_slice(bytes);
     }
