--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -50,7 +50,7 @@
 
 /// Idempotency key of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(try_from = "RawKey", into = "RawKey")]
+#[serde(try_from = "Raw", into = "Raw")]
 pub struct Key {
     caller: CallerId,
     text: Arc<str>,
@@ -149,20 +149,20 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct RawKey {
+struct Raw {
     caller: CallerId,
     text: String,
 }
 
-impl TryFrom<RawKey> for Key {
+impl TryFrom<Raw> for Key {
     type Error = KeyError;
 
-    fn try_from(raw: RawKey) -> Result<Self, KeyError> {
+    fn try_from(raw: Raw) -> Result<Self, KeyError> {
         Self::parse(&raw.caller, &raw.text)
     }
 }
 
-impl From<Key> for RawKey {
+impl From<Key> for Raw {
     fn from(key: Key) -> Self {
         Self {
             caller: key.caller,
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -198,7 +198,7 @@
 #[test]
 fn large_bodies_are_recorded_as_digests() {
     for case in BODIES {
-        let answer = RecordedResponse::new(200, Vec::new(), case.body, case.limit);
+        let response = RecordedResponse::new(200, Vec::new(), case.body, case.limit);
         let large = Body::Large {
             digest: Digest::of(case.body),
             bytes: case.body.len() as u64,
@@ -208,7 +208,7 @@
         } else {
             large
         };
-        assert_eq!(answer.body, expected, "{:?}", case.body);
+        assert_eq!(response.body, expected, "{:?}", case.body);
     }
 }
 
