--- a/crates/entry/src/request/job.rs
+++ b/crates/entry/src/request/job.rs
@@ -73,7 +73,7 @@
         }
         // Every side refuses an invalid key, so the choice does not matter.
         let key = Key::parse(&self.caller, self.idempotency_key.as_deref()?).ok()?;
-        Some(part_key(&self.resolved.pool, key.part(key_parts)))
+        Some(part_key(&self.resolved.pool, key.partition(key_parts)))
     }
 
     /// Body that is sent to the upstream.
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -1,6 +1,8 @@
-//! Texts of keys, spans, digests and bodies: tables of cases.
+//! Table-driven tests of keys, limits, digests and recorded bodies.
 
-use pumicecleat_ledger::{Answer, Body, Digest, KEY_LIMIT, Key, KeyError, LimitError, Limits};
+use pumicecleat_ledger::{
+    Body, Digest, Key, KeyError, LimitError, Limits, MAX_KEY_BYTES, RecordedResponse,
+};
 use pumicecleat_types::{CallerId, Millis};
 
 fn caller() -> CallerId {
@@ -22,7 +24,7 @@
 }
 
 fn key_cases() -> Vec<KeyCase> {
-    let strange = |found| KeyError::Character {
+    let invalid = |found| KeyError::InvalidCharacter {
         caller: caller(),
         found,
     };
@@ -32,10 +34,10 @@
         key_case("\"seat-41\"", Ok("seat-41"), None),
         key_case("", Err(empty.clone()), None),
         key_case("\"\"", Err(empty), None),
-        key_case("\"", Err(strange('"')), None),
-        key_case("seat 41", Err(strange(' ')), None),
-        key_case("seat\n41", Err(strange('\n')), None),
-        key_case("szék", Err(strange('é')), None),
+        key_case("\"", Err(invalid('"')), None),
+        key_case("seat 41", Err(invalid(' ')), None),
+        key_case("seat\n41", Err(invalid('\n')), None),
+        key_case("szék", Err(invalid('é')), None),
         key_case(
             "017f22e2-79b0-7cc3-98c4-dc0c0c07398f",
             Ok("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"),
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn texts_are_checked() {
+fn key_texts_are_checked() {
     for case in key_cases() {
         let key = Key::parse(&caller(), case.text);
         let minted = key.as_ref().ok().and_then(Key::minted);
@@ -65,14 +67,14 @@
 }
 
 #[test]
-fn long_texts_are_refused() {
-    let longest = "k".repeat(KEY_LIMIT);
-    let longer = "k".repeat(KEY_LIMIT + 1);
+fn long_keys_are_refused() {
+    let longest = "k".repeat(MAX_KEY_BYTES);
+    let longer = "k".repeat(MAX_KEY_BYTES + 1);
     assert!(Key::parse(&caller(), &longest).is_ok());
     let error = Key::parse(&caller(), &longer).unwrap_err();
     assert_eq!(
         error.to_string(),
-        "step key, caller csillagkapu: 256 bytes, at most 255"
+        "idempotency key of caller csillagkapu has 256 bytes, at most 255 are allowed"
     );
 }
 
@@ -85,57 +87,61 @@
 
 struct LimitCase {
     window: u64,
-    ahead: u64,
-    kept: u64,
+    max_ahead: u64,
+    log_retention: u64,
     error: Option<LimitError>,
 }
 
 const LIMITS: &[LimitCase] = &[
     LimitCase {
         window: 100,
-        ahead: 10,
-        kept: 111,
+        max_ahead: 10,
+        log_retention: 111,
         error: None,
     },
     LimitCase {
         window: 0,
-        ahead: 10,
-        kept: 111,
-        error: Some(LimitError::Zero),
+        max_ahead: 10,
+        log_retention: 111,
+        error: Some(LimitError::ZeroWindow),
     },
     LimitCase {
         window: 100,
-        ahead: 10,
-        kept: 110,
-        error: Some(LimitError::Kept {
+        max_ahead: 10,
+        log_retention: 110,
+        error: Some(LimitError::RetentionTooShort {
             window: Millis(100),
-            ahead: Millis(10),
-            kept: Millis(110),
+            max_ahead: Millis(10),
+            log_retention: Millis(110),
         }),
     },
     LimitCase {
         window: u64::MAX,
-        ahead: 1,
-        kept: u64::MAX,
-        error: Some(LimitError::Kept {
+        max_ahead: 1,
+        log_retention: u64::MAX,
+        error: Some(LimitError::RetentionTooShort {
             window: Millis(u64::MAX),
-            ahead: Millis(1),
-            kept: Millis(u64::MAX),
+            max_ahead: Millis(1),
+            log_retention: Millis(u64::MAX),
         }),
     },
 ];
 
 #[test]
-fn a_window_is_shorter_than_the_log() {
+fn a_window_is_shorter_than_the_log_retention() {
     for case in LIMITS {
-        let limits = Limits::new(Millis(case.window), Millis(case.ahead), Millis(case.kept));
+        let limits = Limits::new(
+            Millis(case.window),
+            Millis(case.max_ahead),
+            Millis(case.log_retention),
+        );
         assert_eq!(
             limits.err(),
             case.error,
             "{} {} {}",
             case.window,
-            case.ahead,
-            case.kept
+            case.max_ahead,
+            case.log_retention
         );
     }
 }
@@ -168,72 +174,77 @@
 struct BodyCase {
     body: &'static [u8],
     limit: usize,
-    whole: bool,
+    complete: bool,
 }
 
 const BODIES: &[BodyCase] = &[
     BodyCase {
         body: b"",
         limit: 0,
-        whole: true,
+        complete: true,
     },
     BodyCase {
         body: b"held",
         limit: 4,
-        whole: true,
+        complete: true,
     },
     BodyCase {
         body: b"held!",
         limit: 4,
-        whole: false,
+        complete: false,
     },
 ];
 
 #[test]
-fn large_bodies_are_kept_as_digests() {
+fn large_bodies_are_recorded_as_digests() {
     for case in BODIES {
-        let answer = Answer::new(200, Vec::new(), case.body, case.limit);
+        let response = RecordedResponse::new(200, Vec::new(), case.body, case.limit);
         let large = Body::Large {
             digest: Digest::of(case.body),
             bytes: case.body.len() as u64,
         };
-        let expected = if case.whole {
-            Body::Whole(case.body.to_vec())
+        let expected = if case.complete {
+            Body::Complete(case.body.to_vec())
         } else {
             large
         };
-        assert_eq!(answer.body, expected, "{:?}", case.body);
+        assert_eq!(response.body, expected, "{:?}", case.body);
     }
 }
 
-struct PartCase {
+struct PartitionCase {
     caller: &'static str,
     text: &'static str,
-    parts: u32,
-    part: u32,
+    partitions: u32,
+    partition: u32,
 }
 
 #[rustfmt::skip]
-const PARTS: &[PartCase] = &[
-    PartCase { caller: "csillagkapu", text: "seat-41", parts: 1, part: 0 },
-    PartCase { caller: "csillagkapu", text: "seat-41", parts: 8, part: 2 },
-    PartCase { caller: "csillagkapu", text: "\"seat-41\"", parts: 8, part: 2 },
-    PartCase { caller: "vithu-koottam", text: "seat-41", parts: 8, part: 0 },
-    PartCase { caller: "csillagkapu", text: "seat-42", parts: 8, part: 6 },
-    PartCase { caller: "csillagkapu", text: "seat-41", parts: 1_024, part: 1_018 },
+const PARTITIONS: &[PartitionCase] = &[
+    PartitionCase { caller: "csillagkapu", text: "seat-41", partitions: 1, partition: 0 },
+    PartitionCase { caller: "csillagkapu", text: "seat-41", partitions: 8, partition: 2 },
+    PartitionCase { caller: "csillagkapu", text: "\"seat-41\"", partitions: 8, partition: 2 },
+    PartitionCase { caller: "vithu-koottam", text: "seat-41", partitions: 8, partition: 0 },
+    PartitionCase { caller: "csillagkapu", text: "seat-42", partitions: 8, partition: 6 },
+    PartitionCase { caller: "csillagkapu", text: "seat-41", partitions: 1_024, partition: 1_018 },
 ];
 
-/// A part is for ever: another hash would forget the keys in use.
+/// A key must always map to the same partition: with another hash, the records of keys in use would
+/// not be found.
 #[test]
-fn parts_of_keys() {
-    let part = |c: &PartCase| Key::parse(&c.caller.into(), c.text).unwrap().part(c.parts);
-    let found: Vec<u32> = PARTS.iter().map(part).collect();
-    let want: Vec<u32> = PARTS.iter().map(|c| c.part).collect();
+fn partitions_of_keys() {
+    let partition = |c: &PartitionCase| {
+        Key::parse(&c.caller.into(), c.text)
+            .unwrap()
+            .partition(c.partitions)
+    };
+    let found: Vec<u32> = PARTITIONS.iter().map(partition).collect();
+    let want: Vec<u32> = PARTITIONS.iter().map(|c| c.partition).collect();
     assert_eq!(found, want);
     let mut counts = [0_u32; 16];
     for n in 0..16_000 {
         let key = Key::parse(&caller(), &format!("seat-{n}")).unwrap();
-        counts[key.part(16) as usize] += 1;
+        counts[key.partition(16) as usize] += 1;
     }
     assert!(
         counts.iter().all(|c| (800..1_200).contains(c)),
--- a/crates/side/src/keys/claim.rs
+++ b/crates/side/src/keys/claim.rs
@@ -6,7 +6,9 @@
 
 use async_channel::Receiver;
 use futures_util::future::{Either, select};
-use pumicecleat_ledger::{Admission, Attempt, Call, Event, Intent, Outcome, Record, Verdict, Won};
+use pumicecleat_ledger::{
+    Admission, Attempt, Call, Event, Intent, Outcome, Record, SendPermit, Verdict,
+};
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{Millis, Reason};
 
@@ -22,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) enum Claim {
     /// The call may be sent.
-    Won(Won),
+    Won(SendPermit),
     /// An earlier attempt ran; its outcome is passed on.
     Replay(Outcome),
     /// The call is not run.
@@ -105,7 +107,7 @@
 
     /// Voids the attempt before it is reported as not run.
     fn void(&self, attempt: &Attempt, decided: &Receiver<Event>) -> Claim {
-        let voided = self.state.ledger.borrow_mut().void(attempt);
+        let voided = self.state.ledger.borrow_mut().abandon(attempt);
         self.wake_writer();
         match (voided, decided.try_recv()) {
             (Ok(_), _) => Claim::Refused(Reason::LogDown),
--- a/crates/side/src/keys/mod.rs
+++ b/crates/side/src/keys/mod.rs
@@ -164,7 +164,7 @@
         key: &Key,
         time_left: Millis,
     ) -> Result<PartGuard, Reason> {
-        let index = key.part(self.state.parts);
+        let index = key.partition(self.state.parts);
         if let Some(guard) = self.try_acquire_part(index)
             && (self.state.parts == 1 || guard.caught_up())
         {
--- a/crates/side/src/keys/part.rs
+++ b/crates/side/src/keys/part.rs
@@ -11,7 +11,8 @@
 use async_channel::Sender;
 use pumicecleat_infra::{AppendOptions, Appender, Log};
 use pumicecleat_ledger::{
-    Attempt, Dump, Event, Key, Ledger, Limits, Outcome, Owner, Sent, Span, StepError, Won,
+    Attempt, Dump, Event, Key, Ledger, Limits, OffsetRange, Outcome, Owner, SendPermit,
+    SentAttempt, StepError,
 };
 use pumicecleat_net::Timer;
 use pumicecleat_ops::{Log as EventLog, events, field};
@@ -60,7 +61,7 @@
             incarnation,
         };
         // The ledger has not caught up, and admits nothing, until the stream's span is known.
-        let unknown = Span {
+        let unknown = OffsetRange {
             first: 0,
             end: u64::MAX,
         };
@@ -119,7 +120,7 @@
     /// Whether no own attempt is in progress and no record is owed to the stream.
     pub(super) fn is_settled(&self) -> bool {
         let ledger = self.state.ledger.borrow();
-        ledger.is_settled()
+        ledger.is_idle()
     }
 
     /// Ends its tasks and returns the last incarnation that it used.
@@ -146,27 +147,38 @@
     ///
     /// # Errors
     /// [`StepError`] if its deadline has passed, or it was voided or sent before.
-    pub(crate) fn sent(&self, won: Won) -> Result<Sent, StepError> {
-        self.state.ledger.borrow_mut().sent(won, unix_time())
+    pub(crate) fn sent(&self, won: SendPermit) -> Result<SentAttempt, StepError> {
+        self.state.ledger.borrow_mut().mark_sent(won, unix_time())
     }
 
     /// Voids a call that failed before any byte was sent. Returns whether it may be reported as not
     /// run.
-    pub(crate) fn unsent(&self, sent: Sent) -> bool {
-        let voided = self.state.ledger.borrow_mut().unsent(sent).is_ok();
+    pub(crate) fn unsent(&self, sent: SentAttempt) -> bool {
+        let voided = self.state.ledger.borrow_mut().revert_send(sent).is_ok();
         self.wake_writer();
         voided
     }
 
     /// Voids a call that was not sent. Returns whether it may be reported as not run.
-    pub(crate) fn withdraw(&self, won: &Won) -> bool {
-        let voided = self.state.ledger.borrow_mut().void(won.attempt()).is_ok();
+    pub(crate) fn withdraw(&self, won: &SendPermit) -> bool {
+        let voided = self
+            .state
+            .ledger
+            .borrow_mut()
+            .abandon(won.attempt())
+            .is_ok();
         self.wake_writer();
         voided
     }
 
     /// Records the outcome of a call.
-    pub(crate) fn finish(&self, request: &RequestId, key: &Key, sent: Sent, outcome: Outcome) {
+    pub(crate) fn finish(
+        &self,
+        request: &RequestId,
+        key: &Key,
+        sent: SentAttempt,
+        outcome: Outcome,
+    ) {
         if outcome == Outcome::Unknown {
             let fields = [field("request", request), field("key", key.text())];
             self.state.events.emit(&events::KEY_UNKNOWN, &fields);
@@ -227,7 +239,7 @@
 /// Reason to refuse a call whose step the ledger did not allow.
 pub(super) fn refusal_reason(error: &StepError) -> Reason {
     match error {
-        StepError::Late { .. } => Reason::Deadline,
-        StepError::Closed { .. } | StepError::Sent { .. } => Reason::KeyUnknown,
+        StepError::DeadlinePassed { .. } => Reason::Deadline,
+        StepError::NotOpen { .. } | StepError::AlreadySent { .. } => Reason::KeyUnknown,
     }
 }
--- a/crates/side/src/keys/reader.rs
+++ b/crates/side/src/keys/reader.rs
@@ -6,7 +6,7 @@
 use pumicecleat_infra::{
     BackoffOptions, FollowError, FollowEvent, FollowOptions, Follower, ReadError,
 };
-use pumicecleat_ledger::{Attempt, Event, Ledger, Span};
+use pumicecleat_ledger::{Attempt, Event, Ledger, OffsetRange};
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{LogRecord, Millis};
 
@@ -95,7 +95,7 @@
     }
 
     fn expire_attempts(&self) {
-        let expired = self.state.ledger.borrow_mut().expire(unix_time());
+        let expired = self.state.ledger.borrow_mut().expire_attempts(unix_time());
         self.handle_events(expired);
     }
 
@@ -109,18 +109,18 @@
     }
 
     /// Span of the stream's records, or `None` once the part is closed.
-    async fn find_span(&self) -> Option<Span> {
+    async fn find_span(&self) -> Option<OffsetRange> {
         let (log, stream) = (&self.state.log, &self.state.stream);
         while !self.state.closed.get() {
             match log.read(stream, 0, 1, Duration::ZERO).await {
                 Ok(batch) => {
-                    return Some(Span {
+                    return Some(OffsetRange {
                         first: batch.first,
                         end: batch.next,
                     });
                 }
                 Err(ReadError::Trimmed { first, next, .. }) => {
-                    return Some(Span { first, end: next });
+                    return Some(OffsetRange { first, end: next });
                 }
                 Err(e) => self.mark_log_down(&e.to_string()),
             }
@@ -130,7 +130,7 @@
     }
 
     /// Replaces the ledger with a new one. Waiting claims end with what is known of their attempts.
-    fn reset_ledger(&self, span: Span) {
+    fn reset_ledger(&self, span: OffsetRange) {
         let mut ledger = self.state.ledger.borrow_mut();
         let mut owner = ledger.owner().clone();
         // Attempt numbers start over in the new ledger, so they need another owner name in the log.
@@ -146,11 +146,11 @@
     fn skip_trimmed(&self, first: u64) {
         let fields = [
             field("stream", &self.state.stream),
-            field("wanted", self.state.ledger.borrow().next()),
+            field("wanted", self.state.ledger.borrow().next_offset()),
             field("first", first),
         ];
         self.state.events.emit(&events::RECORDS_TRIMMED, &fields);
-        let lost = self.state.ledger.borrow_mut().trimmed(first);
+        let lost = self.state.ledger.borrow_mut().handle_trim(first);
         self.handle_events(lost);
     }
 
@@ -188,7 +188,7 @@
         self.mark_log_up();
         self.state.at_end.set(false);
         for record in records {
-            let events = self.state.ledger.borrow_mut().read(record);
+            let events = self.state.ledger.borrow_mut().apply(record);
             self.handle_events(events);
         }
         // More records may be owed now, or owed ones may have been read back.
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
-use pumicecleat_ledger::{Answer, Body, Digest, Key, Outcome};
+use pumicecleat_ledger::{Body, Digest, Key, Outcome, RecordedResponse};
 use pumicecleat_net::Sent;
 use pumicecleat_types::{
     Frame, HeaderField, Millis, Ran, Reason, Refusal, RunRequest, ServiceTarget,
@@ -203,7 +203,7 @@
         }
     }
 
-    fn withdraw(&self, part: &PartGuard, won: &pumicecleat_ledger::Won) -> Vec<Frame> {
+    fn withdraw(&self, part: &PartGuard, won: &pumicecleat_ledger::SendPermit) -> Vec<Frame> {
         let reason = if part.withdraw(won) {
             Reason::Deadline
         } else {
@@ -212,14 +212,19 @@
         self.refusal_frames(refusal(reason, DEFAULT_RETRY_MS, "its entry left"))
     }
 
-    async fn send_won(&self, call_key: &CallKey, sent: pumicecleat_ledger::Sent) -> Vec<Frame> {
+    async fn send_won(
+        &self,
+        call_key: &CallKey,
+        sent: pumicecleat_ledger::SentAttempt,
+    ) -> Vec<Frame> {
         let request = &self.request.head.request;
         let CallKey { key, part } = call_key;
         match self.send().await {
             Ok(answer) => {
                 let headers = answer.headers.clone();
-                let record = Answer::new(answer.status, headers, &answer.body, MAX_RECORDED_BYTES);
-                part.finish(request, key, sent, Outcome::Answer(record));
+                let record =
+                    RecordedResponse::new(answer.status, headers, &answer.body, MAX_RECORDED_BYTES);
+                part.finish(request, key, sent, Outcome::Response(record));
                 self.answer_frames(answer.status, answer.headers, &answer.body, false)
             }
             Err(e) if e.sent() == Sent::No => self.void_unsent(part, sent, &e),
@@ -233,7 +238,7 @@
     fn void_unsent(
         &self,
         part: &PartGuard,
-        sent: pumicecleat_ledger::Sent,
+        sent: pumicecleat_ledger::SentAttempt,
         error: &CallError,
     ) -> Vec<Frame> {
         if part.unsent(sent) {
@@ -245,8 +250,8 @@
     fn replay(&self, outcome: &Outcome) -> Vec<Frame> {
         self.state.metrics.replayed.inc();
         match outcome {
-            Outcome::Answer(answer) => match &answer.body {
-                Body::Whole(body) => {
+            Outcome::Response(answer) => match &answer.body {
+                Body::Complete(body) => {
                     self.answer_frames(answer.status, answer.headers.clone(), body, true)
                 }
                 Body::Large { bytes, .. } => vec![self.unrecorded_answer(*bytes)],
