--- a/crates/agent/src/relay/poll.rs
+++ b/crates/agent/src/relay/poll.rs
@@ -7,7 +7,7 @@
 use pumicecleat_net::{NetError, post};
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{
-    FiguresCall, FiguresReply, Member, Seen, SuspectNews, ViewCall, ViewReply, Viewer,
+    ChangeCursor, FiguresCall, FiguresReply, Member, SuspectNews, ViewCall, ViewReply, Viewer,
 };
 
 use super::state::CentreQuery;
@@ -129,7 +129,12 @@
     }
 }
 
-fn apply_suspects(shared: &Shared, relay: SocketAddr, sent_up_to: Seen, news: &SuspectNews) {
+fn apply_suspects(
+    shared: &Shared,
+    relay: SocketAddr,
+    sent_up_to: ChangeCursor,
+    news: &SuspectNews,
+) {
     let now = shared.timer.now();
     let mut table = shared.suspects.table.borrow_mut();
     let mut sync = shared.suspects.sync.borrow_mut();
--- a/crates/agent/src/relay/state.rs
+++ b/crates/agent/src/relay/state.rs
@@ -6,8 +6,8 @@
 
 use pumicecleat_policy::{RelayPick, RelaySelector, members_digest, name_key};
 use pumicecleat_types::{
-    DataCentre, EngineFigures, FiguresReply, KeptAdapters, Member, Millis, Reach, Seen, ViewCall,
-    ViewReply, ViewRow, Viewer, VmId,
+    CachedAdapters, ChangeCursor, DataCentre, EngineFigures, FiguresReply, Member, Millis,
+    Reachability, ViewCall, ViewReply, ViewRow, Viewer, VmId,
 };
 
 use crate::gateways::RecentGateways;
@@ -42,10 +42,10 @@
 struct MemberState {
     member: Member,
     figures: Option<(EngineFigures, Millis)>,
-    cached_adapters: KeptAdapters,
+    cached_adapters: CachedAdapters,
     /// Revision in which `cached_adapters` last changed.
     cached_revision: u64,
-    reach: Reach,
+    reach: Reachability,
     /// Time of the first failed exchange since the last successful one.
     failing_since: Option<Millis>,
     /// Time of the last result, successful or not.
@@ -70,7 +70,7 @@
     /// Address at which other processes call this agent.
     own_address: SocketAddr,
     /// ID of this start of the agent, and number of changes since.
-    revision: Seen,
+    revision: ChangeCursor,
     callers: BTreeMap<VmId, Caller>,
     members: BTreeMap<String, MemberState>,
     centres: BTreeMap<DataCentre, CentreState>,
@@ -99,7 +99,7 @@
         Self {
             own_centre,
             own_address,
-            revision: Seen { start, count: 0 },
+            revision: ChangeCursor { start, count: 0 },
             callers: BTreeMap::new(),
             members: BTreeMap::new(),
             centres: BTreeMap::new(),
@@ -124,7 +124,7 @@
         let digest = name_key(&cached.join("/"));
         let reply = FiguresReply {
             figures: figures.clone(),
-            kept: Some(KeptAdapters {
+            kept: Some(CachedAdapters {
                 digest,
                 names: cached,
             }),
@@ -296,10 +296,10 @@
         let failing_since = state.failing_since.take();
         if reply.figures.instance != instance {
             // An agent that does not know the instance of its engine yet grants no turns.
-            state.reach = Reach::Replaced;
+            state.reach = Reachability::Replaced;
             return failing_since;
         }
-        state.reach = Reach::Sound;
+        state.reach = Reachability::Sound;
         state.figures = Some((reply.figures, sent_at));
         if let Some(kept) = reply.kept {
             state.set_cached_adapters(kept, &mut self.revision);
@@ -318,9 +318,9 @@
         state.last_result_at = Some(now);
         let failing_since = *state.failing_since.get_or_insert(now);
         if refused {
-            state.reach = Reach::Sound;
+            state.reach = Reachability::Sound;
         } else if now.since(failing_since) >= CUT_OFF_DELAY {
-            state.reach = Reach::CutOff;
+            state.reach = Reachability::CutOff;
         }
         is_first
     }
@@ -370,9 +370,9 @@
         Self {
             member,
             figures: None,
-            cached_adapters: KeptAdapters::default(),
+            cached_adapters: CachedAdapters::default(),
             cached_revision: 0,
-            reach: Reach::Sound,
+            reach: Reachability::Sound,
             failing_since: None,
             last_result_at: None,
             last_poll: None,
@@ -380,7 +380,7 @@
         }
     }
 
-    fn set_cached_adapters(&mut self, adapters: KeptAdapters, revision: &mut Seen) {
+    fn set_cached_adapters(&mut self, adapters: CachedAdapters, revision: &mut ChangeCursor) {
         if adapters.digest == self.cached_adapters.digest {
             return;
         }
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -11,7 +11,7 @@
 use pumicecleat_net::{Client, Timer};
 use pumicecleat_ops::{Log, Readiness, events, field};
 use pumicecleat_policy::{RateLimits, TurnId, TurnScheduler};
-use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, ServiceId, Turn, VmId};
+use pumicecleat_types::{CachedAdapters, EngineFigures, Millis, ServiceId, Turn, VmId};
 
 use crate::EngineClient;
 use crate::meters::Meters;
@@ -109,10 +109,10 @@
     }
 
     /// Adapters cached by the engine's host, or `None` if the caller knows them by their digest.
-    pub(crate) fn cached_adapters(&self, known_digest: u64) -> Option<KeptAdapters> {
+    pub(crate) fn cached_adapters(&self, known_digest: u64) -> Option<CachedAdapters> {
         let names = self.scheduler.borrow().cached_adapters();
         let digest = pumicecleat_policy::name_key(&names.join("/"));
-        (digest != known_digest).then_some(KeptAdapters { digest, names })
+        (digest != known_digest).then_some(CachedAdapters { digest, names })
     }
 
     /// Handles a restart of the engine: its state is reset, and the list will contain a new instance.
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -13,7 +13,7 @@
 
 use pumicecleat_config::model::{Config, Key};
 use pumicecleat_config::{Due, Fold, FoldEvent, GapError, KeyIndex, Scan, SnapshotError};
-use pumicecleat_types::{CallerId, ConfigAsk, ConfigReply, LogRecord, Millis};
+use pumicecleat_types::{CallerId, ConfigCall, ConfigReply, LogRecord, Millis};
 use serde::{Deserialize, Serialize};
 
 pub(crate) use follow::{CONFIG_CONDITION, ensure_fresh, follow, refresh, spawn_refresh};
@@ -87,7 +87,7 @@
 
     /// Reply to a side or a starting entry. Not ready until the configuration is authoritative: after
     /// reading only a part of the log, its revision may be older than the one in force.
-    pub(crate) fn reply(&self, request: ConfigAsk) -> ConfigReply {
+    pub(crate) fn reply(&self, request: ConfigCall) -> ConfigReply {
         let state = self.state.borrow();
         if state.fold.revision() == 0 || !self.authoritative.get() {
             return ConfigReply::NotReady;
--- a/crates/entry/src/config/peers.rs
+++ b/crates/entry/src/config/peers.rs
@@ -4,7 +4,7 @@
 
 use pumicecleat_net::{NetError, post};
 use pumicecleat_ops::{events, field};
-use pumicecleat_types::{ConfigAsk, ConfigReply};
+use pumicecleat_types::{ConfigCall, ConfigReply};
 
 use super::follow::on_new_revision;
 use crate::shared::Shared;
@@ -31,7 +31,7 @@
         0 => None,
         _ => Some(shared.config.next_offset()),
     };
-    let request = ConfigAsk { from };
+    let request = ConfigCall { from };
     let reply = match post(
         &shared.entry_client,
         peer,
--- a/crates/entry/src/peer/config.rs
+++ b/crates/entry/src/peer/config.rs
@@ -1,9 +1,9 @@
 //! Requests for the configuration from sides and starting entries.
 
-use pumicecleat_types::{ConfigAsk, ConfigReply};
+use pumicecleat_types::{ConfigCall, ConfigReply};
 
 use crate::shared::Shared;
 
-pub(super) fn handle_request(shared: &Shared, request: ConfigAsk) -> ConfigReply {
+pub(super) fn handle_request(shared: &Shared, request: ConfigCall) -> ConfigReply {
     shared.config.reply(request)
 }
--- a/crates/entry/src/peer/load.rs
+++ b/crates/entry/src/peer/load.rs
@@ -6,7 +6,7 @@
 use pumicecleat_net::post;
 use pumicecleat_ops::{events, field};
 use pumicecleat_policy::{Bid, LoraIx, UpstreamIx};
-use pumicecleat_types::{LoadBid, LoadCall, LoadCalled, LoadTurn, Lora, Millis};
+use pumicecleat_types::{BidRequest, BidRequestReply, LoadBid, LoadTurn, Lora, Millis};
 
 use crate::shared::Shared;
 
@@ -32,7 +32,7 @@
         return false;
     };
     let address = shared.directory.borrow().address(up);
-    let call = LoadCall { at_ms: now.0 };
+    let call = BidRequest { at_ms: now.0 };
     let reply = match address {
         Some(address) => post(
             &shared.side_client,
@@ -45,7 +45,7 @@
         .ok(),
         None => None,
     };
-    let bids = reply.is_some_and(|called: LoadCalled| called.bids);
+    let bids = reply.is_some_and(|called: BidRequestReply| called.bids);
     if !bids {
         shared.load_order.borrow_mut().remove_bid(up);
     }
--- a/crates/entry/tests/entry/config.rs
+++ b/crates/entry/tests/entry/config.rs
@@ -8,7 +8,7 @@
 use pumicecleat_entry::{Entry, EntryContext};
 use pumicecleat_infra::{AppendError, Appended, Batch, Local, Log, ReadError};
 use pumicecleat_standin::LogFaults;
-use pumicecleat_types::{ConfigAsk, ConfigReply};
+use pumicecleat_types::{ConfigCall, ConfigReply};
 
 use crate::caller::post;
 use crate::script::whole;
@@ -289,7 +289,7 @@
 
 async fn ask(world: &World, entry: &Entry, from: Option<u64>) -> ConfigReply {
     let peer = entry.addresses().peers.to_string();
-    let ask = ConfigAsk { from };
+    let ask = ConfigCall { from };
     let span = Duration::from_secs(1);
     pumicecleat_net::post(&world.client, &peer, "/peer/v1/config", &ask, span)
         .await
--- a/crates/fuzz/src/targets/message.rs
+++ b/crates/fuzz/src/targets/message.rs
@@ -1,7 +1,7 @@
 //! Messages between the system's processes.
 
 use pumicecleat_types::{
-    ConfigAsk, ConfigReply, Frame, HeaderField, LoadBid, LoadCall, LoadCalled, LoadFigures,
+    BidRequest, BidRequestReply, ConfigCall, ConfigReply, Frame, HeaderField, LoadBid, LoadFigures,
     LoadTurn, LogRecord, ModelTarget, Reason, Refusal, Report, ReportReply, RunHead, RunRequest,
     ServiceTarget, Target, decode, encode,
 };
@@ -35,13 +35,13 @@
             encode(&request(service())),
             encode(&report()),
             encode(&reply()),
-            encode(&ConfigAsk { from: Some(7) }),
+            encode(&ConfigCall { from: Some(7) }),
             encode(&ConfigReply::Records(vec![log_record()])),
             encode(&ConfigReply::Snapshot(b"snapshot".to_vec())),
             encode(&bid()),
             encode(&LoadTurn::Go { ttl_ms: 900 }),
-            encode(&LoadCall { at_ms: 900 }),
-            encode(&LoadCalled { bids: true }),
+            encode(&BidRequest { at_ms: 900 }),
+            encode(&BidRequestReply { bids: true }),
             encode(&Frame::Refused(refusal())),
         ]
     }
@@ -51,12 +51,12 @@
             check_as::<RunRequest>(input)?,
             check_as::<Report>(input)?,
             check_as::<ReportReply>(input)?,
-            check_as::<ConfigAsk>(input)?,
+            check_as::<ConfigCall>(input)?,
             check_as::<ConfigReply>(input)?,
             check_as::<LoadBid>(input)?,
             check_as::<LoadTurn>(input)?,
-            check_as::<LoadCall>(input)?,
-            check_as::<LoadCalled>(input)?,
+            check_as::<BidRequest>(input)?,
+            check_as::<BidRequestReply>(input)?,
             check_as::<Frame>(input)?,
         ];
         Ok(taken.contains(&true))
--- a/crates/gateway/src/agents.rs
+++ b/crates/gateway/src/agents.rs
@@ -8,7 +8,9 @@
 use pumicecleat_net::{NetError, post};
 use pumicecleat_ops::{events, field};
 use pumicecleat_policy::RelaySelector;
-use pumicecleat_types::{LimitNews, Millis, Reach, RunNews, Turn, TurnAsk, TurnCall, TurnReply};
+use pumicecleat_types::{
+    LimitNews, Millis, Reachability, RunNews, Turn, TurnAsk, TurnCall, TurnReply,
+};
 
 use crate::service_traits::service_traits;
 use crate::shared::Shared;
@@ -84,7 +86,7 @@
             let last_message = r.heard_at.max(r.viewed_at).max(Some(r.first_seen(now)));
             let is_overdue = last_message.is_none_or(|at| now.since(at) >= DIRECT_SYNC_INTERVAL);
             let needs_contact =
-                r.pending_asks > 0 || (r.failing_since.is_some() && r.reach == Reach::Sound);
+                r.pending_asks > 0 || (r.failing_since.is_some() && r.reach == Reachability::Sound);
             // What this gateway observed itself takes precedence over a relay's report: only a direct
             // exchange ends the failure.
             let needs_check = is_overdue || r.failing_since.is_some();
@@ -262,9 +264,9 @@
     shared.table.with(&upstream.instance, |r| {
         // An agent that does not know its engine yet can't grant turns.
         r.reach = if is_expected {
-            Reach::Sound
+            Reachability::Sound
         } else {
-            Reach::Replaced
+            Reachability::Replaced
         };
     });
     if is_expected {
@@ -284,7 +286,7 @@
         r.failing_since.get_or_insert(now);
         let silent = r.is_silent(now);
         if silent && !error.is_refused() {
-            r.reach = Reach::CutOff;
+            r.reach = Reachability::CutOff;
         }
         !silent || std::mem::replace(&mut r.loss_logged, true)
     });
--- a/crates/gateway/src/suspects/news.rs
+++ b/crates/gateway/src/suspects/news.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use pumicecleat_policy::OutgoingNews;
-use pumicecleat_types::{Seen, SuspectNews};
+use pumicecleat_types::{ChangeCursor, SuspectNews};
 
 use super::log_suspected;
 use crate::shared::Shared;
@@ -22,7 +22,7 @@
 pub(crate) fn apply_reply(
     shared: &Shared,
     peer: SocketAddr,
-    sent_up_to: Seen,
+    sent_up_to: ChangeCursor,
     reply: &SuspectNews,
 ) {
     let now = shared.timer.now();
--- a/crates/gateway/src/suspects/persist.rs
+++ b/crates/gateway/src/suspects/persist.rs
@@ -14,7 +14,7 @@
 use pumicecleat_infra::{AppendError, KeyedLog, KeyedRecord};
 use pumicecleat_ops::{events, field};
 use pumicecleat_policy::{SuspectTable, TRIAL_MIN_ENDS};
-use pumicecleat_types::{Fingerprint, Millis, SuspectWord};
+use pumicecleat_types::{Fingerprint, Millis, SuspectReport};
 use serde::{Deserialize, Serialize};
 
 use crate::shared::Shared;
@@ -35,7 +35,7 @@
 /// Stored value of a request.
 #[derive(Serialize, Deserialize)]
 struct StoredSuspect {
-    word: SuspectWord,
+    word: SuspectReport,
     /// Unix time of the record in milliseconds.
     at: u64,
 }
--- a/crates/gateway/src/table/record.rs
+++ b/crates/gateway/src/table/record.rs
@@ -1,7 +1,7 @@
 //! State of one upstream.
 
 use pumicecleat_policy::{UpstreamLoad, UpstreamStats};
-use pumicecleat_types::{EngineFigures, KeptAdapters, Millis, Reach, RunNews, ViewRow};
+use pumicecleat_types::{CachedAdapters, EngineFigures, Millis, Reachability, RunNews, ViewRow};
 
 use crate::ReportedLoad;
 
@@ -31,7 +31,7 @@
     /// Figures of the engine reported by its agent, and when they arrived.
     pub(crate) figures: Option<(EngineFigures, Millis)>,
     /// Adapters cached on the engine's host, reported by its agent, and their digest.
-    pub(crate) kept_adapters: KeptAdapters,
+    pub(crate) kept_adapters: CachedAdapters,
     /// Own asks that the agent's figures don't include yet.
     pub(crate) unreported_asks: Vec<UnreportedAsk>,
     /// Number of own asks without an outcome.
@@ -53,7 +53,7 @@
     /// The loss of the agent was logged.
     pub(crate) loss_logged: bool,
     /// Reachability, as shown by exchanges with its agent.
-    pub(crate) reach: Reach,
+    pub(crate) reach: Reachability,
     /// When the engine was first seen in the list.
     first_seen: Option<Millis>,
     /// Unix time of the engine's start in milliseconds, reported by its agent; 0 if unknown.
@@ -80,7 +80,7 @@
     /// that depended on the earlier start.
     pub(crate) fn set_figures(&mut self, figures: EngineFigures, now: Millis) {
         if self.born != 0 && figures.born > self.born {
-            self.kept_adapters = KeptAdapters::default();
+            self.kept_adapters = CachedAdapters::default();
             self.is_replaced = false;
             self.stats = UpstreamStats::default();
         }
@@ -144,7 +144,7 @@
     /// Whether requests to the engine would fail: its agent reports that it crashed, was replaced or is
     /// leaving, or their VM is unreachable. An agent that is down reports nothing.
     pub(crate) fn is_unavailable(&self, now: Millis) -> bool {
-        self.reach != Reach::Sound
+        self.reach != Reachability::Sound
             || self
                 .fresh_figures(now)
                 .is_some_and(|f| f.ready_ms.is_none())
--- a/crates/measure/src/slopes/idle/sides.rs
+++ b/crates/measure/src/slopes/idle/sides.rs
@@ -11,7 +11,7 @@
     Client, ClientOptions, Handler, Incoming, Reply, Server, ServerOptions, Timer, bind,
     peer_reply, post, read_all,
 };
-use pumicecleat_types::{ConfigAsk, ConfigReply, ReportReply};
+use pumicecleat_types::{ConfigCall, ConfigReply, ReportReply};
 
 use crate::path::Thread;
 use crate::slopes::fleet::report;
@@ -139,7 +139,7 @@
 
 /// Asks for the configuration again and again, with nothing newer to come.
 async fn ask_on(client: Client, shared: Arc<Shared>, timer: Timer) {
-    let ask = ConfigAsk { from: Some(1) };
+    let ask = ConfigCall { from: Some(1) };
     while !shared.is_stopped() {
         let peer = shared.target();
         // Whether one is answered shows in the entry's figures only.
--- a/crates/policy/src/prompt/relay.rs
+++ b/crates/policy/src/prompt/relay.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use pumicecleat_types::{Member, Millis, Seen, ViewReply};
+use pumicecleat_types::{ChangeCursor, Member, Millis, ViewReply};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of engines up to which a gateway asks each agent directly. Figures are half as old that way, and 16
@@ -28,7 +28,7 @@
     /// Whether the call has to include the members. Otherwise the relay knows them by their digest.
     pub send_members: bool,
     /// Last reply received from the relay.
-    pub seen: Seen,
+    pub seen: ChangeCursor,
 }
 
 /// Selects the relay for one caller and remembers what it replied.
@@ -37,7 +37,7 @@
     failures: BTreeMap<u64, Millis>,
     /// Relay that replied last, and the digest of the members that it knows.
     last: Option<(u64, u64)>,
-    seen: Seen,
+    seen: ChangeCursor,
 }
 
 impl RelaySelector {
@@ -69,7 +69,7 @@
             index,
             key,
             send_members: same.is_none_or(|(_, known)| known != digest),
-            seen: same.map_or(Seen::default(), |_| self.seen),
+            seen: same.map_or(ChangeCursor::default(), |_| self.seen),
         })
     }
 
--- a/crates/policy/src/suspects/sync.rs
+++ b/crates/policy/src/suspects/sync.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use pumicecleat_types::{Fingerprint, Millis, Seen, SuspectNews};
+use pumicecleat_types::{ChangeCursor, Fingerprint, Millis, SuspectNews};
 
 use super::SuspectTable;
 
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
     /// Position in the peer's changes up to which they were received.
-    received: Seen,
+    received: ChangeCursor,
     /// Position in the own changes up to which the peer has them.
-    acked: Seen,
+    acked: ChangeCursor,
     replied_at: Millis,
 }
 
@@ -32,7 +32,7 @@
     /// Content of the call.
     pub news: SuspectNews,
     /// Position in the own changes up to which the peer has them once it replies.
-    pub sent_up_to: Seen,
+    pub sent_up_to: ChangeCursor,
 }
 
 impl SuspectSync {
@@ -55,7 +55,7 @@
     pub fn handle_reply(
         &mut self,
         peer: SocketAddr,
-        sent_up_to: Seen,
+        sent_up_to: ChangeCursor,
         reply: &SuspectNews,
         suspects: &mut SuspectTable,
         now: Millis,
@@ -63,9 +63,9 @@
         let state = self.peers.entry(peer).or_default();
         let start_changed = state.received.start != reply.seen.start;
         // A peer that has restarted knows only what this call carried.
-        let restarted = start_changed && state.received != Seen::default();
+        let restarted = start_changed && state.received != ChangeCursor::default();
         state.acked = if restarted {
-            Seen::default()
+            ChangeCursor::default()
         } else {
             sent_up_to
         };
--- a/crates/policy/src/suspects/table.rs
+++ b/crates/policy/src/suspects/table.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use pumicecleat_types::{Fingerprint, Millis, Seen, SuspectNews, SuspectWord, UpstreamEnd};
+use pumicecleat_types::{
+    ChangeCursor, Fingerprint, Millis, SuspectNews, SuspectReport, UpstreamEnd,
+};
 
 use super::suspect::Suspect;
 
@@ -24,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct SuspectTable {
     /// ID of this start of the process, and number of changes since.
-    revision: Seen,
+    revision: ChangeCursor,
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// Requests by the number of their last change.
     by_last_change: BTreeMap<u64, Fingerprint>,
@@ -43,7 +45,7 @@
     #[must_use]
     pub fn new(start: u64) -> Self {
         Self {
-            revision: Seen { start, count: 0 },
+            revision: ChangeCursor { start, count: 0 },
             suspects: BTreeMap::new(),
             by_last_change: BTreeMap::new(),
             pruned_at: Millis(0),
@@ -125,9 +127,9 @@
 
     /// State of a request, in the form in which it is sent and stored.
     #[must_use]
-    pub fn export(&self, fingerprint: &Fingerprint, now: Millis) -> Option<SuspectWord> {
+    pub fn export(&self, fingerprint: &Fingerprint, now: Millis) -> Option<SuspectReport> {
         let suspect = self.suspects.get(fingerprint)?;
-        Some(SuspectWord {
+        Some(SuspectReport {
             fingerprint: *fingerprint,
             ends: suspect.all_ends(),
             age_ms: now.since(suspect.last_activity).0,
@@ -137,7 +139,7 @@
     /// Changes since `seen`, or all if it is of another start of the process, up to the maximum for a message; and
     /// the position up to which they go.
     #[must_use]
-    pub fn news(&self, seen: Seen, now: Millis) -> SuspectNews {
+    pub fn news(&self, seen: ChangeCursor, now: Millis) -> SuspectNews {
         let since = if seen.start == self.revision.start {
             seen.count
         } else {
@@ -163,7 +165,7 @@
     }
 
     /// Merges records that a process sent or stored; returns the requests for which they contained something new.
-    pub fn merge(&mut self, records: &[SuspectWord], now: Millis) -> Vec<Fingerprint> {
+    pub fn merge(&mut self, records: &[SuspectReport], now: Millis) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
         for record in records {
             let at = now - Millis(record.age_ms);
--- a/crates/policy/tests/relay_link.rs
+++ b/crates/policy/tests/relay_link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use pumicecleat_policy::{RelayPick, RelaySelector, members_digest};
-use pumicecleat_types::{DataCentre, Member, Millis, Seen, ViewReply};
+use pumicecleat_types::{ChangeCursor, DataCentre, Member, Millis, ViewReply};
 
 fn members() -> Vec<Member> {
     let member = |n: u16| Member {
@@ -23,7 +23,7 @@
 fn reply(unknown: bool) -> ViewReply {
     ViewReply {
         unknown,
-        seen: Seen { start: 7, count: 9 },
+        seen: ChangeCursor { start: 7, count: 9 },
         ..ViewReply::default()
     }
 }
@@ -72,11 +72,11 @@
     let mut selector = RelaySelector::default();
     let first = pick(&selector, &all, 0);
     assert!(first.send_members);
-    assert_eq!(first.seen, Seen::default());
+    assert_eq!(first.seen, ChangeCursor::default());
     selector.record_reply(first.key, members_digest(&all), &reply(false));
     let again = pick(&selector, &all, 200);
     assert!(!again.send_members);
-    assert_eq!(again.seen, Seen { start: 7, count: 9 });
+    assert_eq!(again.seen, ChangeCursor { start: 7, count: 9 });
     all.pop();
     assert!(
         pick(&selector, &all, 400).send_members,
@@ -91,7 +91,7 @@
     selector.record_failure(first.key, Millis(600));
     let next = pick(&selector, &all, 600);
     assert!(next.send_members, "another relay was selected");
-    assert_eq!(next.seen, Seen::default());
+    assert_eq!(next.seen, ChangeCursor::default());
 }
 
 #[test]
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,7 +1,7 @@
 //! Requests in progress when upstreams end: storage, exchange between processes, trials and expiry.
 
 use pumicecleat_policy::{SuspectSync, SuspectTable, TRIAL_MIN_ENDS, Trials, end_key};
-use pumicecleat_types::{Fingerprint, Millis, Seen, Trial};
+use pumicecleat_types::{ChangeCursor, Fingerprint, Millis, Trial};
 
 /// Time for which a request is stored.
 const SUSPECT_TTL: Millis = Millis(600_000);
@@ -71,7 +71,7 @@
             // Twice, so that older records arrive after newer ones.
             for _ in 0..2 {
                 for from in order {
-                    let news = processes[from].news(Seen::default(), Millis(9));
+                    let news = processes[from].news(ChangeCursor::default(), Millis(9));
                     for to in &mut processes {
                         to.merge(&news.words, Millis(9));
                     }
@@ -121,7 +121,7 @@
         gateway.record_end(request(n), 1, false, Millis(5));
     }
     let mut side = SuspectTable::new(2);
-    let mut seen = Seen::default();
+    let mut seen = ChangeCursor::default();
     for _ in 0..4 {
         let news = gateway.news(seen, Millis(5));
         assert!(news.words.len() <= 128);
@@ -159,7 +159,7 @@
     assert_eq!(table.end_count(&request(1), late), 1);
     assert_eq!(table.end_count(&request(2), late), 0);
     let mut other = SuspectTable::new(2);
-    other.merge(&table.news(Seen::default(), late).words, late);
+    other.merge(&table.news(ChangeCursor::default(), late).words, late);
     assert_eq!(other.end_count(&request(1), late), 1);
     assert_eq!(other.end_count(&request(2), late), 0);
 }
--- a/crates/side/src/config.rs
+++ b/crates/side/src/config.rs
@@ -9,7 +9,7 @@
 use pumicecleat_config::model::{Config, Pool};
 use pumicecleat_net::post;
 use pumicecleat_ops::{events, field};
-use pumicecleat_types::{ConfigAsk, ConfigReply, LogRecord, Lora, Millis, PoolId};
+use pumicecleat_types::{ConfigCall, ConfigReply, LogRecord, Lora, Millis, PoolId};
 
 use crate::state::{CONFIG_CONDITION, State};
 
@@ -164,7 +164,7 @@
     }
 
     async fn request_config(&self, entry: &str) -> bool {
-        let ask = ConfigAsk {
+        let ask = ConfigCall {
             from: self.config.next_offset(),
         };
         let before = self.config.revision();
@@ -183,7 +183,7 @@
     }
 
     async fn request_snapshot(&self, entry: &str, before: u64) -> bool {
-        let ask = ConfigAsk { from: None };
+        let ask = ConfigCall { from: None };
         let reply =
             post::<_, ConfigReply>(&self.client, entry, CONFIG_PATH, &ask, CONFIG_TIMEOUT).await;
         let applied = reply.is_ok_and(|r| self.apply_config_reply(entry, &r));
--- a/crates/side/src/peer.rs
+++ b/crates/side/src/peer.rs
@@ -9,7 +9,7 @@
 use http::header::{CONTENT_TYPE, HeaderValue};
 use pumicecleat_net::{Body, Handler, Incoming, Reply, peer_reply, plain_reply, read_all};
 use pumicecleat_ops::{events, field};
-use pumicecleat_types::{LoadCall, LoadCalled, RunRequest, decode};
+use pumicecleat_types::{BidRequest, BidRequestReply, RunRequest, decode};
 
 use crate::run::answer;
 use crate::state::State;
@@ -42,7 +42,7 @@
         Err(e) => return refuse(&state, peer, &e.to_string()),
     };
     if is_call {
-        return match decode::<LoadCall>(&bytes) {
+        return match decode::<BidRequest>(&bytes) {
             Ok(_) => peer_reply(&handle_call(&state)),
             Err(e) => refuse(&state, peer, &e.to_string()),
         };
@@ -53,11 +53,11 @@
     }
 }
 
-fn handle_call(state: &State) -> LoadCalled {
+fn handle_call(state: &State) -> BidRequestReply {
     let bids = state
         .backend()
         .is_some_and(|b| b.dispatcher.bid_requested());
-    LoadCalled { bids }
+    BidRequestReply { bids }
 }
 
 fn frames_reply(body: Body) -> Reply {
--- a/crates/side/tests/bench/mod.rs
+++ b/crates/side/tests/bench/mod.rs
@@ -22,8 +22,8 @@
     Service, ServiceFaults, ServiceOptions, Store, StoreFaults, StoreOptions,
 };
 use pumicecleat_types::{
-    ConfigReply, Frame, LoadBid, LoadCall, LoadCalled, LoadTurn, LogRecord, Lora, ModelTarget,
-    Report, ReportReply, RunHead, RunRequest, ServiceTarget, Target, decode, encode,
+    BidRequest, BidRequestReply, ConfigReply, Frame, LoadBid, LoadTurn, LogRecord, Lora,
+    ModelTarget, Report, ReportReply, RunHead, RunRequest, ServiceTarget, Target, decode, encode,
 };
 
 /// Timeout of each step of a test.
@@ -386,9 +386,9 @@
     /// Calls a side for a bid; returns whether the side has one pending.
     pub async fn call_for_bid(&self, side: &Side) -> bool {
         let peer = side.address().to_string();
-        let call = LoadCall { at_ms: 1 };
+        let call = BidRequest { at_ms: 1 };
         let reply = post(&self.side_client, &peer, "/peer/v1/call", &call, TIMEOUT).await;
-        reply.map(|called: LoadCalled| called.bids).unwrap()
+        reply.map(|called: BidRequestReply| called.bids).unwrap()
     }
 
     /// Sends an attempt and returns all its frames.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -28,12 +28,13 @@
 };
 pub use lora::Lora;
 pub use message::{
-    ConfigAsk, ConfigReply, EngineFigures, EngineTraits, FiguresCall, FiguresReply, Frame,
-    HeaderField, KeptAdapters, LimitNews, ListRead, LoadBid, LoadCall, LoadCalled, LoadFigures,
-    LoadTurn, LogRecord, Member, ModelTarget, Ran, Reach, Reason, Refusal, Report, ReportReply,
-    RunHead, RunNews, RunRequest, Seen, ServiceTarget, StreamMarks, SuspectNews, SuspectWord,
-    Target, Trial, TrialCall, TrialReply, Turn, TurnAsk, TurnCall, TurnRefusal, TurnReply,
-    UpstreamEnd, ViewCall, ViewReply, ViewRow, Viewer, VmEntry, VmRole, VmState,
+    BidRequest, BidRequestReply, CachedAdapters, ChangeCursor, ConfigCall, ConfigReply,
+    EngineFigures, EngineTraits, FiguresCall, FiguresReply, Frame, HeaderField, LimitNews,
+    ListRead, LoadBid, LoadFigures, LoadTurn, LogRecord, Member, ModelTarget, Ran, Reachability,
+    Reason, Refusal, Report, ReportReply, RunHead, RunNews, RunRequest, ServiceTarget, StreamMarks,
+    SuspectNews, SuspectReport, Target, Trial, TrialCall, TrialReply, Turn, TurnAsk, TurnCall,
+    TurnRefusal, TurnReply, UpstreamEnd, ViewCall, ViewReply, ViewRow, Viewer, VmEntry, VmRole,
+    VmState,
 };
 pub use position::Position;
 pub use time::Millis;
--- a/crates/types/src/message/config.rs
+++ b/crates/types/src/message/config.rs
@@ -18,7 +18,7 @@
 
 /// Side or starting entry to entry: what follows this offset?
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigAsk {
+pub struct ConfigCall {
     /// First offset wanted, or `None` for a snapshot.
     pub from: Option<u64>,
 }
--- a/crates/types/src/message/load.rs
+++ b/crates/types/src/message/load.rs
@@ -40,14 +40,14 @@
 
 /// Entry to side: the store is free, and the side is to bid before the time it was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadCall {
+pub struct BidRequest {
     /// Entry's time since its start, milliseconds.
     pub at_ms: u64,
 }
 
 /// Side to entry, on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadCalled {
+pub struct BidRequestReply {
     /// A bid is on its way.
     pub bids: bool,
 }
--- a/crates/types/src/message/mod.rs
+++ b/crates/types/src/message/mod.rs
@@ -9,19 +9,20 @@
 mod view;
 mod vm;
 
-pub use config::{ConfigAsk, ConfigReply, LogRecord};
-pub use load::{LoadBid, LoadCall, LoadCalled, LoadTurn};
+pub use config::{ConfigCall, ConfigReply, LogRecord};
+pub use load::{BidRequest, BidRequestReply, LoadBid, LoadTurn};
 pub use report::{LoadFigures, Report, ReportReply};
 pub use run::{
     Frame, HeaderField, ModelTarget, Ran, Reason, Refusal, RunHead, RunRequest, ServiceTarget,
     Target,
 };
-pub use suspect::{SuspectNews, SuspectWord, Trial, TrialCall, TrialReply, UpstreamEnd};
+pub use suspect::{SuspectNews, SuspectReport, Trial, TrialCall, TrialReply, UpstreamEnd};
 pub use turn::{
-    EngineFigures, EngineTraits, KeptAdapters, LimitNews, ListRead, RunNews, StreamMarks, Turn,
+    CachedAdapters, EngineFigures, EngineTraits, LimitNews, ListRead, RunNews, StreamMarks, Turn,
     TurnAsk, TurnCall, TurnRefusal, TurnReply,
 };
 pub use view::{
-    FiguresCall, FiguresReply, Member, Reach, Seen, ViewCall, ViewReply, ViewRow, Viewer,
+    ChangeCursor, FiguresCall, FiguresReply, Member, Reachability, ViewCall, ViewReply, ViewRow,
+    Viewer,
 };
 pub use vm::{VmEntry, VmRole, VmState};
--- a/crates/types/src/message/suspect.rs
+++ b/crates/types/src/message/suspect.rs
@@ -2,21 +2,21 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Seen;
+use super::ChangeCursor;
 use crate::{Fingerprint, VmId};
 
 /// News of suspects, in either direction of an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
     /// In a call what its sender has heard from the one called, in a reply how far it brings the caller.
-    pub seen: Seen,
+    pub seen: ChangeCursor,
     /// What is new since.
-    pub words: Vec<SuspectWord>,
+    pub words: Vec<SuspectReport>,
 }
 
 /// What is known of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectWord {
+pub struct SuspectReport {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Upstreams that ended under it.
--- a/crates/types/src/message/turn.rs
+++ b/crates/types/src/message/turn.rs
@@ -82,7 +82,7 @@
     /// The engine, as the side knows it.
     pub figures: EngineFigures,
     /// Adapters that the engine's host keeps, if they aren't those that the entry knows.
-    pub kept: Option<KeptAdapters>,
+    pub kept: Option<CachedAdapters>,
     /// Entries that the side heard of lately.
     pub entries: u32,
     /// How far the side knows the platform's streams to reach.
@@ -113,7 +113,7 @@
 
 /// Adapters that an engine's host keeps in memory beside those held.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAdapters {
+pub struct CachedAdapters {
     /// Digest of the names.
     pub digest: u64,
     /// Names, latest first.
--- a/crates/types/src/message/view.rs
+++ b/crates/types/src/message/view.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{EngineFigures, KeptAdapters, StreamMarks, SuspectNews};
+use super::{CachedAdapters, EngineFigures, StreamMarks, SuspectNews};
 use crate::{DataCentre, VmId};
 
 /// An engine whose figures are wanted.
@@ -43,14 +43,14 @@
     /// The members, unless the one asked is taken to know them by their digest.
     pub members: Option<Vec<Member>>,
     /// Last reply that the asker had from here; nothing at first.
-    pub seen: Seen,
+    pub seen: ChangeCursor,
     /// Requests under which upstreams ended.
     pub suspects: SuspectNews,
 }
 
 /// A reply of one start of a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ChangeCursor {
     /// Which start of the relay; a random number.
     pub start: u64,
     /// Count of changes up to the reply.
@@ -63,7 +63,7 @@
     /// The members of this digest are not known: they have to be sent.
     pub unknown: bool,
     /// What a later call names as seen.
-    pub seen: Seen,
+    pub seen: ChangeCursor,
     /// A row a member.
     pub rows: Vec<ViewRow>,
     /// Entries heard of lately.
@@ -80,18 +80,18 @@
     /// Instance that the asker named.
     pub instance: String,
     /// What exchanges with its side tell.
-    pub reach: Reach,
+    pub reach: Reachability,
     /// Age of its figures, ms.
     pub age_ms: u64,
     /// Its figures, if any were had.
     pub figures: Option<EngineFigures>,
     /// Adapters that its host keeps, if they changed since the reply that the asker has seen.
-    pub kept: Option<KeptAdapters>,
+    pub kept: Option<CachedAdapters>,
 }
 
 /// What exchanges with a side tell of its engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reach {
+pub enum Reachability {
     /// Nothing against it: the side answers, or is down on a VM that answers.
     #[default]
     Sound,
@@ -118,7 +118,7 @@
     /// The engine, as the side knows it.
     pub figures: EngineFigures,
     /// Adapters that the engine's host keeps, if they aren't those that the relay knows.
-    pub kept: Option<KeptAdapters>,
+    pub kept: Option<CachedAdapters>,
     /// How far the side knows the platform's streams to reach.
     pub marks: StreamMarks,
 }
