--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -160,7 +160,7 @@
         for action in actions {
             match action {
                 TurnAction::Grant { turn, version } => {
-                    self.deliver_turn(turn, Turn::Go { version });
+                    self.deliver_turn(turn, Turn::Granted { version });
                 }
                 TurnAction::Refuse {
                     turn,
@@ -168,7 +168,7 @@
                     retry_after,
                 } => {
                     let retry_ms = retry_after.0;
-                    self.deliver_turn(turn, Turn::No { reason, retry_ms });
+                    self.deliver_turn(turn, Turn::Refused { reason, retry_ms });
                 }
                 TurnAction::Order { order, sequence } => self.spawn_order(base, order, sequence),
             }
@@ -177,8 +177,8 @@
 
     fn deliver_turn(&self, id: pumicecleat_policy::TurnId, turn: Turn) {
         let outcome = match turn {
-            Turn::Go { .. } => "go",
-            Turn::No { reason, .. } => reason.as_str(),
+            Turn::Granted { .. } => "go",
+            Turn::Refused { reason, .. } => reason.as_str(),
         };
         let labels = TurnLabels { outcome };
         self.shared.meters.turns.get_or_create(&labels).inc();
--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -26,7 +26,7 @@
 
 /// Response for an instance that is not known to be this engine. The list of upstreams is read within half a
 /// second.
-const UNKNOWN_ENGINE: Turn = Turn::No {
+const UNKNOWN_ENGINE: Turn = Turn::Refused {
     reason: TurnRefusal::NoEngine,
     retry_ms: 300,
 };
@@ -35,7 +35,7 @@
 const TRIAL_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Response to a request on trial while other trials occupy the engine.
-const TRIAL_IN_PROGRESS: Turn = Turn::No {
+const TRIAL_IN_PROGRESS: Turn = Turn::Refused {
     reason: TurnRefusal::OnTrial,
     retry_ms: 500,
 };
@@ -159,7 +159,7 @@
             Admission::Unlimited => return self.wait_for_turn(ask).await,
             Admission::Reserved(slot) => slot,
             Admission::Refused(wait) => {
-                let turn = Turn::No {
+                let turn = Turn::Refused {
                     reason: TurnRefusal::Limited,
                     retry_ms: wait.0,
                 };
@@ -179,7 +179,7 @@
         ask.due_ms = ask.due_ms.saturating_sub(slot.wait.0);
         ask.patience_ms = ask.patience_ms.saturating_sub(slot.wait.0);
         let turn = self.wait_for_turn(ask).await;
-        if matches!(turn, Turn::Go { .. }) {
+        if matches!(turn, Turn::Granted { .. }) {
             guard.slot = None;
         }
         turn
@@ -221,7 +221,7 @@
         // The sender is dropped without an outcome only when the agent exits.
         let turn = turn.unwrap_or(UNKNOWN_ENGINE);
         self.log_turn(&asked, turn, asked_at);
-        if matches!(turn, Turn::No { .. }) {
+        if matches!(turn, Turn::Refused { .. }) {
             self.shared.suspects.end_trial(&guard.request_id);
         }
         guard.disarm();
@@ -273,11 +273,11 @@
         let unread = field("unread", unread);
         let rate = field("rate", figures.traits.rate);
         match turn {
-            Turn::Go { .. } => self.shared.log.emit(
+            Turn::Granted { .. } => self.shared.log.emit(
                 &events::ENGINE_TURN,
                 &[request, adapter, hold, waited, unread, rate],
             ),
-            Turn::No { reason, retry_ms } => {
+            Turn::Refused { reason, retry_ms } => {
                 let reason = field("reason", reason.as_str());
                 let retry = field("retry_ms", retry_ms);
                 let fields = [request, adapter, hold, reason, waited, unread, rate, retry];
--- a/crates/agent/src/relay/state.rs
+++ b/crates/agent/src/relay/state.rs
@@ -299,7 +299,7 @@
             state.reach = Reachability::Replaced;
             return failing_since;
         }
-        state.reach = Reachability::Sound;
+        state.reach = Reachability::Reachable;
         state.figures = Some((reply.figures, sent_at));
         if let Some(kept) = reply.kept {
             state.set_cached_adapters(kept, &mut self.revision);
@@ -318,9 +318,9 @@
         state.last_result_at = Some(now);
         let failing_since = *state.failing_since.get_or_insert(now);
         if refused {
-            state.reach = Reachability::Sound;
+            state.reach = Reachability::Reachable;
         } else if now.since(failing_since) >= CUT_OFF_DELAY {
-            state.reach = Reachability::CutOff;
+            state.reach = Reachability::Unreachable;
         }
         is_first
     }
@@ -372,7 +372,7 @@
             figures: None,
             cached_adapters: CachedAdapters::default(),
             cached_revision: 0,
-            reach: Reachability::Sound,
+            reach: Reachability::Reachable,
             failing_since: None,
             last_result_at: None,
             last_poll: None,
--- a/crates/agent/src/trial.rs
+++ b/crates/agent/src/trial.rs
@@ -56,10 +56,10 @@
     pub(crate) fn try_start_trial(&self, request: &str, trial: Trial, now: Millis) -> bool {
         let mut active = self.active.borrow_mut();
         active.retain(|_, (_, since)| now.since(*since) < TRIAL_TIMEOUT);
-        let exclusive = active.values().any(|(trial, _)| *trial == Trial::Alone);
+        let exclusive = active.values().any(|(trial, _)| *trial == Trial::Exclusive);
         let free = match trial {
             Trial::Shared => !exclusive && active.len() < MAX_SHARED_TRIALS,
-            Trial::Alone => active.is_empty(),
+            Trial::Exclusive => active.is_empty(),
         };
         if free {
             active.insert(request.to_owned(), (trial, now));
--- a/crates/gateway/src/agents.rs
+++ b/crates/gateway/src/agents.rs
@@ -85,8 +85,8 @@
         let due = if uses_relay {
             let last_message = r.heard_at.max(r.viewed_at).max(Some(r.first_seen(now)));
             let is_overdue = last_message.is_none_or(|at| now.since(at) >= DIRECT_SYNC_INTERVAL);
-            let needs_contact =
-                r.pending_asks > 0 || (r.failing_since.is_some() && r.reach == Reachability::Sound);
+            let needs_contact = r.pending_asks > 0
+                || (r.failing_since.is_some() && r.reach == Reachability::Reachable);
             // What this gateway observed itself takes precedence over a relay's report: only a direct
             // exchange ends the failure.
             let needs_check = is_overdue || r.failing_since.is_some();
@@ -264,7 +264,7 @@
     shared.table.with(&upstream.instance, |r| {
         // An agent that does not know its engine yet can't grant turns.
         r.reach = if is_expected {
-            Reachability::Sound
+            Reachability::Reachable
         } else {
             Reachability::Replaced
         };
@@ -286,7 +286,7 @@
         r.failing_since.get_or_insert(now);
         let silent = r.is_silent(now);
         if silent && !error.is_refused() {
-            r.reach = Reachability::CutOff;
+            r.reach = Reachability::Unreachable;
         }
         !silent || std::mem::replace(&mut r.loss_logged, true)
     });
--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -117,7 +117,7 @@
             return Err("no_turn");
         };
         match ask_turn(job, &upstream, adapter_state.needs_slot(), stays).await {
-            Ok(Turn::Go { version }) => return Ok(GrantedTurn { upstream, version }),
+            Ok(Turn::Granted { version }) => return Ok(GrantedTurn { upstream, version }),
             Err(AgentLost) if adapter_state == AdapterState::Loaded => {
                 if let Admission::Refused(wait) = job.shared.reserve(&upstream, Millis(0)) {
                     progress.record_refusal(LIMITED, wait);
@@ -127,7 +127,7 @@
                 let version = None;
                 return Ok(GrantedTurn { upstream, version });
             }
-            Ok(Turn::No { reason, retry_ms }) => {
+            Ok(Turn::Refused { reason, retry_ms }) => {
                 if reason == TurnRefusal::Limited {
                     job.shared.note_exhausted(&upstream, Millis(retry_ms));
                 }
--- a/crates/gateway/src/request/permit.rs
+++ b/crates/gateway/src/request/permit.rs
@@ -87,7 +87,7 @@
             return;
         };
         self.permit.set(Permit::Used);
-        if trial == Trial::Alone {
+        if trial == Trial::Exclusive {
             self.trace.set_alone();
         }
     }
--- a/crates/gateway/src/service_traits.rs
+++ b/crates/gateway/src/service_traits.rs
@@ -50,5 +50,5 @@
         .ready_upstreams(service)
         .filter_map(|u| figures(&u.instance))
         .collect();
-    EngineTraits::middle(traits.into_iter())
+    EngineTraits::median(traits.into_iter())
 }
--- a/crates/gateway/src/table/record.rs
+++ b/crates/gateway/src/table/record.rs
@@ -144,7 +144,7 @@
     /// Whether requests to the engine would fail: its agent reports that it crashed, was replaced or is
     /// leaving, or their VM is unreachable. An agent that is down reports nothing.
     pub(crate) fn is_unavailable(&self, now: Millis) -> bool {
-        self.reach != Reachability::Sound
+        self.reach != Reachability::Reachable
             || self
                 .fresh_figures(now)
                 .is_some_and(|f| f.ready_ms.is_none())
--- a/crates/policy/src/prompt/engine.rs
+++ b/crates/policy/src/prompt/engine.rs
@@ -127,7 +127,7 @@
     /// Index of the engine with the lowest expected time to the first event.
     #[must_use]
     pub fn pick(self, engines: &[EngineView]) -> Option<usize> {
-        let peer_traits = EngineTraits::middle(engines.iter().map(|e| e.traits));
+        let peer_traits = EngineTraits::median(engines.iter().map(|e| e.traits));
         let home_weights = self.home_weights(engines);
         let costs = engines
             .iter()
--- a/crates/policy/src/prompt/turns/admit.rs
+++ b/crates/policy/src/prompt/turns/admit.rs
@@ -62,21 +62,21 @@
             .min(scale(waiting.request.objective, MAX_OBJECTIVES));
         let first_event = ready + self.prefill_time(tokens);
         if waited + first_event > limit {
-            return Some((TurnRefusal::Late, waited + first_event - limit));
+            return Some((TurnRefusal::TooLate, waited + first_event - limit));
         }
         let load = match &waiting.request.adapter {
             Some(a) if self.usable(a, waiting.request.min_version).is_none() => {
                 let load = self.slots.load_time(a);
                 let loading = self.slots.is_loading(a);
                 if !loading && !waiting.request.waits_for_slot && !self.has_slot(a) {
-                    return Some((TurnRefusal::NoPlace, load));
+                    return Some((TurnRefusal::NoSlot, load));
                 }
                 load
             }
             _ => Millis(0),
         };
         let prefill = self.prefill_time(u64::from(waiting.request.prompt_tokens));
-        (waited + ready + load + prefill > limit).then_some((TurnRefusal::NoPlace, load))
+        (waited + ready + load + prefill > limit).then_some((TurnRefusal::NoSlot, load))
     }
 
     /// Whether a slot is available for `adapter`, in addition to those that other requests wait for.
--- a/crates/policy/src/suspects/trials.rs
+++ b/crates/policy/src/suspects/trials.rs
@@ -73,7 +73,7 @@
         let Some(grant) = self.grants.remove(fingerprint) else {
             return;
         };
-        if grant.trial == Trial::Alone {
+        if grant.trial == Trial::Exclusive {
             // The shared trial before it was used, and an upstream ended during it.
             let (trial, ends) = (Trial::Shared, grant.ends.saturating_sub(1));
             let previous = Grant {
@@ -114,7 +114,7 @@
         let doubled = Millis(self.outcome_timeout.0 * 2).min(MAX_OUTCOME_TIMEOUT);
         Ok(Self {
             granted_at: now,
-            trial: Trial::Alone,
+            trial: Trial::Exclusive,
             ends,
             outcome_timeout: if shared_failed {
                 OUTCOME_TIMEOUT
--- a/crates/policy/tests/prompt_turns.rs
+++ b/crates/policy/tests/prompt_turns.rs
@@ -220,7 +220,7 @@
         _ => None,
     });
     let (reason, retry_after) = refused.expect("4 s of prefill before it exceed the limit of 3 s");
-    assert_eq!(reason, TurnRefusal::Late);
+    assert_eq!(reason, TurnRefusal::TooLate);
     assert!(retry_after >= Millis(200), "{retry_after:?}");
 }
 
@@ -324,7 +324,7 @@
         ..request("r3", "a3")
     };
     let not_waiting = scheduler.enqueue(not_waiting, Millis(2));
-    let refused = |a: &TurnAction, id: TurnId| matches!(a, TurnAction::Refuse { turn, reason: TurnRefusal::NoPlace, .. } if *turn == id);
+    let refused = |a: &TurnAction, id: TurnId| matches!(a, TurnAction::Refuse { turn, reason: TurnRefusal::NoSlot, .. } if *turn == id);
     let actions = scheduler.poll(Millis(2));
     assert!(
         actions.iter().any(|a| refused(a, not_waiting)),
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -190,7 +190,7 @@
 /// a trial without an outcome.
 #[test]
 fn a_suspect_gets_one_shared_trial_and_then_trials_alone() {
-    use Trial::{Alone, Shared};
+    use Trial::{Exclusive, Shared};
     let cases = [
         TrialCase {
             name: "first attempt",
@@ -205,12 +205,12 @@
         TrialCase {
             name: "after an upstream ended during the first trial",
             attempts: &[(0, 2), (300, 3)],
-            last: Some(Alone),
+            last: Some(Exclusive),
         },
         TrialCase {
             name: "after the first trial timed out",
             attempts: &[(0, 2), (3_000, 2)],
-            last: Some(Alone),
+            last: Some(Exclusive),
         },
         TrialCase {
             name: "after an upstream ended during both trials",
@@ -230,7 +230,7 @@
         TrialCase {
             name: "after both trials timed out",
             attempts: &[(0, 2), (3_000, 2), (9_000, 2)],
-            last: Some(Alone),
+            last: Some(Exclusive),
         },
         TrialCase {
             name: "after the trials have expired",
@@ -265,9 +265,15 @@
         trials.try_grant(request(1), 2, Millis(1)),
         Ok(Trial::Shared)
     );
-    assert_eq!(trials.try_grant(request(1), 3, Millis(2)), Ok(Trial::Alone));
+    assert_eq!(
+        trials.try_grant(request(1), 3, Millis(2)),
+        Ok(Trial::Exclusive)
+    );
     trials.give_back(&request(1));
-    assert_eq!(trials.try_grant(request(1), 3, Millis(3)), Ok(Trial::Alone));
+    assert_eq!(
+        trials.try_grant(request(1), 3, Millis(3)),
+        Ok(Trial::Exclusive)
+    );
 }
 
 /// Decides whether a request may be sent, and in which trial if it needs one.
@@ -302,13 +308,13 @@
         let mut refused = Vec::new();
         let permit = try_send(&table, &mut trials, poison, now);
         let poison_sent = permit.is_ok();
-        let alone = permit == Ok(Some(Trial::Alone));
+        let alone = permit == Ok(Some(Trial::Exclusive));
         for (n, id) in waiting.drain(..).enumerate() {
             let Ok(own) = try_send(&table, &mut trials, request(id), now) else {
                 refused.push(id);
                 continue;
             };
-            let separate = own.is_some() && (alone || own == Some(Trial::Alone));
+            let separate = own.is_some() && (alone || own == Some(Trial::Exclusive));
             if poison_sent && n % engines == 0 && !separate {
                 interrupted.push(id);
             } else {
--- a/crates/types/src/message/suspect.rs
+++ b/crates/types/src/message/suspect.rs
@@ -42,7 +42,8 @@
     /// Beside others that are on trial.
     Shared,
     /// At an engine where no other is on trial.
-    Alone,
+    #[serde(rename = "Alone")]
+    Exclusive,
 }
 
 /// Ask for permission to send a suspect once more.
--- a/crates/types/src/message/turn.rs
+++ b/crates/types/src/message/turn.rs
@@ -124,12 +124,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Turn {
     /// It may be sent now.
-    Go {
+    #[serde(rename = "Go")]
+    Granted {
         /// Version of the adapter that the engine holds.
         version: Option<u64>,
     },
     /// It won't have a turn here.
-    No {
+    #[serde(rename = "No")]
+    Refused {
         /// Why.
         reason: TurnRefusal,
         /// When to come back, ms.
@@ -145,9 +147,11 @@
     /// The engine is leaving.
     Leaving,
     /// Its first event would come too late.
-    Late,
+    #[serde(rename = "Late")]
+    TooLate,
     /// The adapter could not be loaded in time.
-    NoPlace,
+    #[serde(rename = "NoPlace")]
+    NoSlot,
     /// Other requests are on trial there.
     OnTrial,
     /// No slot under the engine's rate limit is free in time.
@@ -209,19 +213,19 @@
 
     /// Middle of each figure over the engines where it is known.
     #[must_use]
-    pub fn middle(all: impl Iterator<Item = Self> + Clone) -> Self {
-        let keeps = median(all.clone().map(|t| u64::from(t.keeps)));
+    pub fn median(all: impl Iterator<Item = Self> + Clone) -> Self {
+        let keeps = median_known(all.clone().map(|t| u64::from(t.keeps)));
         Self {
-            rate: median(all.clone().map(|t| t.rate)),
-            load_ms: median(all.clone().map(|t| t.load_ms)),
-            kept_ms: median(all.map(|t| t.kept_ms)),
+            rate: median_known(all.clone().map(|t| t.rate)),
+            load_ms: median_known(all.clone().map(|t| t.load_ms)),
+            kept_ms: median_known(all.map(|t| t.kept_ms)),
             keeps: u32::try_from(keeps).unwrap_or(u32::MAX),
         }
     }
 }
 
 /// Median of the figures that are known; 0 if none is.
-fn median(figures: impl Iterator<Item = u64>) -> u64 {
+fn median_known(figures: impl Iterator<Item = u64>) -> u64 {
     let mut known: Vec<u64> = figures.filter(|f| *f > 0).collect();
     known.sort_unstable();
     known.get(known.len() / 2).copied().unwrap_or_default()
@@ -234,8 +238,8 @@
         match self {
             Self::NoEngine => "no_engine",
             Self::Leaving => "leaving",
-            Self::Late => "late",
-            Self::NoPlace => "no_place",
+            Self::TooLate => "late",
+            Self::NoSlot => "no_place",
             Self::OnTrial => "on_trial",
             Self::Limited => "limited",
         }
--- a/crates/types/src/message/view.rs
+++ b/crates/types/src/message/view.rs
@@ -94,9 +94,11 @@
 pub enum Reachability {
     /// Nothing against it: the side answers, or is down on a VM that answers.
     #[default]
-    Sound,
+    #[serde(rename = "Sound")]
+    Reachable,
     /// The VM does not answer.
-    CutOff,
+    #[serde(rename = "CutOff")]
+    Unreachable,
     /// The side names another instance in its place, or none.
     Replaced,
 }
