--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -109,11 +109,11 @@
             None => None,
         };
         let figures = self.shared.figures();
-        let cached_adapters = self.shared.cached_adapters(call.kept);
+        let cached_adapters = self.shared.cached_adapters(call.cached_digest);
         peer_reply(&TurnReply {
             turn,
             figures,
-            kept: cached_adapters,
+            cached_adapters,
             entries: self.shared.recent_gateways.borrow().count(timer.now()),
             marks: self.shared.marks.to_message(timer.now()),
             suspects,
@@ -263,7 +263,7 @@
         let waited = self.shared.timer.now().since(asked_at);
         self.shared.meters.turn_wait.observe(waited.as_secs());
         let figures = self.shared.figures();
-        let unread = figures.unread;
+        let unread = figures.unread_tokens;
         let unread_gauge = i64::try_from(unread).unwrap_or(i64::MAX);
         self.shared.meters.unread_tokens.set(unread_gauge);
         let request = field("request", asked.request.as_str());
@@ -271,7 +271,7 @@
         let hold = field("hold", asked.adapter_state);
         let waited = field("waited_ms", waited.0);
         let unread = field("unread", unread);
-        let rate = field("rate", figures.traits.rate);
+        let rate = field("rate", figures.traits.tokens_per_s);
         match turn {
             Turn::Granted { .. } => self.shared.log.emit(
                 &events::ENGINE_TURN,
--- a/crates/agent/src/relay/mod.rs
+++ b/crates/agent/src/relay/mod.rs
@@ -46,7 +46,7 @@
     shared.check_instance(&call.instance);
     FiguresReply {
         figures: shared.figures(),
-        kept: shared.cached_adapters(call.kept),
+        cached_adapters: shared.cached_adapters(call.cached_digest),
         marks: shared.marks.to_message(now),
     }
 }
--- a/crates/agent/src/relay/poll.rs
+++ b/crates/agent/src/relay/poll.rs
@@ -47,7 +47,7 @@
     let sent_at = shared.timer.now();
     let call = FiguresCall {
         instance: member.instance.clone(),
-        kept: known_digest,
+        cached_digest: known_digest,
         marks: shared.marks.to_message(sent_at),
     };
     let peer = member.side.to_string();
--- a/crates/agent/src/relay/state.rs
+++ b/crates/agent/src/relay/state.rs
@@ -124,7 +124,7 @@
         let digest = name_key(&cached.join("/"));
         let reply = FiguresReply {
             figures: figures.clone(),
-            kept: Some(CachedAdapters {
+            cached_adapters: Some(CachedAdapters {
                 digest,
                 names: cached,
             }),
@@ -301,7 +301,7 @@
         }
         state.reach = Reachability::Reachable;
         state.figures = Some((reply.figures, sent_at));
-        if let Some(kept) = reply.kept {
+        if let Some(kept) = reply.cached_adapters {
             state.set_cached_adapters(kept, &mut self.revision);
         }
         failing_since
@@ -349,7 +349,7 @@
                 // The age counts from the start of the query, so that it is never underestimated.
                 state.figures = Some((figures, sent_at - Millis(view_row.age_ms)));
             }
-            if let Some(kept) = view_row.kept {
+            if let Some(kept) = view_row.cached_adapters {
                 state.set_cached_adapters(kept, &mut self.revision);
             }
         }
@@ -401,7 +401,7 @@
             reach: self.reach,
             age_ms: now.since(as_of).0,
             figures: self.figures.as_ref().map(|f| f.0.clone()),
-            kept: (self.cached_revision > since).then(|| self.cached_adapters.clone()),
+            cached_adapters: (self.cached_revision > since).then(|| self.cached_adapters.clone()),
         })
     }
 }
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -104,7 +104,7 @@
             .scheduler
             .borrow()
             .figures(&self.instance.borrow(), now);
-        figures.born = self.engine_start_time_ms.get().unwrap_or_default();
+        figures.start_time_ms = self.engine_start_time_ms.get().unwrap_or_default();
         figures
     }
 
--- a/crates/agent/src/trial.rs
+++ b/crates/agent/src/trial.rs
@@ -47,7 +47,7 @@
     /// Applies the news of a caller and returns what is new to it.
     pub(crate) fn exchange_news(&self, received: &SuspectNews, now: Millis) -> SuspectNews {
         let mut table = self.table.borrow_mut();
-        table.merge(&received.words, now);
+        table.merge(&received.reports, now);
         table.news(received.seen, now)
     }
 
--- a/crates/gateway/src/agents.rs
+++ b/crates/gateway/src/agents.rs
@@ -114,7 +114,7 @@
         instance: upstream.instance.clone(),
         news: news.clone(),
         marks: shared.marks.to_message(shared.timer.now()),
-        kept: kept_digest(shared, upstream),
+        cached_digest: kept_digest(shared, upstream),
         peers: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
@@ -170,7 +170,7 @@
         instance: upstream.instance.clone(),
         news,
         marks: shared.marks.to_message(now),
-        kept: kept_digest(shared, upstream),
+        cached_digest: kept_digest(shared, upstream),
         peers: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
@@ -273,7 +273,7 @@
         shared.table.with(&upstream.instance, |r| {
             r.unreported_asks.retain(|a| a.sent_at > sent_at);
             r.set_figures(reply.figures.clone(), now);
-            if let Some(kept) = &reply.kept {
+            if let Some(kept) = &reply.cached_adapters {
                 r.kept_adapters = kept.clone();
             }
         });
--- a/crates/gateway/src/request/model.rs
+++ b/crates/gateway/src/request/model.rs
@@ -299,12 +299,17 @@
         let pending_tokens: u64 = r.unreported_asks.iter().map(|a| u64::from(a.tokens)).sum();
         let figures = r.figures.as_ref().map(|f| &f.0);
         let is_loaded = |name: &str| {
-            figures.is_some_and(|f| f.held.iter().any(|h| h.0 == name && h.1 >= min_version))
+            figures.is_some_and(|f| {
+                f.loaded_adapters
+                    .iter()
+                    .any(|h| h.0 == name && h.1 >= min_version)
+            })
         };
         let is_cached = |name: &str| r.kept_adapters.names.iter().any(|k| k == name);
         let reserved_slots = r.unreported_asks.iter().filter(|a| a.needs_slot).count();
         let reserved_slots = u32::try_from(reserved_slots).unwrap_or(u32::MAX);
-        let is_loading = |name: &str| figures.is_some_and(|f| f.loading.iter().any(|l| l == name));
+        let is_loading =
+            |name: &str| figures.is_some_and(|f| f.loading_adapters.iter().any(|l| l == name));
         EngineView {
             key: pumicecleat_policy::name_key(&upstream.instance),
             adapter_state: match adapter {
@@ -314,8 +319,9 @@
                 Some(_) => AdapterState::Absent,
                 None => AdapterState::Loaded,
             },
-            available_slots: figures.map_or(0, |f| f.spare.saturating_sub(reserved_slots)),
-            unread_tokens: figures.map_or(0, |f| f.unread) + pending_tokens,
+            available_slots: figures
+                .map_or(0, |f| f.available_slots.saturating_sub(reserved_slots)),
+            unread_tokens: figures.map_or(0, |f| f.unread_tokens) + pending_tokens,
             prompt_tokens: job.attributes.prompt_tokens,
             traits: figures.map(|f| f.traits).unwrap_or_default(),
             running: figures.map_or(0, |f| f.running),
--- a/crates/gateway/src/table/record.rs
+++ b/crates/gateway/src/table/record.rs
@@ -79,12 +79,12 @@
     /// Sets the figures of an agent. If the engine was restarted since the last ones, resets all other state
     /// that depended on the earlier start.
     pub(crate) fn set_figures(&mut self, figures: EngineFigures, now: Millis) {
-        if self.born != 0 && figures.born > self.born {
+        if self.born != 0 && figures.start_time_ms > self.born {
             self.kept_adapters = CachedAdapters::default();
             self.is_replaced = false;
             self.stats = UpstreamStats::default();
         }
-        self.born = figures.born;
+        self.born = figures.start_time_ms;
         self.figures = Some((figures, now));
     }
 
@@ -92,7 +92,7 @@
     pub(crate) fn apply_row(&mut self, row: ViewRow, now: Millis) {
         self.viewed_at = Some(now);
         let measured_at = now - Millis(row.age_ms);
-        if let Some(kept) = row.kept {
+        if let Some(kept) = row.cached_adapters {
             self.kept_adapters = kept;
         }
         let is_outdated = self
--- a/crates/policy/src/prompt/engine.rs
+++ b/crates/policy/src/prompt/engine.rs
@@ -141,9 +141,9 @@
     fn cost(self, engine: &EngineView, home_weights: &[u64], peer_traits: &EngineTraits) -> f64 {
         let traits = engine.traits.or(peer_traits);
         let tokens = engine.unread_tokens + u64::from(engine.prompt_tokens);
-        let mut cost = approximate(tokens) * 1_000.0 / approximate(traits.rate.max(1));
+        let mut cost = approximate(tokens) * 1_000.0 / approximate(traits.tokens_per_s.max(1));
         let prefill_ms =
-            f64::from(engine.prompt_tokens) * 1_000.0 / approximate(traits.rate.max(1));
+            f64::from(engine.prompt_tokens) * 1_000.0 / approximate(traits.tokens_per_s.max(1));
         cost += f64::from(engine.running) * (RUNNING_COST_MS + prefill_ms * STREAM_STALL_RATIO);
         cost += approximate(engine.failure_penalty_ms + engine.ready_in_ms);
         if engine.stale {
@@ -152,8 +152,11 @@
         if engine.remote {
             cost += REMOTE_COST_MS;
         }
-        let store_load_ms = measured_or(traits.load_ms, DEFAULT_STORE_LOAD_MS);
-        let cached_load_ms = measured_or(traits.kept_ms, store_load_ms * DEFAULT_CACHED_LOAD_RATIO);
+        let store_load_ms = measured_or(traits.store_load_ms, DEFAULT_STORE_LOAD_MS);
+        let cached_load_ms = measured_or(
+            traits.cached_load_ms,
+            store_load_ms * DEFAULT_CACHED_LOAD_RATIO,
+        );
         match engine.adapter_state {
             AdapterState::Loaded => cost,
             AdapterState::Loading => cost + store_load_ms * REMAINING_LOAD_RATIO,
--- a/crates/policy/src/prompt/loads.rs
+++ b/crates/policy/src/prompt/loads.rs
@@ -101,9 +101,9 @@
     /// Uses the traits of the engine's peers for what has not been learned here.
     pub(super) fn set_peer_traits(&mut self, peers: &EngineTraits) {
         let duration_ms = |ms: u64| (ms > 0).then(|| Millis(ms).as_secs() * 1_000.0);
-        self.store_ms = self.store_ms.or(duration_ms(peers.load_ms));
-        self.cached_ms = self.cached_ms.or(duration_ms(peers.kept_ms));
-        let cache_size = (peers.keeps > 0).then_some(peers.keeps as usize);
+        self.store_ms = self.store_ms.or(duration_ms(peers.store_load_ms));
+        self.cached_ms = self.cached_ms.or(duration_ms(peers.cached_load_ms));
+        let cache_size = (peers.cache_size > 0).then_some(peers.cache_size as usize);
         self.cache_size = self.cache_size.or(cache_size);
     }
 
--- a/crates/policy/src/prompt/turns/figures.rs
+++ b/crates/policy/src/prompt/turns/figures.rs
@@ -14,12 +14,12 @@
         let running = self.running.len() + self.waiting.len();
         EngineFigures {
             instance: instance.to_owned(),
-            born: 0,
+            start_time_ms: 0,
             ready_ms: self.ready_in(now).map(|t| t.0),
-            held: self.slots.loaded().map(|(n, v)| (n.clone(), v)).collect(),
-            loading: self.slots.loading().cloned().collect(),
-            spare: self.available_slots(None),
-            unread: self.outstanding_tokens() + waiting_tokens,
+            loaded_adapters: self.slots.loaded().map(|(n, v)| (n.clone(), v)).collect(),
+            loading_adapters: self.slots.loading().cloned().collect(),
+            available_slots: self.available_slots(None),
+            unread_tokens: self.outstanding_tokens() + waiting_tokens,
             running: u32::try_from(running).unwrap_or(u32::MAX),
             traits: self.traits(),
         }
@@ -30,10 +30,10 @@
         let load_times = self.slots.load_times();
         let cache_size = load_times.cache_size().unwrap_or_default();
         EngineTraits {
-            rate: to_integer(self.prefill_rate.tokens_per_second().unwrap_or_default()),
-            load_ms: load_times.store_load_time().0,
-            kept_ms: load_times.cached_load_time().0,
-            keeps: u32::try_from(cache_size).unwrap_or(u32::MAX),
+            tokens_per_s: to_integer(self.prefill_rate.tokens_per_second().unwrap_or_default()),
+            store_load_ms: load_times.store_load_time().0,
+            cached_load_ms: load_times.cached_load_time().0,
+            cache_size: u32::try_from(cache_size).unwrap_or(u32::MAX),
         }
     }
 
--- a/crates/policy/src/prompt/turns/mod.rs
+++ b/crates/policy/src/prompt/turns/mod.rs
@@ -112,7 +112,7 @@
 
     /// Sets the speed of the engine's peers, which is used for what has not been learned here.
     pub fn set_peer_traits(&mut self, peers: &EngineTraits) {
-        self.prefill_rate.set_peer_rate(peers.rate);
+        self.prefill_rate.set_peer_rate(peers.tokens_per_s);
         self.slots.set_peer_traits(peers);
     }
 
--- a/crates/policy/src/suspects/sync.rs
+++ b/crates/policy/src/suspects/sync.rs
@@ -72,6 +72,6 @@
         state.received = reply.seen;
         state.replied_at = now;
         self.peers.retain(|_, p| now.since(p.replied_at) < PEER_TTL);
-        suspects.merge(&reply.words, now)
+        suspects.merge(&reply.reports, now)
     }
 }
--- a/crates/policy/src/suspects/table.rs
+++ b/crates/policy/src/suspects/table.rs
@@ -147,18 +147,18 @@
         };
         let mut news = SuspectNews {
             seen: self.revision,
-            words: Vec::new(),
+            reports: Vec::new(),
         };
         for (change, fingerprint) in self.by_last_change.range(since + 1..) {
-            if news.words.len() == MAX_MESSAGE_RECORDS {
+            if news.reports.len() == MAX_MESSAGE_RECORDS {
                 break;
             }
             if let Some(record) = self.export(fingerprint, now) {
-                news.words.push(record);
+                news.reports.push(record);
                 news.seen.count = *change;
             }
         }
-        if news.words.len() < MAX_MESSAGE_RECORDS {
+        if news.reports.len() < MAX_MESSAGE_RECORDS {
             news.seen.count = self.revision.count;
         }
         news
--- a/crates/policy/tests/fleet/play.rs
+++ b/crates/policy/tests/fleet/play.rs
@@ -90,7 +90,7 @@
             .scheduler
             .figures("i", millis(now))
             .traits
-            .rate
+            .tokens_per_s
     }
 }
 
@@ -257,9 +257,9 @@
 fn view(node: &Node, index: usize, request: &Request) -> EngineView {
     let figures = &node.figures;
     let name = &request.adapter;
-    let adapter_state = if figures.held.iter().any(|h| h.0 == *name) {
+    let adapter_state = if figures.loaded_adapters.iter().any(|h| h.0 == *name) {
         AdapterState::Loaded
-    } else if figures.loading.contains(name) {
+    } else if figures.loading_adapters.contains(name) {
         AdapterState::Loading
     } else if node.cached.contains(name) {
         AdapterState::Cached
@@ -271,8 +271,8 @@
     EngineView {
         key: index as u64 + 1,
         adapter_state,
-        available_slots: figures.spare.saturating_sub(taken),
-        unread_tokens: figures.unread + asked,
+        available_slots: figures.available_slots.saturating_sub(taken),
+        unread_tokens: figures.unread_tokens + asked,
         prompt_tokens: request.prompt_tokens,
         traits: figures.traits,
         running: figures.running,
--- a/crates/policy/tests/prompt_choice.rs
+++ b/crates/policy/tests/prompt_choice.rs
@@ -8,10 +8,10 @@
 
 /// Learned speed of each engine.
 const TRAITS: EngineTraits = EngineTraits {
-    rate: 16_000,
-    load_ms: 300,
-    kept_ms: 60,
-    keeps: 25,
+    tokens_per_s: 16_000,
+    store_load_ms: 300,
+    cached_load_ms: 60,
+    cache_size: 25,
 };
 
 fn engine(key: u64, adapter_state: AdapterState, unread_tokens: u64) -> EngineView {
@@ -94,7 +94,7 @@
             engines: [
                 EngineView {
                     traits: EngineTraits {
-                        rate: TRAITS.rate / 8,
+                        tokens_per_s: TRAITS.tokens_per_s / 8,
                         ..TRAITS
                     },
                     ..engine(1, Loaded, 1_000)
--- a/crates/policy/tests/prompt_learning.rs
+++ b/crates/policy/tests/prompt_learning.rs
@@ -198,14 +198,14 @@
         let near =
             |learned: u64, actual: u64| learned >= actual && learned <= actual + actual / 4 + 60;
         assert!(
-            near(traits.load_ms, case.store_load_ms),
+            near(traits.store_load_ms, case.store_load_ms),
             "{name}: {traits:?}"
         );
         assert!(
-            near(traits.kept_ms, case.cached_load_ms),
+            near(traits.cached_load_ms, case.cached_load_ms),
             "{name}: {traits:?}"
         );
-        let cache_size = traits.keeps as usize;
+        let cache_size = traits.cache_size as usize;
         assert!(cache_size * 10 >= case.cache_size * 7, "{name}: {traits:?}");
         assert!(cache_size <= case.cache_size + 2, "{name}: {traits:?}");
     }
@@ -219,10 +219,10 @@
         base_load_times: BaseLoadTimes::default(),
     });
     let peers = EngineTraits {
-        rate: 40_000,
-        load_ms: 120,
-        kept_ms: 15,
-        keeps: 40,
+        tokens_per_s: 40_000,
+        store_load_ms: 120,
+        cached_load_ms: 15,
+        cache_size: 40,
     };
     scheduler.set_peer_traits(&peers);
     assert_eq!(scheduler.figures("i", Millis(0)).traits, peers);
--- a/crates/policy/tests/prompt_turns.rs
+++ b/crates/policy/tests/prompt_turns.rs
@@ -21,10 +21,10 @@
 
 /// Traits of the engine's peers.
 const PEERS: EngineTraits = EngineTraits {
-    rate: 20_000,
-    load_ms: 250,
-    kept_ms: 25,
-    keeps: 2,
+    tokens_per_s: 20_000,
+    store_load_ms: 250,
+    cached_load_ms: 25,
+    cache_size: 2,
 };
 
 fn request(id: &str, adapter: &str) -> TurnRequest {
@@ -301,7 +301,7 @@
     scheduler.apply_report(&running, Millis(100));
     assert_eq!(scheduler.running_requests(), 1);
     assert_eq!(
-        scheduler.figures("i-1", Millis(100)).unread,
+        scheduler.figures("i-1", Millis(100)).unread_tokens,
         0,
         "its answer has begun"
     );
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -73,7 +73,7 @@
                 for from in order {
                     let news = processes[from].news(ChangeCursor::default(), Millis(9));
                     for to in &mut processes {
-                        to.merge(&news.words, Millis(9));
+                        to.merge(&news.reports, Millis(9));
                     }
                 }
             }
@@ -94,10 +94,10 @@
     let now = Millis(5);
     let mut call = |gateway: &mut SuspectTable, side: &mut SuspectTable| {
         let call = sync.outgoing_news(agent, gateway, now);
-        side.merge(&call.news.words, now);
+        side.merge(&call.news.reports, now);
         let reply = side.news(call.news.seen, now);
         sync.handle_reply(agent, call.sent_up_to, &reply, gateway, now);
-        call.news.words.len()
+        call.news.reports.len()
     };
     let mut side = SuspectTable::new(2);
     gateway.record_end(request(1), 1, false, now);
@@ -124,8 +124,8 @@
     let mut seen = ChangeCursor::default();
     for _ in 0..4 {
         let news = gateway.news(seen, Millis(5));
-        assert!(news.words.len() <= 128);
-        side.merge(&news.words, Millis(5));
+        assert!(news.reports.len() <= 128);
+        side.merge(&news.reports, Millis(5));
         seen = news.seen;
     }
     assert_eq!(side.len(), 300);
@@ -159,7 +159,7 @@
     assert_eq!(table.end_count(&request(1), late), 1);
     assert_eq!(table.end_count(&request(2), late), 0);
     let mut other = SuspectTable::new(2);
-    other.merge(&table.news(ChangeCursor::default(), late).words, late);
+    other.merge(&table.news(ChangeCursor::default(), late).reports, late);
     assert_eq!(other.end_count(&request(1), late), 1);
     assert_eq!(other.end_count(&request(2), late), 0);
 }
--- a/crates/types/src/message/suspect.rs
+++ b/crates/types/src/message/suspect.rs
@@ -11,7 +11,8 @@
     /// In a call what its sender has heard from the one called, in a reply how far it brings the caller.
     pub seen: ChangeCursor,
     /// What is new since.
-    pub words: Vec<SuspectReport>,
+    #[serde(rename = "words")]
+    pub reports: Vec<SuspectReport>,
 }
 
 /// What is known of one request.
--- a/crates/types/src/message/turn.rs
+++ b/crates/types/src/message/turn.rs
@@ -18,7 +18,8 @@
     /// How far the entry knows the platform's streams to reach.
     pub marks: StreamMarks,
     /// Digest of the kept adapters that the entry knows; 0 before the first.
-    pub kept: u64,
+    #[serde(rename = "kept")]
+    pub cached_digest: u64,
     /// How fast the engine's peers work, where the entry knows it.
     pub peers: EngineTraits,
     /// Requests under which upstreams ended; none are told either way without it.
@@ -82,7 +83,8 @@
     /// The engine, as the side knows it.
     pub figures: EngineFigures,
     /// Adapters that the engine's host keeps, if they aren't those that the entry knows.
-    pub kept: Option<CachedAdapters>,
+    #[serde(rename = "kept")]
+    pub cached_adapters: Option<CachedAdapters>,
     /// Entries that the side heard of lately.
     pub entries: u32,
     /// How far the side knows the platform's streams to reach.
@@ -164,17 +166,22 @@
     /// Instance; empty while the engine is not known.
     pub instance: String,
     /// Unix time of the engine's start, ms; 0 if it does not tell.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub start_time_ms: u64,
     /// Time until it takes requests, ms: 0 if it does; `None` if it won't, or nobody knows.
     pub ready_ms: Option<u64>,
     /// Adapters held, with their versions.
-    pub held: Vec<(String, u64)>,
+    #[serde(rename = "held")]
+    pub loaded_adapters: Vec<(String, u64)>,
     /// Adapters on their way.
-    pub loading: Vec<String>,
+    #[serde(rename = "loading")]
+    pub loading_adapters: Vec<String>,
     /// Places that a further adapter could take now.
-    pub spare: u32,
+    #[serde(rename = "spare")]
+    pub available_slots: u32,
     /// Prompt tokens that wait to be read.
-    pub unread: u64,
+    #[serde(rename = "unread")]
+    pub unread_tokens: u64,
     /// Requests under way.
     pub running: u32,
     /// How fast it works, as far as its side has learned.
@@ -185,13 +192,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineTraits {
     /// Prompt tokens read in a second.
-    pub rate: u64,
+    #[serde(rename = "rate")]
+    pub tokens_per_s: u64,
     /// Time of a load of an adapter from the weight store, ms.
-    pub load_ms: u64,
+    #[serde(rename = "load_ms")]
+    pub store_load_ms: u64,
     /// Time of a load of an adapter from the host's memory, ms.
-    pub kept_ms: u64,
+    #[serde(rename = "kept_ms")]
+    pub cached_load_ms: u64,
     /// Adapters that the host keeps beside those held.
-    pub keeps: u32,
+    #[serde(rename = "keeps")]
+    pub cache_size: u32,
 }
 
 impl EngineTraits {
@@ -200,13 +211,13 @@
     pub fn or(self, peers: &Self) -> Self {
         let known = |own: u64, peers: u64| if own == 0 { peers } else { own };
         Self {
-            rate: known(self.rate, peers.rate),
-            load_ms: known(self.load_ms, peers.load_ms),
-            kept_ms: known(self.kept_ms, peers.kept_ms),
-            keeps: if self.keeps == 0 {
-                peers.keeps
+            tokens_per_s: known(self.tokens_per_s, peers.tokens_per_s),
+            store_load_ms: known(self.store_load_ms, peers.store_load_ms),
+            cached_load_ms: known(self.cached_load_ms, peers.cached_load_ms),
+            cache_size: if self.cache_size == 0 {
+                peers.cache_size
             } else {
-                self.keeps
+                self.cache_size
             },
         }
     }
@@ -214,12 +225,12 @@
     /// Middle of each figure over the engines where it is known.
     #[must_use]
     pub fn median(all: impl Iterator<Item = Self> + Clone) -> Self {
-        let keeps = median_known(all.clone().map(|t| u64::from(t.keeps)));
+        let cache_size = median_known(all.clone().map(|t| u64::from(t.cache_size)));
         Self {
-            rate: median_known(all.clone().map(|t| t.rate)),
-            load_ms: median_known(all.clone().map(|t| t.load_ms)),
-            kept_ms: median_known(all.map(|t| t.kept_ms)),
-            keeps: u32::try_from(keeps).unwrap_or(u32::MAX),
+            tokens_per_s: median_known(all.clone().map(|t| t.tokens_per_s)),
+            store_load_ms: median_known(all.clone().map(|t| t.store_load_ms)),
+            cached_load_ms: median_known(all.map(|t| t.cached_load_ms)),
+            cache_size: u32::try_from(cache_size).unwrap_or(u32::MAX),
         }
     }
 }
--- a/crates/types/src/message/view.rs
+++ b/crates/types/src/message/view.rs
@@ -86,7 +86,8 @@
     /// Its figures, if any were had.
     pub figures: Option<EngineFigures>,
     /// Adapters that its host keeps, if they changed since the reply that the asker has seen.
-    pub kept: Option<CachedAdapters>,
+    #[serde(rename = "kept")]
+    pub cached_adapters: Option<CachedAdapters>,
 }
 
 /// What exchanges with a side tell of its engine.
@@ -109,7 +110,8 @@
     /// Instance that is believed to be there.
     pub instance: String,
     /// Digest of the kept adapters that the relay knows; 0 before the first.
-    pub kept: u64,
+    #[serde(rename = "kept")]
+    pub cached_digest: u64,
     /// How far the relay knows the platform's streams to reach.
     pub marks: StreamMarks,
 }
@@ -120,7 +122,8 @@
     /// The engine, as the side knows it.
     pub figures: EngineFigures,
     /// Adapters that the engine's host keeps, if they aren't those that the relay knows.
-    pub kept: Option<CachedAdapters>,
+    #[serde(rename = "kept")]
+    pub cached_adapters: Option<CachedAdapters>,
     /// How far the side knows the platform's streams to reach.
     pub marks: StreamMarks,
 }
