--- a/crates/types/src/codec.rs
+++ b/crates/types/src/codec.rs
@@ -1,39 +1,41 @@
-//! `MessagePack` by `rmp-serde`, with field names, so that a field can be added without a flag day.
+//! `MessagePack` encoding by `rmp-serde`. Structs are encoded as maps with field names, so that a
+//! field can be added without upgrading all processes at once.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-/// Bytes that are not the message expected.
+/// Input that is not an encoding of the expected message.
 #[derive(Debug, Snafu)]
 #[snafu(display("step decode, {bytes} bytes: {source}"))]
 pub struct CodecError {
-    /// Length of the input.
+    /// Length of the input, bytes.
     pub bytes: usize,
     source: rmp_serde::decode::Error,
 }
 
-/// Bytes of a message.
+/// Encodes a message.
 ///
 /// # Panics
-/// Never for this crate's messages: they hold no map with unknown length.
+/// Never for the messages of this crate: none holds a map of unknown length.
 #[must_use]
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("messages of this crate always encode")
 }
 
-/// Message from all of `bytes`, from which it may borrow.
+/// Decodes a message that takes up all of `bytes` and may borrow from them.
 ///
 /// # Errors
-/// [`CodecError`] if the bytes are not such a message.
+/// [`CodecError`] if `bytes` is not an encoding of `T`.
 pub fn decode<'b, T: Deserialize<'b>>(bytes: &'b [u8]) -> Result<T, CodecError> {
     rmp_serde::from_slice(bytes).context(CodecSnafu { bytes: bytes.len() })
 }
 
-/// First message in `bytes` and the bytes it took, or `None` if it is not all there yet.
+/// Decodes the message at the start of `bytes` and returns it with its length in bytes, or `None` if
+/// it is incomplete.
 ///
 /// # Errors
-/// [`CodecError`] if the bytes can't become such a message.
+/// [`CodecError`] if `bytes` is not the start of an encoding of `T`.
 pub fn decode_prefix<T: DeserializeOwned>(bytes: &[u8]) -> Result<Option<(T, usize)>, CodecError> {
     let mut rest = std::io::Cursor::new(bytes);
     let mut reader = rmp_serde::Deserializer::new(&mut rest);
@@ -42,12 +44,13 @@
             let used = usize::try_from(rest.position()).unwrap_or(bytes.len());
             Ok(Some((value, used)))
         }
-        Err(e) if is_short(&e) => Ok(None),
+        Err(e) if is_incomplete(&e) => Ok(None),
         Err(e) => Err(e).context(CodecSnafu { bytes: bytes.len() }),
     }
 }
 
-fn is_short(e: &rmp_serde::decode::Error) -> bool {
+/// Whether decoding failed only because the input ended too early.
+fn is_incomplete(e: &rmp_serde::decode::Error) -> bool {
     use rmp_serde::decode::Error::{InvalidDataRead, InvalidMarkerRead};
     match e {
         InvalidMarkerRead(io) | InvalidDataRead(io) => {
--- a/crates/types/src/fingerprint.rs
+++ b/crates/types/src/fingerprint.rs
@@ -1,11 +1,11 @@
-//! What makes two requests the same, whatever their attempts' ids.
+//! Fingerprints of requests, which are equal for all attempts of one request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use serde_with::{Bytes, serde_as};
 
-/// Digest of what two tries of one request have in common.
+/// Digest of the parts of a request that all its attempts share.
 #[serde_as]
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Ids as newtypes, so that a caller's name can't stand where an adapter's is meant.
+//! Newtypes for ids, so that the compiler rejects an id of one kind where another is expected.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Text of the id.
+            /// Returns the id as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -55,42 +55,42 @@
 }
 
 text_id!(
-    /// Base model, as declared.
+    /// Base model, as declared in the configuration.
     BaseId
 );
 text_id!(
-    /// Adapter, as declared.
+    /// Adapter, as declared in the configuration.
     AdapterId
 );
 text_id!(
-    /// Version of an adapter, as declared.
+    /// Version of an adapter, as declared in the configuration.
     VersionId
 );
 text_id!(
-    /// Caller, as declared.
+    /// Caller, as declared in the configuration.
     CallerId
 );
 text_id!(
-    /// Pool of upstreams of one kind, as declared.
+    /// Pool of upstreams of one kind, as declared in the configuration.
     PoolId
 );
 text_id!(
-    /// Plain service, as declared.
+    /// Plain HTTP service, as declared in the configuration.
     ServiceId
 );
 text_id!(
-    /// VM, from the platform's list and the process's settings.
+    /// VM, as named in the platform's list and in the settings of its process.
     VmId
 );
 text_id!(
-    /// Data centre, from settings.
+    /// Data centre, as named in the settings.
     DataCentre
 );
 text_id!(
-    /// Region, from settings.
+    /// Region, as named in the settings.
     RegionId
 );
 text_id!(
-    /// Request, given by the entry, unique.
+    /// Request; unique, assigned by the entry.
     RequestId
 );
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,8 @@
-//! Ids, units and the messages that pumicecleat's processes exchange.
+//! Ids, units and the messages that the processes of pumicecleat exchange.
 //!
-//! Every message between an entry, a side and the operators' command is a typed value here,
-//! carried as `MessagePack` by [`encode`] and [`decode`]. Pure code takes the time as [`Millis`].
+//! Every message between an entry, a side and the operators' command-line tool has a type here.
+//! [`encode`] and [`decode`] convert it to and from `MessagePack`. Code without I/O takes the current
+//! time as a [`Millis`] argument.
 //!
 //! ```
 //! use pumicecleat_types::{Lora, decode, encode};
--- a/crates/types/src/lora.rs
+++ b/crates/types/src/lora.rs
@@ -1,10 +1,10 @@
-//! The unit of residency: one version of one adapter on one base model.
+//! One version of an adapter on a base model, which is what an engine loads and unloads.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{AdapterId, BaseId, VersionId};
 
-/// One version of one adapter on its base model.
+/// One version of an adapter on its base model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lora {
     /// Base model.
@@ -16,7 +16,7 @@
 }
 
 impl Lora {
-    /// Lora of the given names.
+    /// Creates the value from the three names.
     #[must_use]
     pub fn new(base: &str, adapter: &str, version: &str) -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Name under which an engine holds it: `adapter@version`.
+    /// Name under which an engine loads it: `adapter@version`.
     #[must_use]
     pub fn engine_name(&self) -> String {
         format!("{}@{}", self.adapter, self.version)
--- a/crates/types/src/message/config.rs
+++ b/crates/types/src/message/config.rs
@@ -1,36 +1,36 @@
-//! How records of the configuration's log reach those who don't read the log.
+//! Distribution of the configuration log to processes that don't read the log themselves.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{Bytes, serde_as};
 
-/// A record as it stands in the log.
+/// A record of the log.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Offset in its stream.
+    /// Offset in the stream.
     pub offset: u64,
-    /// Time of the append by the log's clock, milliseconds since 1970.
+    /// Time of the append by the log's clock, milliseconds since the Unix epoch.
     pub at: u64,
-    /// Bytes appended.
+    /// Content of the record.
     #[serde_as(as = "Bytes")]
     pub data: Vec<u8>,
 }
 
-/// Side or starting entry to entry: what follows this offset?
+/// Request of a side, or of an entry that starts, to an entry for the records from an offset on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigCall {
-    /// First offset wanted, or `None` for a snapshot.
+    /// First offset to return, or `None` for a snapshot.
     pub from: Option<u64>,
 }
 
-/// Entry's reply.
+/// Reply of an entry to a [`ConfigCall`].
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigReply {
-    /// Records from the offset asked for on; none if there is nothing newer.
+    /// Records from the requested offset on; empty if there are none yet.
     Records(Vec<LogRecord>),
-    /// Whole state, as a fold's encoded snapshot.
+    /// Complete state, as an encoded snapshot of the configuration fold.
     Snapshot(#[serde_as(as = "Bytes")] Vec<u8>),
-    /// This entry holds no configuration yet.
+    /// The entry has no configuration yet.
     NotReady,
 }
--- a/crates/types/src/message/load.rs
+++ b/crates/types/src/message/load.rs
@@ -1,59 +1,61 @@
-//! The order of loads from one weight store, kept by an entry as soft state.
+//! Scheduling of adapter loads from one weight store. The entry that schedules them keeps its state in
+//! memory only and rebuilds it from the sides' bids.
 
 use serde::{Deserialize, Serialize, Serializer};
 
 use crate::VmId;
 
-/// Side to entry: asks for, keeps or gives back a turn at the store. Written as a row, as a report is.
+/// Request of a side to an entry for a turn to load from the store; also renews or releases the turn.
+/// Encoded as a row, like [`Report`](crate::Report).
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct LoadBid {
     /// VM of the side.
     pub vm: VmId,
-    /// Engine name wanted, or `None` to give the turn back.
+    /// Engine name of the adapter to load, or `None` to release the turn.
     pub lora: Option<String>,
-    /// Requests waiting for it at this side.
+    /// Number of requests at this side that wait for the adapter.
     pub waiting: u32,
-    /// Least time left to a deadline among them, milliseconds.
+    /// Shortest time left until a deadline among them, milliseconds.
     pub left_ms: u64,
-    /// Longest wait so far among them, milliseconds.
+    /// Longest time that one of them has waited, milliseconds.
     pub waited_ms: u64,
 }
 
-/// Entry to side.
+/// Reply of an entry to a [`LoadBid`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadTurn {
-    /// Load now; the turn lapses after this many milliseconds.
+    /// The side may load now.
     Go {
-        /// Milliseconds.
+        /// Time after which the turn expires, milliseconds.
         ttl_ms: u64,
     },
-    /// Others go first; bid again after this many milliseconds.
+    /// Other sides load first.
     Wait {
-        /// Milliseconds.
+        /// Time after which to bid again, milliseconds.
         again_ms: u64,
-        /// Milliseconds until its turn is expected.
+        /// Expected time until the side's turn, milliseconds.
         turn_ms: u64,
-        /// Milliseconds in which every side that bids now has had a turn.
+        /// Expected time until every side that bids now has had a turn, milliseconds.
         round_ms: u64,
     },
 }
 
-/// Entry to side: the store is free, and the side is to bid before the time it was told.
+/// Request of an entry to a side to bid at once, before the time that the last reply set, as the store is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BidRequest {
-    /// Entry's time since its start, milliseconds.
+    /// Time since the start of the entry, milliseconds.
     pub at_ms: u64,
 }
 
-/// Side to entry, on a call.
+/// Reply of a side to a [`BidRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BidRequestReply {
-    /// A bid is on its way.
+    /// Whether the side is sending a bid.
     pub bids: bool,
 }
 
 impl Serialize for LoadBid {
-    /// Writes the fields in their order.
+    /// Writes the fields in the order of their declaration, without names.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let row = (
             &self.vm,
--- a/crates/types/src/message/mod.rs
+++ b/crates/types/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between processes, one file per exchange.
+//! Messages between processes, one module per kind of exchange.
 
 mod config;
 mod load;
--- a/crates/types/src/message/report.rs
+++ b/crates/types/src/message/report.rs
@@ -1,7 +1,7 @@
-//! What a side tells entries of itself. The entry's reply sets the pace.
+//! Status reports of sides to entries. The reply of the entry sets the time of the next report.
 //!
-//! As they are many, reports and replies are written as rows, without the names of their fields. They
-//! are read in both forms.
+//! Reports and replies are frequent, so they are encoded as rows, without field names. Decoding
+//! accepts rows and maps with field names.
 
 use serde::{Deserialize, Serialize, Serializer};
 
@@ -10,66 +10,68 @@
 /// Load of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadFigures {
-    /// Requests running at the upstream.
+    /// Number of requests running at the upstream.
     pub running: u32,
-    /// Requests waiting at the side.
+    /// Number of requests waiting at the side.
     pub waiting: u32,
-    /// Requests the upstream batches at most.
+    /// Maximum batch size of the upstream, requests.
     pub batch: u32,
-    /// Adapter slots.
+    /// Number of adapter slots.
     pub slots: u32,
-    /// Slots whose adapter no request uses.
+    /// Number of slots whose adapter no request uses.
     pub spare: u32,
-    /// Recent time of an engine step, microseconds.
+    /// Recent duration of an engine step, microseconds.
     pub step_us: u32,
-    /// Expected wait in the queue, milliseconds.
+    /// Expected waiting time in the queue, milliseconds.
     pub wait_ms: u32,
 }
 
-/// Side to entry.
+/// Report of a side to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Report {
     /// VM of the side.
     pub vm: VmId,
-    /// Start of this side process; a later one replaces an earlier.
+    /// Incarnation of the side's process; a later one replaces an earlier one.
     pub incarnation: u64,
-    /// Number of this report in the incarnation.
+    /// Sequence number of the report within the incarnation.
     pub seq: u64,
     /// Address of the side's peer listener.
     pub address: String,
-    /// Pool it serves.
+    /// Pool that the side serves.
     pub pool: PoolId,
     /// Data centre.
     pub centre: DataCentre,
     /// Region.
     pub region: RegionId,
-    /// Takes no new work.
+    /// Whether the side accepts no new requests because it is leaving.
     pub leaving: bool,
-    /// Upstream answers.
+    /// Whether the upstream responds.
     pub healthy: bool,
-    /// Load.
+    /// Load of the upstream.
     pub load: LoadFigures,
-    /// Engine names resident, or `None` if unchanged since the last report to this entry.
+    /// Engine names of the resident adapters, or `None` if unchanged since the last report to this
+    /// entry.
     pub resident: Option<Vec<String>>,
-    /// Engine name being loaded.
+    /// Engine name of the adapter that is being loaded.
     pub loading: Option<String>,
-    /// Revision of the configuration in force here.
+    /// Revision of the configuration in force at the side.
     pub revision: u64,
 }
 
-/// Entry to side.
+/// Reply of an entry to a [`Report`].
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ReportReply {
-    /// When the next report is due, milliseconds.
+    /// Time until the next report is due, milliseconds.
     pub next_ms: u64,
-    /// Revision in force at the entry.
+    /// Revision of the configuration in force at the entry.
     pub revision: u64,
-    /// The next report must be whole: the entry lacks what `None` would refer to.
+    /// Whether the next report must be complete, because the entry doesn't have the list of resident
+    /// adapters that `None` would refer to.
     pub whole: bool,
 }
 
 impl Serialize for Report {
-    /// Writes the fields in their order.
+    /// Writes the fields in the order of their declaration, without names.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let row = (
             &self.vm,
@@ -91,14 +93,14 @@
 }
 
 impl Serialize for ReportReply {
-    /// Writes the fields in their order.
+    /// Writes the fields in the order of their declaration, without names.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.next_ms, self.revision, self.whole).serialize(serializer)
     }
 }
 
 impl LoadFigures {
-    /// Fields in their order.
+    /// Fields in the order of their declaration.
     fn row(self) -> [u32; 7] {
         [
             self.running,
--- a/crates/types/src/message/run.rs
+++ b/crates/types/src/message/run.rs
@@ -1,14 +1,14 @@
-//! One attempt of one request: entry to side, and the frames that come back.
+//! An attempt of a request that an entry sends to a side, and the frames of the side's response.
 //!
-//! A side answers with `Head`, any number of `Data`, then `End`; or with `Refused` alone; or, once
-//! it can't finish, with `Broken` last. Frames that stop without `End` are a broken answer.
+//! A response is `Head`, any number of `Data`, then `End`; or a single `Refused`; or, if it can't be
+//! completed, `Broken` as the last frame. A response that stops without one of these is broken too.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{Bytes, serde_as};
 
 use crate::{AdapterId, BaseId, CallerId, LoadFigures, PoolId, RequestId, ServiceId, VersionId};
 
-/// What a model request asks for.
+/// Target of a request to a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelTarget {
     /// Base model.
@@ -17,22 +17,23 @@
     pub adapter: AdapterId,
     /// Version.
     pub version: VersionId,
-    /// Digest of the version's declaration, to find configurations that differ.
+    /// Digest of the version's declaration, to detect that entry and side have different
+    /// configurations.
     pub stamp: u64,
 }
 
-/// What a call of a plain service asks for.
+/// Target of a request to a plain HTTP service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTarget {
     /// Service.
     pub service: ServiceId,
     /// HTTP method.
     pub method: String,
-    /// Path and query as the service sees them.
+    /// Path and query that are sent to the service.
     pub path: String,
-    /// Headers passed on.
+    /// Forwarded headers.
     pub headers: Vec<HeaderField>,
-    /// Declared idempotent: may be sent again.
+    /// Whether the request is declared idempotent, so that it may be sent again.
     pub idempotent: bool,
 }
 
@@ -41,53 +42,53 @@
 pub enum Target {
     /// A model engine.
     Model(ModelTarget),
-    /// A plain service.
+    /// A plain HTTP service.
     Service(ServiceTarget),
 }
 
 /// An HTTP header.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeaderField {
-    /// Name, lower case.
+    /// Name in lower case.
     pub name: String,
     /// Value.
     pub value: String,
 }
 
-/// What a side must know of an attempt.
+/// Metadata of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunHead {
-    /// Request, the same in each attempt.
+    /// Request, the same for all its attempts.
     pub request: RequestId,
-    /// Attempt, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Pool the entry chose from.
+    /// Pool from which the entry chose the upstream.
     pub pool: PoolId,
-    /// Revision of the configuration that the entry decided by.
+    /// Revision of the configuration that the entry used.
     pub revision: u64,
-    /// Caller, for shares.
+    /// Caller, for fair sharing between callers.
     pub caller: CallerId,
     /// Target.
     pub target: Target,
     /// Time left until the caller's deadline, milliseconds.
     pub left_ms: u64,
-    /// Priority, higher first.
+    /// Priority; requests with a higher one are served first.
     pub priority: u8,
-    /// Answer token by token.
+    /// Whether to stream the response token by token.
     pub stream: bool,
-    /// Tokens the answer may have, or 1 for a plain service.
+    /// Maximum number of output tokens; 1 for a plain HTTP service.
     pub tokens: u32,
-    /// Idempotency key, if the caller gave one.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<String>,
 }
 
-/// One attempt.
+/// An attempt of a request.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// What the side decides by.
+    /// Metadata.
     pub head: RunHead,
-    /// Body for the upstream.
+    /// Body that is sent to the upstream.
     #[serde_as(as = "Bytes")]
     pub body: Vec<u8>,
 }
@@ -96,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It was not run, and won't be by this attempt.
+    /// It did not run, and this attempt won't run it.
     No,
     /// It may have run.
     Unknown,
@@ -104,92 +105,92 @@
     Yes,
 }
 
-/// Why a side or entry refused.
+/// Reason why a side or an entry refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// Queue is full, or can't meet the deadline.
+    /// The queue is full, or too long to meet the deadline.
     Overloaded,
-    /// Deadline passed, or can't be met, before the request ran.
+    /// The deadline passed, or became impossible to meet, before the request ran.
     Deadline,
-    /// This upstream is leaving.
+    /// The upstream is leaving.
     Leaving,
-    /// Upstream is down or starting.
+    /// The upstream is down or starting.
     UpstreamDown,
-    /// Adapter could not be made resident.
+    /// The adapter could not be loaded.
     LoadFailed,
-    /// Side and entry hold different configurations for this target.
+    /// The side and the entry have different configurations for this target.
     StaleConfig,
-    /// Side does not serve this pool.
+    /// The side does not serve this pool.
     WrongPool,
-    /// Log can't be written, so an effect can't be made safe.
+    /// The log can't be written, so the request can't be protected against running twice.
     LogDown,
-    /// Another attempt with this key is running.
+    /// Another attempt with this idempotency key is running.
     KeyBusy,
-    /// Another attempt with this key may have run; its outcome is unknown.
+    /// Another attempt with this idempotency key may have run, with an unknown outcome.
     KeyUnknown,
-    /// Key was used with another body.
+    /// The idempotency key was used with another body.
     KeyReused,
-    /// Key is older than the window.
+    /// The idempotency key is older than the retention window.
     KeyExpired,
-    /// Key is missing or malformed.
+    /// The idempotency key is missing or malformed.
     KeyInvalid,
     /// The attempt was malformed.
     BadRequest,
 }
 
-/// Final word that an attempt did not run.
+/// Final response to an attempt that did not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub reason: Reason,
-    /// When to come back, milliseconds.
+    /// Time after which to retry, milliseconds.
     pub retry_ms: u64,
-    /// Detail for people.
+    /// Details for people who read it.
     pub detail: String,
-    /// Load at the side, if it knows.
+    /// Load of the upstream, if the side knows it.
     pub load: Option<LoadFigures>,
 }
 
-/// Part of a side's answer.
+/// Frame of a side's response.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Start of an answer.
+    /// Start of the response.
     Head {
-        /// Request answered.
+        /// Request that the response is for.
         request: RequestId,
-        /// Attempt answered.
+        /// Attempt that the response is for.
         attempt: u32,
-        /// Model name that the upstream says it ran, for model engines.
+        /// Model that a model engine reports to have used.
         model: Option<String>,
-        /// HTTP status of the upstream.
+        /// HTTP status that the upstream returned.
         status: u16,
-        /// Headers passed on.
+        /// Forwarded headers.
         headers: Vec<HeaderField>,
-        /// Answer comes from the record of an earlier attempt.
+        /// Whether the response was recorded during an earlier attempt.
         replayed: bool,
     },
-    /// Bytes of the answer: for a stream, whole events.
+    /// Part of the response body; in a stream, only complete events.
     Data {
         /// Bytes.
         #[serde_as(as = "Bytes")]
         bytes: Vec<u8>,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End {
-        /// Load at the side.
+        /// Load of the upstream, if the side knows it.
         load: Option<LoadFigures>,
     },
-    /// Not run.
+    /// The attempt did not run.
     Refused(Refusal),
-    /// The answer can't be finished.
+    /// The response can't be completed.
     Broken {
         /// Whether the request ran.
         ran: Ran,
-        /// Step at which it broke.
+        /// Step that failed.
         step: String,
-        /// Detail for people.
+        /// Details for people who read it.
         detail: String,
     },
 }
--- a/crates/types/src/message/suspect.rs
+++ b/crates/types/src/message/suspect.rs
@@ -1,70 +1,72 @@
-//! Requests that were under way when upstreams ended: what processes tell each other of them.
+//! Exchange of suspects between processes. A suspect is a request that was in progress at an upstream
+//! when the upstream ended, and that may have been the cause.
 
 use serde::{Deserialize, Serialize};
 
 use super::ChangeCursor;
 use crate::{Fingerprint, VmId};
 
-/// News of suspects, in either direction of an exchange.
+/// Changes of the suspects, in either direction of an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
-    /// In a call what its sender has heard from the one called, in a reply how far it brings the caller.
+    /// In a call, the last change that the sender received from the receiver; in a reply, the last change
+    /// that the reply includes.
     pub seen: ChangeCursor,
-    /// What is new since.
+    /// Suspects that changed since.
     #[serde(rename = "words")]
     pub reports: Vec<SuspectReport>,
 }
 
-/// What is known of one request.
+/// What a process knows of a suspect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Upstreams that ended under it.
+    /// Upstreams that ended while the request was in progress there.
     pub ends: Vec<UpstreamEnd>,
-    /// Time since the last of them, or since the request last came, ms.
+    /// Time since the last of these ends, or since the request last arrived, ms.
     pub age_ms: u64,
 }
 
-/// An upstream that ended while a request was under way there.
+/// End of an upstream while a request was in progress there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEnd {
-    /// Key of the upstream's instance and start.
+    /// Key that identifies the upstream's instance and its start.
     pub key: u64,
-    /// No other suspect was under way there.
+    /// Whether no other suspect was in progress there.
     pub alone: bool,
-    /// The request has been served since, so that it was not the cause.
+    /// Whether the request has been served since, so that it can't have been the cause.
     pub cleared: bool,
 }
 
-/// How a suspect may be sent once more.
+/// How a suspect may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Trial {
-    /// Beside others that are on trial.
+    /// Together with other suspects that are on trial.
     Shared,
-    /// At an engine where no other is on trial.
+    /// To an engine where no other suspect is on trial.
     #[serde(rename = "Alone")]
     Exclusive,
 }
 
-/// Ask for permission to send a suspect once more.
+/// Request for permission to send a suspect again.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialCall {
     /// VM of the entry.
     pub entry: VmId,
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Upstreams that ended under it, as far as the entry knows.
+    /// Keys of the upstreams that ended while the request was in progress, as known to the entry.
     pub ends: Vec<u64>,
-    /// Permission that was given is not used.
+    /// Whether this returns a permission that was not used.
     pub unused: bool,
 }
 
-/// Answer to a [`TrialCall`].
+/// Reply to a [`TrialCall`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialReply {
-    /// It may be sent once so.
+    /// Permission to send the request once, in a trial of this kind.
     pub trial: Option<Trial>,
-    /// Otherwise when to come back, ms.
+    /// Time after which to retry if there is no permission, ms.
     pub retry_ms: u64,
 }
--- a/crates/types/src/message/turn.rs
+++ b/crates/types/src/message/turn.rs
@@ -1,63 +1,63 @@
-//! Turns at an engine: what an entry asks of the side beside it, and what the side tells.
+//! Requests of entries for turns at an engine, and the replies of the side that runs beside the engine.
 
 use serde::{Deserialize, Serialize};
 
 use super::{SuspectNews, Trial};
 use crate::{Position, VmId};
 
-/// Exchange of an entry with a side: what became of requests, and perhaps one more that asks for its
+/// Call of an entry to a side: the progress of earlier requests, and optionally a request that asks for a
 /// turn.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnCall {
     /// VM of the entry.
     pub entry: VmId,
-    /// Instance that the entry believes to be there, and that an ask is for.
+    /// Instance that the entry expects at the side, and to which the ask applies.
     pub instance: String,
-    /// Progress of requests that had their turn.
+    /// Progress of requests that were granted a turn.
     pub news: Vec<RunNews>,
-    /// How far the entry knows the platform's streams to reach.
+    /// Latest positions of the platform's streams that the entry knows.
     pub marks: StreamMarks,
-    /// Digest of the kept adapters that the entry knows; 0 before the first.
+    /// Digest of the cached adapters that the entry knows; 0 if it knows none.
     #[serde(rename = "kept")]
     pub cached_digest: u64,
-    /// How fast the engine's peers work, where the entry knows it.
+    /// Median traits of the engines of the same service, as far as the entry knows them.
     pub peers: EngineTraits,
-    /// Requests under which upstreams ended; none are told either way without it.
+    /// Changes of the suspects; if absent, the reply has none either.
     pub suspects: Option<SuspectNews>,
-    /// Rate limit of the engine as the entry knows it; `None` if the entry has no recent news of one.
+    /// Rate limit of the engine; `None` if the entry has no recent information on one.
     pub limit: Option<LimitNews>,
-    /// Request that wants its turn; without one the answer comes at once.
+    /// Request for a turn; without one the side replies at once.
     pub ask: Option<TurnAsk>,
 }
 
-/// A request that wants its turn at the engine.
+/// Request for a turn at an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnAsk {
-    /// Request's id.
+    /// Id of the request.
     pub request: String,
     /// Base model.
     pub base: String,
-    /// Adapter, if it wants one.
+    /// Adapter, if the request uses one.
     pub adapter: Option<String>,
-    /// Oldest version of the adapter that will do.
+    /// Minimum version of the adapter.
     pub version: u64,
-    /// Prompt tokens that are likely to be read.
+    /// Number of prompt tokens that the engine probably has to process.
     pub tokens: u32,
-    /// Rank, 0 before all others.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Time within which its first event is wanted, from its arrival at the entry, ms.
+    /// Objective for the time from the arrival at the entry to the first event, ms.
     pub objective_ms: u64,
-    /// What is left of that, ms.
+    /// Time left of the objective, ms.
     pub due_ms: u64,
-    /// Time after which its caller is gone, ms.
+    /// Time for which the caller still waits for the first event, ms.
     pub patience_ms: u64,
-    /// How it may be sent, if it needs permission.
+    /// Kind of the trial in which the request is sent, if it is a suspect.
     pub trial: Option<Trial>,
-    /// Waits for a place for its adapter; otherwise it is refused at once where none is free.
+    /// Whether the request waits for an adapter slot; if not, it is refused at once when none is free.
     pub stays: bool,
 }
 
-/// Rate limit of an engine, from the latest response that an entry received.
+/// Rate limit of an engine, from the latest response that the entry received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNews {
     /// Requests per 1,000 seconds; `None` if the limit has ended.
@@ -66,147 +66,147 @@
     pub age_ms: u64,
 }
 
-/// What became of a request that had its turn.
+/// Progress of a request that was granted a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunNews {
-    /// Request's id.
+    /// Id of the request.
     pub request: String,
-    /// Whether it has ended; otherwise its answer has begun.
+    /// Whether the request has ended; if not, its response has started.
     pub ended: bool,
 }
 
-/// What a side answers.
+/// Reply of a side to a [`TurnCall`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnReply {
-    /// Outcome of the ask, if there was one.
+    /// Outcome of the ask, if the call had one.
     pub turn: Option<Turn>,
-    /// The engine, as the side knows it.
+    /// State of the engine, as known to the side.
     pub figures: EngineFigures,
-    /// Adapters that the engine's host keeps, if they aren't those that the entry knows.
+    /// Adapters that the engine's host caches, if their digest differs from that in the call.
     #[serde(rename = "kept")]
     pub cached_adapters: Option<CachedAdapters>,
-    /// Entries that the side heard of lately.
+    /// Number of entries that the side has recently been in contact with or heard of.
     pub entries: u32,
-    /// How far the side knows the platform's streams to reach.
+    /// Latest positions of the platform's streams that the side knows.
     pub marks: StreamMarks,
-    /// Requests under which upstreams ended, if the call told of any news.
+    /// Changes of the suspects, if the call had any.
     pub suspects: Option<SuspectNews>,
 }
 
-/// Places behind the last records that changed something, by stream.
+/// For each stream, the position after the last record that changed the state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamMarks {
-    /// Operators' records.
+    /// Stream of the operators' records.
     pub operators: Position,
-    /// List of upstreams.
+    /// Stream of the list of upstreams.
     pub upstreams: Position,
-    /// Latest read of the list to its end by anybody.
+    /// Latest read of the list to its end by any process.
     pub listed: Option<ListRead>,
 }
 
-/// A read of the list to its end.
+/// A read of the list of upstreams to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListRead {
-    /// Its end: all who tell of the read name the same.
+    /// End of the list; every process that passes on this read names the same position.
     pub end: Position,
-    /// Time since, ms.
+    /// Time since the read, ms.
     pub age_ms: u64,
 }
 
-/// Adapters that an engine's host keeps in memory beside those held.
+/// Adapters that an engine's host caches in memory besides those loaded in the engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedAdapters {
     /// Digest of the names.
     pub digest: u64,
-    /// Names, latest first.
+    /// Names, most recent first.
     pub names: Vec<String>,
 }
 
 /// Outcome of an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Turn {
-    /// It may be sent now.
+    /// The request may be sent now.
     #[serde(rename = "Go")]
     Granted {
-        /// Version of the adapter that the engine holds.
+        /// Version of the adapter that is loaded in the engine.
         version: Option<u64>,
     },
-    /// It won't have a turn here.
+    /// The request gets no turn at this engine.
     #[serde(rename = "No")]
     Refused {
-        /// Why.
+        /// Reason.
         reason: TurnRefusal,
-        /// When to come back, ms.
+        /// Time after which to retry, ms.
         retry_ms: u64,
     },
 }
 
-/// Why a request has no turn.
+/// Reason why a request gets no turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TurnRefusal {
-    /// The engine is another instance, has no base model, or does not answer.
+    /// The engine is another instance, has not loaded the base model, or does not respond.
     NoEngine,
     /// The engine is leaving.
     Leaving,
-    /// Its first event would come too late.
+    /// The first event of its response would come too late.
     #[serde(rename = "Late")]
     TooLate,
-    /// The adapter could not be loaded in time.
+    /// The adapter can't be loaded in time.
     #[serde(rename = "NoPlace")]
     NoSlot,
-    /// Other requests are on trial there.
+    /// Other suspects are on trial at the engine.
     OnTrial,
-    /// No slot under the engine's rate limit is free in time.
+    /// The engine's rate limit doesn't admit the request in time.
     Limited,
 }
 
-/// An engine, as its side knows it.
+/// State of an engine, as known to its side.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineFigures {
-    /// Instance; empty while the engine is not known.
+    /// Instance; empty while unknown.
     pub instance: String,
-    /// Unix time of the engine's start, ms; 0 if it does not tell.
+    /// Unix time of the engine's start, ms; 0 if the engine does not report it.
     #[serde(rename = "born")]
     pub start_time_ms: u64,
-    /// Time until it takes requests, ms: 0 if it does; `None` if it won't, or nobody knows.
+    /// Time until the engine accepts requests, ms; 0 if it does now, `None` if it won't or if unknown.
     pub ready_ms: Option<u64>,
-    /// Adapters held, with their versions.
+    /// Loaded adapters and their versions.
     #[serde(rename = "held")]
     pub loaded_adapters: Vec<(String, u64)>,
-    /// Adapters on their way.
+    /// Adapters that are being loaded.
     #[serde(rename = "loading")]
     pub loading_adapters: Vec<String>,
-    /// Places that a further adapter could take now.
+    /// Number of slots into which another adapter could be loaded now.
     #[serde(rename = "spare")]
     pub available_slots: u32,
-    /// Prompt tokens that wait to be read.
+    /// Number of prompt tokens that the engine has yet to process.
     #[serde(rename = "unread")]
     pub unread_tokens: u64,
-    /// Requests under way.
+    /// Number of requests in progress.
     pub running: u32,
-    /// How fast it works, as far as its side has learned.
+    /// Measured speed of the engine.
     pub traits: EngineTraits,
 }
 
-/// How fast an engine works, as learned from it; 0 stands for what is not known.
+/// Measured speed of an engine; 0 in a field means unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineTraits {
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second.
     #[serde(rename = "rate")]
     pub tokens_per_s: u64,
-    /// Time of a load of an adapter from the weight store, ms.
+    /// Time to load an adapter from the weight store, ms.
     #[serde(rename = "load_ms")]
     pub store_load_ms: u64,
-    /// Time of a load of an adapter from the host's memory, ms.
+    /// Time to load an adapter from the host's memory, ms.
     #[serde(rename = "kept_ms")]
     pub cached_load_ms: u64,
-    /// Adapters that the host keeps beside those held.
+    /// Number of adapters that the host caches besides those loaded in the engine.
     #[serde(rename = "keeps")]
     pub cache_size: u32,
 }
 
 impl EngineTraits {
-    /// These, and those of `peers` for what is not known.
+    /// Returns these traits, with the unknown ones taken from `peers`.
     #[must_use]
     pub fn or(self, peers: &Self) -> Self {
         let known = |own: u64, peers: u64| if own == 0 { peers } else { own };
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Middle of each figure over the engines where it is known.
+    /// Returns the median of each trait over the engines where it is known.
     #[must_use]
     pub fn median(all: impl Iterator<Item = Self> + Clone) -> Self {
         let cache_size = median_known(all.clone().map(|t| u64::from(t.cache_size)));
@@ -235,7 +235,7 @@
     }
 }
 
-/// Median of the figures that are known; 0 if none is.
+/// Median of the known values; 0 if none is known.
 fn median_known(figures: impl Iterator<Item = u64>) -> u64 {
     let mut known: Vec<u64> = figures.filter(|f| *f > 0).collect();
     known.sort_unstable();
@@ -243,7 +243,7 @@
 }
 
 impl TurnRefusal {
-    /// Its name in logs and metrics.
+    /// Returns the name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/types/src/message/view.rs
+++ b/crates/types/src/message/view.rs
@@ -1,5 +1,5 @@
-//! Figures of many engines at once: what an entry asks of one side that gathers for it, and what that
-//! side asks of others.
+//! Figures of many engines in one exchange. An entry requests them from a side that acts as its relay;
+//! the relay collects them from other sides.
 
 use std::net::SocketAddr;
 
@@ -8,122 +8,123 @@
 use super::{CachedAdapters, EngineFigures, StreamMarks, SuspectNews};
 use crate::{DataCentre, VmId};
 
-/// An engine whose figures are wanted.
+/// An engine whose figures are requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Instance that the asker believes to be there.
+    /// Instance that the caller expects at the address.
     pub instance: String,
     /// Data centre.
     pub centre: DataCentre,
-    /// Address of the side beside it.
+    /// Address of the engine's side.
     pub side: SocketAddr,
 }
 
-/// Who asks for a view.
+/// Kind of process that requests a view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Viewer {
-    /// An entry: wants all members.
+    /// An entry, which requests the figures of all members.
     #[default]
     Entry,
-    /// A side that gathers for entries: wants what the one asked has by itself.
+    /// A side that acts as a relay. The reply leaves out what the called side has from relays of other
+    /// data centres.
     Relay,
 }
 
-/// Ask for the figures of many engines.
+/// Request for the figures of many engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewCall {
-    /// VM of the asker.
+    /// VM of the caller.
     pub caller: VmId,
-    /// What it is.
+    /// Kind of the caller.
     pub viewer: Viewer,
-    /// How far the asker knows the platform's streams to reach.
+    /// Latest positions of the platform's streams that the caller knows.
     pub marks: StreamMarks,
-    /// Digest of the members wanted.
+    /// Digest of the list of members.
     pub digest: u64,
-    /// The members, unless the one asked is taken to know them by their digest.
+    /// The members, unless the relay is expected to know them by their digest.
     pub members: Option<Vec<Member>>,
-    /// Last reply that the asker had from here; nothing at first.
+    /// Cursor of the last reply that the caller received from this relay; the default before the first.
     pub seen: ChangeCursor,
-    /// Requests under which upstreams ended.
+    /// Changes of the suspects.
     pub suspects: SuspectNews,
 }
 
-/// A reply of one start of a relay.
+/// Position in the sequence of changes that a process has recorded since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCursor {
-    /// Which start of the relay; a random number.
+    /// Random number that identifies the start of the process.
     pub start: u64,
-    /// Count of changes up to the reply.
+    /// Number of changes up to the position.
     pub count: u64,
 }
 
-/// Figures of many engines.
+/// Reply to a [`ViewCall`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewReply {
-    /// The members of this digest are not known: they have to be sent.
+    /// Whether the relay doesn't know the members of the digest, so that the caller has to send them.
     pub unknown: bool,
-    /// What a later call names as seen.
+    /// Cursor for the next call.
     pub seen: ChangeCursor,
-    /// A row a member.
+    /// One row for each member.
     pub rows: Vec<ViewRow>,
-    /// Entries heard of lately.
+    /// Number of entries that the relay has recently been in contact with or heard of.
     pub entries: u32,
-    /// How far the relay knows the platform's streams to reach.
+    /// Latest positions of the platform's streams that the relay knows.
     pub marks: StreamMarks,
-    /// Requests under which upstreams ended.
+    /// Changes of the suspects.
     pub suspects: SuspectNews,
 }
 
 /// One engine in a view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRow {
-    /// Instance that the asker named.
+    /// Instance that the caller named.
     pub instance: String,
-    /// What exchanges with its side tell.
+    /// Reachability, as shown by exchanges with its side.
     pub reach: Reachability,
-    /// Age of its figures, ms.
+    /// Age of the figures, ms.
     pub age_ms: u64,
-    /// Its figures, if any were had.
+    /// Figures, if any were received.
     pub figures: Option<EngineFigures>,
-    /// Adapters that its host keeps, if they changed since the reply that the asker has seen.
+    /// Adapters that the engine's host caches, if they changed since the reply that the caller names.
     #[serde(rename = "kept")]
     pub cached_adapters: Option<CachedAdapters>,
 }
 
-/// What exchanges with a side tell of its engine.
+/// Reachability of an engine, as shown by exchanges with its side.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reachability {
-    /// Nothing against it: the side answers, or is down on a VM that answers.
+    /// The side responds, or it is down but its VM responds.
     #[default]
     #[serde(rename = "Sound")]
     Reachable,
-    /// The VM does not answer.
+    /// The VM does not respond.
     #[serde(rename = "CutOff")]
     Unreachable,
-    /// The side names another instance in its place, or none.
+    /// The side reports another instance, or none.
     Replaced,
 }
 
-/// Ask of a relay for one engine's figures.
+/// Request of a relay to a side for the figures of its engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FiguresCall {
-    /// Instance that is believed to be there.
+    /// Instance that the relay expects at the side.
     pub instance: String,
-    /// Digest of the kept adapters that the relay knows; 0 before the first.
+    /// Digest of the cached adapters that the relay knows; 0 if it knows none.
     #[serde(rename = "kept")]
     pub cached_digest: u64,
-    /// How far the relay knows the platform's streams to reach.
+    /// Latest positions of the platform's streams that the relay knows.
     pub marks: StreamMarks,
 }
 
-/// One engine's figures.
+/// Reply to a [`FiguresCall`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FiguresReply {
-    /// The engine, as the side knows it.
+    /// State of the engine, as known to the side.
     pub figures: EngineFigures,
-    /// Adapters that the engine's host keeps, if they aren't those that the relay knows.
+    /// Adapters that the engine's host caches, if their digest differs from that in the call.
     #[serde(rename = "kept")]
     pub cached_adapters: Option<CachedAdapters>,
-    /// How far the side knows the platform's streams to reach.
+    /// Latest positions of the platform's streams that the side knows.
     pub marks: StreamMarks,
 }
--- a/crates/types/src/position.rs
+++ b/crates/types/src/position.rs
@@ -1,21 +1,21 @@
-//! Places in a log that may come back from an older copy.
+//! Positions in a log that may be restored from an older copy.
 
 use serde::{Deserialize, Serialize};
 
-/// Place in a stream. A log that comes back from an older copy gives offsets out again, in the next era:
-/// any place of it is behind all those of the era before.
+/// Position in a stream. A log that is restored from an older copy assigns some offsets again, so it
+/// then starts the next era: every position of an era is greater than all those of earlier eras.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// How often the log has come back from a copy; 0 if it does not tell.
+    /// Number of times the log was restored from a copy; 0 if the log does not report it.
     pub era: u64,
-    /// Offset in that era.
+    /// Offset within the era.
     pub offset: u64,
 }
 
 impl Position {
-    /// Place of a log that does not tell its era.
+    /// Position in a log that does not report its era.
     #[must_use]
     pub fn at(offset: u64) -> Self {
         Self { era: 0, offset }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,10 +1,10 @@
-//! Time in pure code: milliseconds since a start that the caller chooses.
+//! Time for code that reads no clock: milliseconds since an origin that the caller chooses.
 
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// Instant or span, in milliseconds.
+/// Instant or duration, in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,15 +12,18 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Span from `earlier` to `self`, zero if `earlier` is later.
+    /// Duration from `earlier` to `self`; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// Span in seconds.
+    /// Duration in seconds.
     #[must_use]
-    #[allow(clippy::cast_precision_loss, reason = "spans stay far below 2^52 ms")]
+    #[allow(
+        clippy::cast_precision_loss,
+        reason = "durations stay far below 2^52 ms"
+    )]
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
--- a/crates/types/tests/rows.rs
+++ b/crates/types/tests/rows.rs
@@ -1,27 +1,28 @@
-//! Rows are shorter than named fields, and both forms are read.
+//! Tests the encoding of messages as rows, which are shorter than maps with field names. Decoding must accept
+//! both forms, as earlier versions send maps.
 
 use pumicecleat_types::{LoadBid, LoadFigures, Report, ReportReply, decode, encode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 
-/// A message as a row, and with the names that earlier versions write.
+/// Checks that `message` is encoded as a row, and that the row and the map `named` are both decoded to it.
 fn check<M>(message: &M, named: &Value)
 where
     M: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
     let row = encode(message);
-    let old = encode(named);
+    let map = encode(named);
     assert_eq!(&decode::<M>(&row).unwrap(), message);
-    assert_eq!(&decode::<M>(&old).unwrap(), message);
-    assert!(row.len() < old.len(), "{} {}", row.len(), old.len());
-    // A row with more or fewer fields is another message.
-    let cut = encode(&json!([1]));
-    assert!(decode::<M>(&cut).is_err());
+    assert_eq!(&decode::<M>(&map).unwrap(), message);
+    assert!(row.len() < map.len(), "{} {}", row.len(), map.len());
+    // A row with another number of fields is rejected.
+    let short_row = encode(&json!([1]));
+    assert!(decode::<M>(&short_row).is_err());
 }
 
 #[test]
-fn both_forms_are_read() {
+fn rows_and_maps_are_decoded() {
     let load = LoadFigures {
         running: 1,
         waiting: 2,
