--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -78,7 +78,7 @@
         side.pool,
         side.revision,
         side.load.running,
-        side.load.batch,
+        side.load.max_batch_size,
         side.load.waiting,
         side.resident.join(" "),
         side.age_ms,
--- a/crates/entry/src/peer/load.rs
+++ b/crates/entry/src/peer/load.rs
@@ -68,7 +68,7 @@
         .bid(up, policy_bid.as_ref(), now);
     let load_time = shared.load_order.borrow().load_time();
     shared.directory.borrow_mut().set_load_time(load_time);
-    if let LoadTurn::Go { .. } = turn {
+    if let LoadTurn::Granted { .. } = turn {
         log_granted(shared, bid, previous, up);
     }
     turn
--- a/crates/entry/src/peer/report.rs
+++ b/crates/entry/src/peer/report.rs
@@ -42,7 +42,7 @@
     Ok(ReportReply {
         next_ms: interval.0,
         revision: shared.config.revision(),
-        whole: log_outcome(shared, report, &outcome),
+        needs_full_report: log_outcome(shared, report, &outcome),
     })
 }
 
--- a/crates/entry/tests/entry/peers.rs
+++ b/crates/entry/tests/entry/peers.rs
@@ -51,7 +51,10 @@
         let started = world.start_ready(&[]).await;
         let first = report("side-1", 7, 5);
         let reply = tell(&world, &started, &first).await;
-        assert!(reply.whole, "nothing is known of what is resident");
+        assert!(
+            reply.needs_full_report,
+            "nothing is known of what is resident"
+        );
         assert_eq!(reply.revision, started.entry.revision());
         assert!((500..=7_000).contains(&reply.next_ms));
 
@@ -59,8 +62,12 @@
             resident: Some(vec!["tour@v1".into(), "brief@v1".into()]),
             ..report("side-1", 7, 6)
         };
-        assert!(!tell(&world, &started, &whole).await.whole);
-        assert!(!tell(&world, &started, &report("side-1", 7, 8)).await.whole);
+        assert!(!tell(&world, &started, &whole).await.needs_full_report);
+        assert!(
+            !tell(&world, &started, &report("side-1", 7, 8))
+                .await
+                .needs_full_report
+        );
 
         let rows = [("overtaken", 7, 7), ("of an older incarnation", 6, 90)];
         for (name, incarnation, seq) in rows {
@@ -73,7 +80,11 @@
             assert_eq!(sides[0].resident, ["tour@v1", "brief@v1"], "{name}");
             assert_eq!(sides[0].incarnation, 7, "{name}");
         }
-        assert!(tell(&world, &started, &report("side-1", 8, 1)).await.whole);
+        assert!(
+            tell(&world, &started, &report("side-1", 8, 1))
+                .await
+                .needs_full_report
+        );
     });
 }
 
@@ -116,7 +127,7 @@
             let span = Duration::from_secs(1);
             let turn = post(&world.client, &peer, "/peer/v1/load", &bid, span).await;
             let turn: LoadTurn = turn.unwrap();
-            assert_eq!(matches!(turn, LoadTurn::Go { .. }), goes, "{name}");
+            assert_eq!(matches!(turn, LoadTurn::Granted { .. }), goes, "{name}");
         }
         assert!(dump(&world, &started).await.order.held);
     });
--- a/crates/entry/tests/entry/side.rs
+++ b/crates/entry/tests/entry/side.rs
@@ -138,9 +138,9 @@
         leaving: state.leaving.get(),
         healthy: true,
         load: LoadFigures {
-            batch: 8,
+            max_batch_size: 8,
             slots: 4,
-            spare: 4,
+            spare_slots: 4,
             step_us: 10_000,
             ..LoadFigures::default()
         },
--- a/crates/fuzz/src/targets/message.rs
+++ b/crates/fuzz/src/targets/message.rs
@@ -39,7 +39,7 @@
             encode(&ConfigReply::Records(vec![log_record()])),
             encode(&ConfigReply::Snapshot(b"snapshot".to_vec())),
             encode(&bid()),
-            encode(&LoadTurn::Go { ttl_ms: 900 }),
+            encode(&LoadTurn::Granted { ttl_ms: 900 }),
             encode(&BidRequest { at_ms: 900 }),
             encode(&BidRequestReply { bids: true }),
             encode(&Frame::Refused(refusal())),
@@ -146,7 +146,7 @@
     ReportReply {
         next_ms: 500,
         revision: 7,
-        whole: true,
+        needs_full_report: true,
     }
 }
 
@@ -154,7 +154,7 @@
     LoadFigures {
         running: 3,
         waiting: 70_000,
-        batch: 8,
+        max_batch_size: 8,
         ..LoadFigures::default()
     }
 }
--- a/crates/measure/src/policy/rules/naive.rs
+++ b/crates/measure/src/policy/rules/naive.rs
@@ -192,9 +192,9 @@
         let load = LoadFigures {
             running: count(self.sent.len()),
             waiting: count(self.waiting.len()),
-            batch: self.shape.batch,
+            max_batch_size: self.shape.batch,
             slots: self.shape.slots,
-            spare: 0,
+            spare_slots: 0,
             step_us: u32::try_from(STEP.0.0 * 1_000).unwrap_or(u32::MAX),
             wait_ms: 0,
         };
--- a/crates/measure/src/slopes/fleet.rs
+++ b/crates/measure/src/slopes/fleet.rs
@@ -42,9 +42,9 @@
     LoadFigures {
         running: side % 8,
         waiting: side % 3,
-        batch: 8,
+        max_batch_size: 8,
         slots: SLOTS,
-        spare: side % 4,
+        spare_slots: side % 4,
         step_us: 10_000 + side % 1_000,
         wait_ms: side % 300,
     }
--- a/crates/measure/src/slopes/idle/sides.rs
+++ b/crates/measure/src/slopes/idle/sides.rs
@@ -129,7 +129,8 @@
             let peer = self.shared.target();
             let path = "/peer/v1/report";
             let reply = post::<_, ReportReply>(&self.client, &peer, path, &message, SPAN).await;
-            let (next, wanted) = reply.map_or((WARM_MS, true), |r| (r.next_ms, r.whole));
+            let (next, wanted) =
+                reply.map_or((WARM_MS, true), |r| (r.next_ms, r.needs_full_report));
             self.shared.sent.fetch_add(1, Ordering::Relaxed);
             whole = wanted;
             timer.sleep(Duration::from_millis(next)).await;
@@ -170,7 +171,7 @@
             peer_reply(&ReportReply {
                 next_ms: WARM_MS,
                 revision: 1,
-                whole: true,
+                needs_full_report: true,
             })
         })
     }
--- a/crates/measure/src/slopes/order.rs
+++ b/crates/measure/src/slopes/order.rs
@@ -91,7 +91,7 @@
         bids += 1;
         let from = since.get(&side).copied().unwrap_or_default();
         match bid(&mut order, side, from, now) {
-            LoadTurn::Go { .. } => {
+            LoadTurn::Granted { .. } => {
                 turns += 1;
                 due.insert((now + LOAD, side, Step::GiveBack));
             }
--- a/crates/measure/src/slopes/report.rs
+++ b/crates/measure/src/slopes/report.rs
@@ -64,7 +64,7 @@
     let reply = ReportReply {
         next_ms: 7_000,
         revision: 40_000,
-        whole: false,
+        needs_full_report: false,
     };
     let mut replies = Series::new(by_slots("reply, encoded"));
     replies.add(0, length(&encode(&reply)));
--- a/crates/measure/src/slopes/split.rs
+++ b/crates/measure/src/slopes/split.rs
@@ -99,7 +99,7 @@
 fn sides() -> Router {
     let mut router = Router::new_ext(RouterOptions::default());
     let load = LoadFigures {
-        batch: 8,
+        max_batch_size: 8,
         step_us: 10_000,
         ..LoadFigures::default()
     };
--- a/crates/policy/benches/router_cost/fleet.rs
+++ b/crates/policy/benches/router_cost/fleet.rs
@@ -56,9 +56,9 @@
     let load = LoadFigures {
         running: rng.random_range(0..8),
         waiting: 0,
-        batch: 8,
+        max_batch_size: 8,
         slots: SLOTS,
-        spare: rng.random_range(0..4),
+        spare_slots: rng.random_range(0..4),
         step_us: rng.random_range(10_000..20_000),
         wait_ms: rng.random_range(0..50),
     };
--- a/crates/policy/benches/router_trial/engine.rs
+++ b/crates/policy/benches/router_trial/engine.rs
@@ -117,9 +117,9 @@
         let load = LoadFigures {
             running: to_u32(self.running.len()),
             waiting: to_u32(self.queue.len()),
-            batch: to_u32(BATCH_SIZE),
+            max_batch_size: to_u32(BATCH_SIZE),
             slots: to_u32(SLOTS),
-            spare: to_u32(spare + SLOTS - self.slots.len()),
+            spare_slots: to_u32(spare + SLOTS - self.slots.len()),
             step_us: to_u32(usize::try_from(STEP_MS).unwrap_or(0) * 1_000),
             wait_ms: u32::try_from(wait).unwrap_or(u32::MAX),
         };
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,7 +25,7 @@
 //! side.submit(job, Millis(0)).unwrap();
 //! assert!(matches!(side.poll(Millis(0))[..], [Action::Bid(_)]));
 //!
-//! side.bid_answered(LoadTurn::Go { ttl_ms: 2_000 }, Millis(4));
+//! side.bid_answered(LoadTurn::Granted { ttl_ms: 2_000 }, Millis(4));
 //! assert_eq!(side.poll(Millis(4)), [Action::Load(lora)]);
 //!
 //! side.loaded(lora, LoadOutcome::Done, Millis(504));
--- a/crates/policy/src/load_order/mod.rs
+++ b/crates/policy/src/load_order/mod.rs
@@ -129,7 +129,7 @@
             granted_at,
             expires_at: now + ttl,
         });
-        LoadTurn::Go { ttl_ms: ttl.0 }
+        LoadTurn::Granted { ttl_ms: ttl.0 }
     }
 
     /// Ends the turn if the side holds it.
--- a/crates/policy/src/router/batching.rs
+++ b/crates/policy/src/router/batching.rs
@@ -12,6 +12,6 @@
 pub(super) fn shares_steps(up: &Upstream, residency: Residency) -> bool {
     let load = &up.load;
     let busy = load.running > 0 || load.waiting > 0 || !up.unreported_sends.is_empty();
-    let lacks_slots = residency == Residency::Absent && load.spare < load.slots.div_ceil(2);
+    let lacks_slots = residency == Residency::Absent && load.spare_slots < load.slots.div_ceil(2);
     busy && !lacks_slots
 }
--- a/crates/policy/src/router/estimate.rs
+++ b/crates/policy/src/router/estimate.rs
@@ -17,7 +17,7 @@
     let load = &up.load;
     let unreported = u64::try_from(up.unreported_sends.len()).unwrap_or(u64::MAX);
     let busy = u64::from(load.running) + u64::from(load.waiting);
-    let free = u64::from(load.batch).saturating_sub(busy);
+    let free = u64::from(load.max_batch_size).saturating_sub(busy);
     let excess = unreported.saturating_sub(free);
     let queued = u64::from(load.wait_ms) * MICROS_PER_MILLI;
     queued + excess * drain_interval_us(up, options) + u64::from(load.step_us)
@@ -29,7 +29,7 @@
     if load.waiting > 0 && load.wait_ms > 0 {
         return u64::from(load.wait_ms) * MICROS_PER_MILLI / u64::from(load.waiting);
     }
-    options.service_time.0 * MICROS_PER_MILLI / u64::from(load.batch.max(1))
+    options.service_time.0 * MICROS_PER_MILLI / u64::from(load.max_batch_size.max(1))
 }
 
 /// Wait for the adapter load, microseconds.
@@ -52,6 +52,6 @@
 
 /// Wait for a slot if every slot holds an adapter in use.
 fn slot_wait(up: &Upstream, options: &RouterOptions) -> Millis {
-    let full = up.load.slots > 0 && up.load.spare == 0;
+    let full = up.load.slots > 0 && up.load.spare_slots == 0;
     Millis(if full { options.service_time.0 / 2 } else { 0 })
 }
--- a/crates/policy/src/router/upstream.rs
+++ b/crates/policy/src/router/upstream.rs
@@ -86,7 +86,7 @@
     pub(super) fn batch_room(&self) -> u64 {
         let unreported = u64::try_from(self.unreported_sends.len()).unwrap_or(u64::MAX);
         let busy = u64::from(self.load.running) + u64::from(self.load.waiting);
-        u64::from(self.load.batch).saturating_sub(busy.saturating_add(unreported))
+        u64::from(self.load.max_batch_size).saturating_sub(busy.saturating_add(unreported))
     }
 
     pub(super) fn residency(&self, lora: LoraIx) -> Residency {
--- a/crates/policy/src/scheduler/loading.rs
+++ b/crates/policy/src/scheduler/loading.rs
@@ -99,13 +99,13 @@
         self.without_turn = false;
         self.bid_pending = false;
         match (turn, &mut self.stage) {
-            (LoadTurn::Go { ttl_ms }, Stage::Loading { renew_at, .. }) => {
+            (LoadTurn::Granted { ttl_ms }, Stage::Loading { renew_at, .. }) => {
                 *renew_at = now + Millis(ttl_ms / 2);
             }
             (LoadTurn::Wait { again_ms, .. }, Stage::Loading { renew_at, .. }) => {
                 *renew_at = now + Millis(again_ms);
             }
-            (LoadTurn::Go { ttl_ms }, stage @ Stage::Bidding) => {
+            (LoadTurn::Granted { ttl_ms }, stage @ Stage::Bidding) => {
                 let until = now + Millis(ttl_ms);
                 *stage = Stage::Granted { until };
                 self.turn_held = true;
@@ -117,7 +117,7 @@
             }
             // The load that the bid was for has ended; the turn is released or used for another
             // load.
-            (LoadTurn::Go { .. }, Stage::Idle { .. }) => self.turn_held = true,
+            (LoadTurn::Granted { .. }, Stage::Idle { .. }) => self.turn_held = true,
             (_, _) => {}
         }
     }
--- a/crates/policy/src/scheduler/view.rs
+++ b/crates/policy/src/scheduler/view.rs
@@ -14,9 +14,9 @@
         LoadFigures {
             running: self.running(),
             waiting: count(self.queue.len()),
-            batch: self.options.max_batch,
+            max_batch_size: self.options.max_batch,
             slots: self.options.slots,
-            spare: count(self.residency.spare_slots()),
+            spare_slots: count(self.residency.spare_slots()),
             step_us: self.estimate.step_us(),
             wait_ms: u32::try_from(wait.0).unwrap_or(u32::MAX),
         }
--- a/crates/policy/tests/load_order_cases.rs
+++ b/crates/policy/tests/load_order_cases.rs
@@ -132,7 +132,7 @@
         for step in case.steps {
             let bid = step.bid.map(bid);
             let turn = order.bid(UpstreamIx(step.side), bid.as_ref(), Millis(step.at));
-            let granted = matches!(turn, LoadTurn::Go { .. });
+            let granted = matches!(turn, LoadTurn::Granted { .. });
             assert_eq!(granted, step.granted, "{} at {}", case.name, step.at);
         }
     }
@@ -147,7 +147,7 @@
         Some(&bid((side, waiting, 0))),
         Millis(at),
     ) {
-        LoadTurn::Go { .. } => [0, 0, 0],
+        LoadTurn::Granted { .. } => [0, 0, 0],
         LoadTurn::Wait {
             again_ms,
             turn_ms,
@@ -189,7 +189,10 @@
         let wanted = bid((side, 100 - side, 0));
         order.bid(UpstreamIx(side), Some(&wanted), Millis(at))
     };
-    assert!(matches!(place_bid(&mut order, 0, 0), LoadTurn::Go { .. }));
+    assert!(matches!(
+        place_bid(&mut order, 0, 0),
+        LoadTurn::Granted { .. }
+    ));
     for side in 1..=80 {
         assert!(matches!(
             place_bid(&mut order, side, 10),
@@ -215,7 +218,7 @@
     assert_eq!(order.side_to_call(Millis(802)), Some(UpstreamIx(80)));
     assert!(matches!(
         place_bid(&mut order, 80, 810),
-        LoadTurn::Go { .. }
+        LoadTurn::Granted { .. }
     ));
     assert_eq!(order.side_to_call(Millis(1_000)), None, "the turn is held");
 }
--- a/crates/policy/tests/router_cases.rs
+++ b/crates/policy/tests/router_cases.rs
@@ -189,9 +189,9 @@
 
 fn figures(kind: UpstreamKind, wait: u32) -> UpstreamStatus {
     let load = LoadFigures {
-        batch: 8,
+        max_batch_size: 8,
         slots: 4,
-        spare: match kind {
+        spare_slots: match kind {
             NoFreeSlot => 0,
             BusyFewSlots => 1,
             _ => 2,
--- a/crates/policy/tests/router_homes.rs
+++ b/crates/policy/tests/router_homes.rs
@@ -12,7 +12,7 @@
 
 fn figures(wait_ms: u32) -> UpstreamStatus {
     let load = LoadFigures {
-        batch: 8,
+        max_batch_size: 8,
         step_us: 10_000,
         wait_ms,
         ..LoadFigures::default()
--- a/crates/policy/tests/router_naive.rs
+++ b/crates/policy/tests/router_naive.rs
@@ -209,9 +209,9 @@
         let load = LoadFigures {
             running,
             waiting,
-            spare,
+            spare_slots: spare,
             wait_ms,
-            batch: 8,
+            max_batch_size: 8,
             slots: 4,
             step_us: 10_000,
         };
--- a/crates/policy/tests/scheduler/engine.rs
+++ b/crates/policy/tests/scheduler/engine.rs
@@ -103,7 +103,7 @@
     pub fn grant_turn(&mut self, ttl_ms: u64) {
         self.bid_pending = false;
         self.scheduler
-            .bid_answered(LoadTurn::Go { ttl_ms }, self.now);
+            .bid_answered(LoadTurn::Granted { ttl_ms }, self.now);
     }
 
     pub fn defer_turn(&mut self, again_ms: u64) {
--- a/crates/policy/tests/scheduler_cases.rs
+++ b/crates/policy/tests/scheduler_cases.rs
@@ -85,7 +85,7 @@
             let refused = scheduler.submit(job, now).is_err();
             assert_eq!(refused, submit.refused, "{:?}", job.id);
         }
-        Event::Go { ttl_ms } => scheduler.bid_answered(LoadTurn::Go { ttl_ms: *ttl_ms }, now),
+        Event::Go { ttl_ms } => scheduler.bid_answered(LoadTurn::Granted { ttl_ms: *ttl_ms }, now),
         &Event::Wait {
             again_ms,
             turn_ms,
--- a/crates/policy/tests/scheduler_naive.rs
+++ b/crates/policy/tests/scheduler_naive.rs
@@ -216,7 +216,7 @@
                     scheduler.poll(now);
                     return evicted;
                 }
-                Action::Bid(_) => scheduler.bid_answered(LoadTurn::Go { ttl_ms: 1_000 }, now),
+                Action::Bid(_) => scheduler.bid_answered(LoadTurn::Granted { ttl_ms: 1_000 }, now),
                 Action::Load(lora) => scheduler.loaded(lora, LoadOutcome::Done, now),
                 Action::Unload(lora) => {
                     evicted = Some(lora);
--- a/crates/policy/tests/scheduler_pins.rs
+++ b/crates/policy/tests/scheduler_pins.rs
@@ -71,7 +71,7 @@
                 match action {
                     Action::Unload(lora) => return Some(lora),
                     Action::Bid(_) => {
-                        let turn = LoadTurn::Go {
+                        let turn = LoadTurn::Granted {
                             ttl_ms: TURN_TTL_MS,
                         };
                         self.scheduler.bid_answered(turn, self.now);
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -111,9 +111,13 @@
             reported.resident = None;
             return RETRY_DELAY;
         };
-        reported.resident = (!reply.whole).then_some(resident);
+        reported.resident = (!reply.needs_full_report).then_some(resident);
         self.config.observe_revision(reply.revision);
-        let ms = if reply.whole { 0 } else { reply.next_ms };
+        let ms = if reply.needs_full_report {
+            0
+        } else {
+            reply.next_ms
+        };
         let interval_ms = ms.clamp(*REPORT_INTERVAL_MS.start(), *REPORT_INTERVAL_MS.end());
         self.staggered_delay(entry, interval_ms)
     }
--- a/crates/side/tests/bench/mod.rs
+++ b/crates/side/tests/bench/mod.rs
@@ -118,12 +118,12 @@
                     peer_reply(&ReportReply {
                         next_ms: 200,
                         revision,
-                        whole: false,
+                        needs_full_report: false,
                     })
                 }
                 "/peer/v1/load" => {
                     seen.borrow_mut().bids.push(decode(&bytes).unwrap());
-                    let go = LoadTurn::Go { ttl_ms: 2_000 };
+                    let go = LoadTurn::Granted { ttl_ms: 2_000 };
                     let wait = seen.borrow().wait_ms;
                     peer_reply(&wait.map_or(go, wait_turn))
                 }
--- a/crates/types/src/message/load.rs
+++ b/crates/types/src/message/load.rs
@@ -25,7 +25,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadTurn {
     /// The side may load now.
-    Go {
+    #[serde(rename = "Go")]
+    Granted {
         /// Time after which the turn expires, milliseconds.
         ttl_ms: u64,
     },
--- a/crates/types/src/message/report.rs
+++ b/crates/types/src/message/report.rs
@@ -15,11 +15,13 @@
     /// Number of requests waiting at the side.
     pub waiting: u32,
     /// Maximum batch size of the upstream, requests.
-    pub batch: u32,
+    #[serde(rename = "batch")]
+    pub max_batch_size: u32,
     /// Number of adapter slots.
     pub slots: u32,
     /// Number of slots whose adapter no request uses.
-    pub spare: u32,
+    #[serde(rename = "spare")]
+    pub spare_slots: u32,
     /// Recent duration of an engine step, microseconds.
     pub step_us: u32,
     /// Expected waiting time in the queue, milliseconds.
@@ -67,7 +69,8 @@
     pub revision: u64,
     /// Whether the next report must be complete, because the entry doesn't have the list of resident
     /// adapters that `None` would refer to.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub needs_full_report: bool,
 }
 
 impl Serialize for Report {
@@ -95,7 +98,7 @@
 impl Serialize for ReportReply {
     /// Writes the fields in the order of their declaration, without names.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        (self.next_ms, self.revision, self.whole).serialize(serializer)
+        (self.next_ms, self.revision, self.needs_full_report).serialize(serializer)
     }
 }
 
@@ -105,9 +108,9 @@
         [
             self.running,
             self.waiting,
-            self.batch,
+            self.max_batch_size,
             self.slots,
-            self.spare,
+            self.spare_slots,
             self.step_us,
             self.wait_ms,
         ]
--- a/crates/types/tests/rows.rs
+++ b/crates/types/tests/rows.rs
@@ -26,9 +26,9 @@
     let load = LoadFigures {
         running: 1,
         waiting: 2,
-        batch: 3,
+        max_batch_size: 3,
         slots: 4,
-        spare: 5,
+        spare_slots: 5,
         step_us: 6,
         wait_ms: 7,
     };
@@ -56,7 +56,7 @@
     let reply = ReportReply {
         next_ms: 1,
         revision: 2,
-        whole: true,
+        needs_full_report: true,
     };
     check(&reply, &json!({"next_ms": 1, "revision": 2, "whole": true}));
     let bid = LoadBid {
