--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -26,7 +26,7 @@
 
 /// Response for an instance that is not known to be this engine. The list of upstreams is read within half a
 /// second.
-const UNKNOWN_ENGINE: Turn = Turn::No {
+const UNKNOWN_ENGINE: Turn = Turn::Refused {
     reason: TurnRefusal::NoEngine,
     retry_ms: 300,
 };
@@ -35,7 +35,7 @@
 const TRIAL_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Response to a request on trial while other trials occupy the engine.
-const TRIAL_IN_PROGRESS: Turn = Turn::No {
+const TRIAL_IN_PROGRESS: Turn = Turn::Refused {
     reason: TurnRefusal::OnTrial,
     retry_ms: 500,
 };
@@ -109,11 +109,11 @@
             None => None,
         };
         let figures = self.shared.figures();
-        let cached_adapters = self.shared.cached_adapters(call.kept);
+        let cached_adapters = self.shared.cached_adapters(call.cached_digest);
         peer_reply(&TurnReply {
             turn,
             figures,
-            kept: cached_adapters,
+            cached_adapters,
             entries: self.shared.recent_gateways.borrow().count(timer.now()),
             marks: self.shared.marks.to_message(timer.now()),
             suspects,
@@ -159,7 +159,7 @@
             Admission::Unlimited => return self.wait_for_turn(ask).await,
             Admission::Reserved(slot) => slot,
             Admission::Refused(wait) => {
-                let turn = Turn::No {
+                let turn = Turn::Refused {
                     reason: TurnRefusal::Limited,
                     retry_ms: wait.0,
                 };
@@ -179,7 +179,7 @@
         ask.due_ms = ask.due_ms.saturating_sub(slot.wait.0);
         ask.patience_ms = ask.patience_ms.saturating_sub(slot.wait.0);
         let turn = self.wait_for_turn(ask).await;
-        if matches!(turn, Turn::Go { .. }) {
+        if matches!(turn, Turn::Granted { .. }) {
             guard.slot = None;
         }
         turn
@@ -221,7 +221,7 @@
         // The sender is dropped without an outcome only when the agent exits.
         let turn = turn.unwrap_or(UNKNOWN_ENGINE);
         self.log_turn(&asked, turn, asked_at);
-        if matches!(turn, Turn::No { .. }) {
+        if matches!(turn, Turn::Refused { .. }) {
             self.shared.suspects.end_trial(&guard.request_id);
         }
         guard.disarm();
@@ -263,7 +263,7 @@
         let waited = self.shared.timer.now().since(asked_at);
         self.shared.meters.turn_wait.observe(waited.as_secs());
         let figures = self.shared.figures();
-        let unread = figures.unread;
+        let unread = figures.unread_tokens;
         let unread_gauge = i64::try_from(unread).unwrap_or(i64::MAX);
         self.shared.meters.unread_tokens.set(unread_gauge);
         let request = field("request", asked.request.as_str());
@@ -271,13 +271,13 @@
         let hold = field("hold", asked.adapter_state);
         let waited = field("waited_ms", waited.0);
         let unread = field("unread", unread);
-        let rate = field("rate", figures.traits.rate);
+        let rate = field("rate", figures.traits.tokens_per_s);
         match turn {
-            Turn::Go { .. } => self.shared.log.emit(
+            Turn::Granted { .. } => self.shared.log.emit(
                 &events::ENGINE_TURN,
                 &[request, adapter, hold, waited, unread, rate],
             ),
-            Turn::No { reason, retry_ms } => {
+            Turn::Refused { reason, retry_ms } => {
                 let reason = field("reason", reason.as_str());
                 let retry = field("retry_ms", retry_ms);
                 let fields = [request, adapter, hold, reason, waited, unread, rate, retry];
--- a/crates/gateway/src/agents.rs
+++ b/crates/gateway/src/agents.rs
@@ -8,7 +8,9 @@
 use pumicecleat_net::{NetError, post};
 use pumicecleat_ops::{events, field};
 use pumicecleat_policy::RelaySelector;
-use pumicecleat_types::{LimitNews, Millis, Reach, RunNews, Turn, TurnAsk, TurnCall, TurnReply};
+use pumicecleat_types::{
+    LimitNews, Millis, Reachability, RunNews, Turn, TurnAsk, TurnCall, TurnReply,
+};
 
 use crate::service_traits::service_traits;
 use crate::shared::Shared;
@@ -83,8 +85,8 @@
         let due = if uses_relay {
             let last_message = r.heard_at.max(r.viewed_at).max(Some(r.first_seen(now)));
             let is_overdue = last_message.is_none_or(|at| now.since(at) >= DIRECT_SYNC_INTERVAL);
-            let needs_contact =
-                r.pending_asks > 0 || (r.failing_since.is_some() && r.reach == Reach::Sound);
+            let needs_contact = r.pending_asks > 0
+                || (r.failing_since.is_some() && r.reach == Reachability::Reachable);
             // What this gateway observed itself takes precedence over a relay's report: only a direct
             // exchange ends the failure.
             let needs_check = is_overdue || r.failing_since.is_some();
@@ -112,7 +114,7 @@
         instance: upstream.instance.clone(),
         news: news.clone(),
         marks: shared.marks.to_message(shared.timer.now()),
-        kept: kept_digest(shared, upstream),
+        cached_digest: kept_digest(shared, upstream),
         peers: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
@@ -168,7 +170,7 @@
         instance: upstream.instance.clone(),
         news,
         marks: shared.marks.to_message(now),
-        kept: kept_digest(shared, upstream),
+        cached_digest: kept_digest(shared, upstream),
         peers: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
@@ -262,16 +264,16 @@
     shared.table.with(&upstream.instance, |r| {
         // An agent that does not know its engine yet can't grant turns.
         r.reach = if is_expected {
-            Reach::Sound
+            Reachability::Reachable
         } else {
-            Reach::Replaced
+            Reachability::Replaced
         };
     });
     if is_expected {
         shared.table.with(&upstream.instance, |r| {
             r.unreported_asks.retain(|a| a.sent_at > sent_at);
             r.set_figures(reply.figures.clone(), now);
-            if let Some(kept) = &reply.kept {
+            if let Some(kept) = &reply.cached_adapters {
                 r.kept_adapters = kept.clone();
             }
         });
@@ -284,7 +286,7 @@
         r.failing_since.get_or_insert(now);
         let silent = r.is_silent(now);
         if silent && !error.is_refused() {
-            r.reach = Reach::CutOff;
+            r.reach = Reachability::Unreachable;
         }
         !silent || std::mem::replace(&mut r.loss_logged, true)
     });
--- a/crates/measure/src/slopes/idle/sides.rs
+++ b/crates/measure/src/slopes/idle/sides.rs
@@ -11,7 +11,7 @@
     Client, ClientOptions, Handler, Incoming, Reply, Server, ServerOptions, Timer, bind,
     peer_reply, post, read_all,
 };
-use pumicecleat_types::{ConfigAsk, ConfigReply, ReportReply};
+use pumicecleat_types::{ConfigCall, ConfigReply, ReportReply};
 
 use crate::path::Thread;
 use crate::slopes::fleet::report;
@@ -129,7 +129,8 @@
             let peer = self.shared.target();
             let path = "/peer/v1/report";
             let reply = post::<_, ReportReply>(&self.client, &peer, path, &message, SPAN).await;
-            let (next, wanted) = reply.map_or((WARM_MS, true), |r| (r.next_ms, r.whole));
+            let (next, wanted) =
+                reply.map_or((WARM_MS, true), |r| (r.next_ms, r.needs_full_report));
             self.shared.sent.fetch_add(1, Ordering::Relaxed);
             whole = wanted;
             timer.sleep(Duration::from_millis(next)).await;
@@ -139,7 +140,7 @@
 
 /// Asks for the configuration again and again, with nothing newer to come.
 async fn ask_on(client: Client, shared: Arc<Shared>, timer: Timer) {
-    let ask = ConfigAsk { from: Some(1) };
+    let ask = ConfigCall { from: Some(1) };
     while !shared.is_stopped() {
         let peer = shared.target();
         // Whether one is answered shows in the entry's figures only.
@@ -170,7 +171,7 @@
             peer_reply(&ReportReply {
                 next_ms: WARM_MS,
                 revision: 1,
-                whole: true,
+                needs_full_report: true,
             })
         })
     }
--- a/crates/policy/tests/prompt_turns.rs
+++ b/crates/policy/tests/prompt_turns.rs
@@ -21,10 +21,10 @@
 
 /// Traits of the engine's peers.
 const PEERS: EngineTraits = EngineTraits {
-    rate: 20_000,
-    load_ms: 250,
-    kept_ms: 25,
-    keeps: 2,
+    tokens_per_s: 20_000,
+    store_load_ms: 250,
+    cached_load_ms: 25,
+    cache_size: 2,
 };
 
 fn request(id: &str, adapter: &str) -> TurnRequest {
@@ -220,7 +220,7 @@
         _ => None,
     });
     let (reason, retry_after) = refused.expect("4 s of prefill before it exceed the limit of 3 s");
-    assert_eq!(reason, TurnRefusal::Late);
+    assert_eq!(reason, TurnRefusal::TooLate);
     assert!(retry_after >= Millis(200), "{retry_after:?}");
 }
 
@@ -301,7 +301,7 @@
     scheduler.apply_report(&running, Millis(100));
     assert_eq!(scheduler.running_requests(), 1);
     assert_eq!(
-        scheduler.figures("i-1", Millis(100)).unread,
+        scheduler.figures("i-1", Millis(100)).unread_tokens,
         0,
         "its answer has begun"
     );
@@ -324,7 +324,7 @@
         ..request("r3", "a3")
     };
     let not_waiting = scheduler.enqueue(not_waiting, Millis(2));
-    let refused = |a: &TurnAction, id: TurnId| matches!(a, TurnAction::Refuse { turn, reason: TurnRefusal::NoPlace, .. } if *turn == id);
+    let refused = |a: &TurnAction, id: TurnId| matches!(a, TurnAction::Refuse { turn, reason: TurnRefusal::NoSlot, .. } if *turn == id);
     let actions = scheduler.poll(Millis(2));
     assert!(
         actions.iter().any(|a| refused(a, not_waiting)),
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,7 +1,7 @@
 //! Requests in progress when upstreams end: storage, exchange between processes, trials and expiry.
 
 use pumicecleat_policy::{SuspectSync, SuspectTable, TRIAL_MIN_ENDS, Trials, end_key};
-use pumicecleat_types::{Fingerprint, Millis, Seen, Trial};
+use pumicecleat_types::{ChangeCursor, Fingerprint, Millis, Trial};
 
 /// Time for which a request is stored.
 const SUSPECT_TTL: Millis = Millis(600_000);
@@ -71,9 +71,9 @@
             // Twice, so that older records arrive after newer ones.
             for _ in 0..2 {
                 for from in order {
-                    let news = processes[from].news(Seen::default(), Millis(9));
+                    let news = processes[from].news(ChangeCursor::default(), Millis(9));
                     for to in &mut processes {
-                        to.merge(&news.words, Millis(9));
+                        to.merge(&news.reports, Millis(9));
                     }
                 }
             }
@@ -94,10 +94,10 @@
     let now = Millis(5);
     let mut call = |gateway: &mut SuspectTable, side: &mut SuspectTable| {
         let call = sync.outgoing_news(agent, gateway, now);
-        side.merge(&call.news.words, now);
+        side.merge(&call.news.reports, now);
         let reply = side.news(call.news.seen, now);
         sync.handle_reply(agent, call.sent_up_to, &reply, gateway, now);
-        call.news.words.len()
+        call.news.reports.len()
     };
     let mut side = SuspectTable::new(2);
     gateway.record_end(request(1), 1, false, now);
@@ -121,11 +121,11 @@
         gateway.record_end(request(n), 1, false, Millis(5));
     }
     let mut side = SuspectTable::new(2);
-    let mut seen = Seen::default();
+    let mut seen = ChangeCursor::default();
     for _ in 0..4 {
         let news = gateway.news(seen, Millis(5));
-        assert!(news.words.len() <= 128);
-        side.merge(&news.words, Millis(5));
+        assert!(news.reports.len() <= 128);
+        side.merge(&news.reports, Millis(5));
         seen = news.seen;
     }
     assert_eq!(side.len(), 300);
@@ -159,7 +159,7 @@
     assert_eq!(table.end_count(&request(1), late), 1);
     assert_eq!(table.end_count(&request(2), late), 0);
     let mut other = SuspectTable::new(2);
-    other.merge(&table.news(Seen::default(), late).words, late);
+    other.merge(&table.news(ChangeCursor::default(), late).reports, late);
     assert_eq!(other.end_count(&request(1), late), 1);
     assert_eq!(other.end_count(&request(2), late), 0);
 }
@@ -190,7 +190,7 @@
 /// a trial without an outcome.
 #[test]
 fn a_suspect_gets_one_shared_trial_and_then_trials_alone() {
-    use Trial::{Alone, Shared};
+    use Trial::{Exclusive, Shared};
     let cases = [
         TrialCase {
             name: "first attempt",
@@ -205,12 +205,12 @@
         TrialCase {
             name: "after an upstream ended during the first trial",
             attempts: &[(0, 2), (300, 3)],
-            last: Some(Alone),
+            last: Some(Exclusive),
         },
         TrialCase {
             name: "after the first trial timed out",
             attempts: &[(0, 2), (3_000, 2)],
-            last: Some(Alone),
+            last: Some(Exclusive),
         },
         TrialCase {
             name: "after an upstream ended during both trials",
@@ -230,7 +230,7 @@
         TrialCase {
             name: "after both trials timed out",
             attempts: &[(0, 2), (3_000, 2), (9_000, 2)],
-            last: Some(Alone),
+            last: Some(Exclusive),
         },
         TrialCase {
             name: "after the trials have expired",
@@ -265,9 +265,15 @@
         trials.try_grant(request(1), 2, Millis(1)),
         Ok(Trial::Shared)
     );
-    assert_eq!(trials.try_grant(request(1), 3, Millis(2)), Ok(Trial::Alone));
+    assert_eq!(
+        trials.try_grant(request(1), 3, Millis(2)),
+        Ok(Trial::Exclusive)
+    );
     trials.give_back(&request(1));
-    assert_eq!(trials.try_grant(request(1), 3, Millis(3)), Ok(Trial::Alone));
+    assert_eq!(
+        trials.try_grant(request(1), 3, Millis(3)),
+        Ok(Trial::Exclusive)
+    );
 }
 
 /// Decides whether a request may be sent, and in which trial if it needs one.
@@ -302,13 +308,13 @@
         let mut refused = Vec::new();
         let permit = try_send(&table, &mut trials, poison, now);
         let poison_sent = permit.is_ok();
-        let alone = permit == Ok(Some(Trial::Alone));
+        let alone = permit == Ok(Some(Trial::Exclusive));
         for (n, id) in waiting.drain(..).enumerate() {
             let Ok(own) = try_send(&table, &mut trials, request(id), now) else {
                 refused.push(id);
                 continue;
             };
-            let separate = own.is_some() && (alone || own == Some(Trial::Alone));
+            let separate = own.is_some() && (alone || own == Some(Trial::Exclusive));
             if poison_sent && n % engines == 0 && !separate {
                 interrupted.push(id);
             } else {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,8 @@
-//! Ids, units and the messages that pumicecleat's processes exchange.
+//! Ids, units and the messages that the processes of pumicecleat exchange.
 //!
-//! Every message between an entry, a side and the operators' command is a typed value here,
-//! carried as `MessagePack` by [`encode`] and [`decode`]. Pure code takes the time as [`Millis`].
+//! Every message between an entry, a side and the operators' command-line tool has a type here.
+//! [`encode`] and [`decode`] convert it to and from `MessagePack`. Code without I/O takes the current
+//! time as a [`Millis`] argument.
 //!
 //! ```
 //! use pumicecleat_types::{Lora, decode, encode};
@@ -28,12 +29,13 @@
 };
 pub use lora::Lora;
 pub use message::{
-    ConfigAsk, ConfigReply, EngineFigures, EngineTraits, FiguresCall, FiguresReply, Frame,
-    HeaderField, KeptAdapters, LimitNews, ListRead, LoadBid, LoadCall, LoadCalled, LoadFigures,
-    LoadTurn, LogRecord, Member, ModelTarget, Ran, Reach, Reason, Refusal, Report, ReportReply,
-    RunHead, RunNews, RunRequest, Seen, ServiceTarget, StreamMarks, SuspectNews, SuspectWord,
-    Target, Trial, TrialCall, TrialReply, Turn, TurnAsk, TurnCall, TurnRefusal, TurnReply,
-    UpstreamEnd, ViewCall, ViewReply, ViewRow, Viewer, VmEntry, VmRole, VmState,
+    BidRequest, BidRequestReply, CachedAdapters, ChangeCursor, ConfigCall, ConfigReply,
+    EngineFigures, EngineTraits, FiguresCall, FiguresReply, Frame, HeaderField, LimitNews,
+    ListRead, LoadBid, LoadFigures, LoadTurn, LogRecord, Member, ModelTarget, Ran, Reachability,
+    Reason, Refusal, Report, ReportReply, RunHead, RunNews, RunRequest, ServiceTarget, StreamMarks,
+    SuspectNews, SuspectReport, Target, Trial, TrialCall, TrialReply, Turn, TurnAsk, TurnCall,
+    TurnRefusal, TurnReply, UpstreamEnd, ViewCall, ViewReply, ViewRow, Viewer, VmEntry, VmRole,
+    VmState,
 };
 pub use position::Position;
 pub use time::Millis;
