--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -122,7 +122,7 @@
 
     /// Runs until a stop is requested.
     pub async fn run(self, stop: &Stop) {
-        stop.first().await;
+        stop.requested().await;
         self.peer_server.stop();
         // Gateways whose connection is closed proceed without a turn.
         let _ = self
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -26,9 +26,9 @@
     print_summary(&tally);
     if args.serve {
         print_curl(&world);
-        stop.first().await;
+        stop.requested().await;
     }
-    stop.ask_once();
+    stop.request_once();
     world.finish(&stop).await;
     if tally.failed == 0 {
         return Ok(());
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -12,7 +12,7 @@
 
 /// Refuses new requests while the process stops or is not ready, such as without a configuration.
 pub(super) fn check_accepting(shared: &Shared) -> Result<(), ApiError> {
-    if shared.stop.is_asked() {
+    if shared.stop.is_requested() {
         return Err(ApiError::unavailable(
             "stopping",
             "this entry is stopping",
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -84,7 +84,7 @@
     if let Ok(id) = HeaderValue::from_str(info.request_id.as_str()) {
         headers.insert(X_REQUEST_ID, id);
     }
-    if shared.stop.is_asked() {
+    if shared.stop.is_requested() {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     reply
--- a/crates/entry/src/directory/vms.rs
+++ b/crates/entry/src/directory/vms.rs
@@ -56,7 +56,7 @@
         }
         if *vm == shared.options.vm {
             shared.leaving.set(true);
-            shared.stop.ask_once();
+            shared.stop.request_once();
         }
     }
     for up in &change.gone {
--- a/crates/entry/src/start/dump.rs
+++ b/crates/entry/src/start/dump.rs
@@ -74,7 +74,7 @@
             vm: shared.options.vm.clone(),
             address: shared.options.own_address.to_string(),
             ready: shared.readiness.is_ready(),
-            stopping: shared.stop.is_asked(),
+            stopping: shared.stop.is_requested(),
             config: shared.config.dump(now),
             sides: directory.dump(now),
             loras: directory.lora_count(),
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -65,7 +65,7 @@
     /// Whether it takes requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.shared.readiness.is_ready() && !self.shared.stop.is_asked()
+        self.shared.readiness.is_ready() && !self.shared.stop.is_requested()
     }
 
     /// Revision of the configuration in force, 0 for none.
@@ -77,7 +77,7 @@
     /// Serves until a stop is requested and all requests in progress have ended. A second stop
     /// request or the drain limit ends it earlier.
     pub async fn run(self) -> DrainEnd {
-        self.shared.stop.first().await;
+        self.shared.stop.requested().await;
         let source = if self.shared.leaving.get() {
             "VM list"
         } else {
--- a/crates/entry/tests/entry/stop.rs
+++ b/crates/entry/tests/entry/stop.rs
@@ -41,7 +41,7 @@
             let stopping = async {
                 world.until(|| sides[0].seen().len() == 1).await;
                 world.timer.sleep(Duration::from_millis(100)).await;
-                stop.ask();
+                stop.request();
                 world.timer.sleep(Duration::from_millis(50)).await;
                 let refused = caller.chat(false).await;
                 assert_eq!(refused.status, 503);
@@ -74,9 +74,9 @@
             monoio::spawn(async move { caller.send(chat(true)).await });
             world.until(|| sides[0].seen().len() == 1).await;
             let request = sides[0].seen()[0].head.request.clone();
-            started.stop.ask();
+            started.stop.request();
             if second {
-                started.stop.ask();
+                started.stop.request();
             }
             let end = started.entry.run().await;
             assert_eq!(end.cut(), [request]);
@@ -112,7 +112,7 @@
             vm_list: Some(std::rc::Rc::new(vms)),
         };
         let started = world.start_with(&[], &parts);
-        world.until(|| started.stop.is_asked()).await;
+        world.until(|| started.stop.is_requested()).await;
         assert_eq!(started.entry.run().await, DrainEnd::Finished);
     });
 }
--- a/crates/entry/tests/entry/world.rs
+++ b/crates/entry/tests/entry/world.rs
@@ -155,7 +155,7 @@
     /// Starts an entry on parts of the case's own.
     pub(crate) fn start_with(&self, args: &[&str], parts: &EntryContext) -> Started {
         let settings = self.settings(args);
-        let stop = Stop::by_hand();
+        let stop = Stop::without_signals();
         let log = quiet();
         let entry = Entry::start(&settings, parts, &self.timer, &log, &stop).unwrap();
         Started { entry, stop }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -173,7 +173,7 @@
 
     /// Runs until a stop is requested and the responses in progress have ended, or the grace is over.
     pub async fn run(self, stop: &Stop) {
-        stop.first().await;
+        stop.requested().await;
         let shared = &self.shared;
         let stop_start = shared.timer.now();
         shared.readiness.fail(RUNNING, "stop asked for");
--- a/crates/measure/src/path/parts.rs
+++ b/crates/measure/src/path/parts.rs
@@ -159,7 +159,7 @@
     ];
     let settings = EntrySettings::read("entry", &args, &BTreeMap::new()).expect("settings");
     let parts = EntryContext::over_http(&settings, &timer);
-    let stop = Stop::by_hand();
+    let stop = Stop::without_signals();
     let entry = Entry::start(&settings, &parts, &timer, &quiet(), &stop).expect("entry starts");
     while !entry.is_ready() {
         timer.sleep(PAUSE).await;
--- a/crates/ops/examples/daemon.rs
+++ b/crates/ops/examples/daemon.rs
@@ -47,7 +47,7 @@
 
 impl Handler for Ticker {
     fn handle(&self, _: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
-        if self.stop.is_asked() {
+        if self.stop.is_requested() {
             let refused = json_reply(503, &json!({ "code": "leaving", "ran": "no" }));
             return Box::pin(std::future::ready(refused));
         }
@@ -116,7 +116,7 @@
     };
     readiness.hold("listening");
 
-    stop.first().await;
+    stop.requested().await;
     log.emit(&events::STOP_ASKED, &[field("source", "signal")]);
     readiness.fail("listening", "stopping");
     let end = drain.finish(&stop, limit, &timer, &log).await;
--- a/crates/ops/src/stop/drain.rs
+++ b/crates/ops/src/stop/drain.rs
@@ -112,7 +112,7 @@
 
     async fn wait(&self, stop: &Stop, limit: impl Future<Output = ()>) -> DrainEnd {
         let idle = pin!(self.idle());
-        let second = pin!(stop.second());
+        let second = pin!(stop.requested_again());
         let limit = pin!(limit);
         match select(idle, select(second, limit)).await {
             Either::Left(_) => DrainEnd::Finished,
--- a/crates/ops/src/stop/signal.rs
+++ b/crates/ops/src/stop/signal.rs
@@ -41,15 +41,15 @@
     /// # Errors
     /// [`StopError`] if the system gives no pipe or refuses a handler.
     pub fn listen() -> Result<Self, StopError> {
-        let stop = Self::by_hand();
+        let stop = Self::without_signals();
         let pipe = signal_pipe().context(StopSnafu)?;
         monoio::spawn(watch(stop.clone(), pipe));
         Ok(stop)
     }
 
-    /// Stop that no signal reaches, only [`ask`](Self::ask).
+    /// Stop that no signal reaches, only [`request`](Self::request).
     #[must_use]
-    pub fn by_hand() -> Self {
+    pub fn without_signals() -> Self {
         Self {
             first: Gate::new(),
             second: Gate::new(),
@@ -57,7 +57,7 @@
     }
 
     /// Counts as a signal: the first asks for a stop, the second ends it.
-    pub fn ask(&self) {
+    pub fn request(&self) {
         if self.first.is_open() {
             self.second.open();
         } else {
@@ -66,23 +66,23 @@
     }
 
     /// Asks for a stop once: does nothing if one is under way.
-    pub fn ask_once(&self) {
+    pub fn request_once(&self) {
         self.first.open();
     }
 
     /// Whether a stop was asked for.
     #[must_use]
-    pub fn is_asked(&self) -> bool {
+    pub fn is_requested(&self) -> bool {
         self.first.is_open()
     }
 
     /// Waits until a stop is asked for.
-    pub async fn first(&self) {
+    pub async fn requested(&self) {
         self.first.wait().await;
     }
 
     /// Waits until a stop is asked for again.
-    pub async fn second(&self) {
+    pub async fn requested_again(&self) {
         self.second.wait().await;
     }
 }
@@ -124,7 +124,7 @@
             return;
         };
         for _ in 0..signals {
-            stop.ask();
+            stop.request();
         }
     }
 }
--- a/crates/ops/tests/stop.rs
+++ b/crates/ops/tests/stop.rs
@@ -220,15 +220,15 @@
     run(async {
         let timer = Timer::start();
         let log = Log::to_writer(&LogOptions::default(), std::io::sink());
-        let (stop, drain) = (Stop::by_hand(), Drain::new());
+        let (stop, drain) = (Stop::without_signals(), Drain::new());
         let _open = drain.enter(&"a".into());
-        stop.ask_once();
-        stop.ask_once();
-        stop.first().await;
+        stop.request_once();
+        stop.request_once();
+        stop.requested().await;
         let short = Duration::from_millis(20);
         let end = drain.finish(&stop, short, &timer, &log).await;
         assert_eq!(end, DrainEnd::Limited(vec!["a".into()]));
-        stop.ask();
+        stop.request();
         let end = drain.finish(&stop, LIMIT, &timer, &log).await;
         assert_eq!(end, DrainEnd::Interrupted(vec!["a".into()]));
     })
--- a/crates/side/src/lib.rs
+++ b/crates/side/src/lib.rs
@@ -15,7 +15,7 @@
 //! run(async {
 //!     let side = Side::start(settings, &Timer::start(), &log).unwrap();
 //!     let stop = Stop::listen().unwrap();
-//!     stop.first().await;
+//!     stop.requested().await;
 //!     side.finish(&stop).await;
 //! })
 //! .unwrap();
--- a/crates/side/src/main.rs
+++ b/crates/side/src/main.rs
@@ -40,7 +40,7 @@
         }
     };
     println!("listening {} admin {}", side.address(), side.admin());
-    stop.first().await;
+    stop.requested().await;
     let end = side.finish(&stop).await;
     let fields = [
         field("cut", end.cut().len()),
--- a/crates/side/tests/leave.rs
+++ b/crates/side/tests/leave.rs
@@ -69,7 +69,7 @@
             let mut reader = bench.send(&side, &(case.running)(&bench)).await;
             let waiting = until_running(&bench, &side);
             bench.timer.within(TIMEOUT, waiting).await.unwrap();
-            let stop = Stop::by_hand();
+            let stop = Stop::without_signals();
             let released = Cell::new(false);
             let leave = async {
                 let end = side.finish(&stop).await;
