--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -112,7 +112,7 @@
                 let mut scheduler = self.shared.scheduler.borrow_mut();
                 scheduler.apply_report(&report, now);
                 if report.base_loaded {
-                    self.shared.readiness.hold(ENGINE_CONDITION);
+                    self.shared.readiness.set_met(ENGINE_CONDITION);
                 }
             }
             Err(e) => {
@@ -122,7 +122,7 @@
                     self.shared.log.emit(&events::OWN_ENGINE_LOST, &fields);
                     self.shared
                         .readiness
-                        .fail(ENGINE_CONDITION, "engine does not answer");
+                        .set_unmet(ENGINE_CONDITION, "engine does not answer");
                 }
                 self.shared.scheduler.borrow_mut().mark_unreachable();
             }
--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -223,7 +223,7 @@
 fn mark_ready(shared: &Shared) {
     if shared.config.revision() > 0 {
         shared.config.authoritative.set(true);
-        shared.readiness.hold(CONFIG_CONDITION);
+        shared.readiness.set_met(CONFIG_CONDITION);
     }
 }
 
--- a/crates/entry/src/start/mod.rs
+++ b/crates/entry/src/start/mod.rs
@@ -142,7 +142,7 @@
             ..ServerOptions::default()
         };
         let peers = start_server(peers, handler, server_options, timer);
-        shared.readiness.hold(LISTENERS_CONDITION);
+        shared.readiness.set_met(LISTENERS_CONDITION);
         spawn_tasks(&shared, context);
         let servers = running::Servers {
             callers,
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -47,7 +47,7 @@
         servers: Servers,
         drain_limit: Duration,
     ) -> Self {
-        shared.readiness.hold(RUNNING_CONDITION);
+        shared.readiness.set_met(RUNNING_CONDITION);
         Self {
             shared,
             addresses,
@@ -85,7 +85,9 @@
         };
         let fields = [field("source", source)];
         self.shared.log.emit(&events::STOP_ASKED, &fields);
-        self.shared.readiness.fail(RUNNING_CONDITION, "stopping");
+        self.shared
+            .readiness
+            .set_unmet(RUNNING_CONDITION, "stopping");
         let drain = &self.shared.drain;
         let end = drain
             .finish(
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -257,7 +257,7 @@
 impl CatalogListener for Shared {
     fn on_applied(&self, applied: &Applied) {
         match applied {
-            Applied::Layout { .. } => self.readiness.hold(LAYOUT),
+            Applied::Layout { .. } => self.readiness.set_met(LAYOUT),
             Applied::Upstream {
                 instance,
                 standing: Standing::Leaving,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -163,7 +163,7 @@
             log,
         )?;
         spawn_loops(&shared, settings, parts);
-        shared.readiness.hold(RUNNING);
+        shared.readiness.set_met(RUNNING);
         Ok(Self {
             shared,
             callers,
@@ -176,7 +176,7 @@
         stop.requested().await;
         let shared = &self.shared;
         let stop_start = shared.timer.now();
-        shared.readiness.fail(RUNNING, "stop asked for");
+        shared.readiness.set_unmet(RUNNING, "stop asked for");
         shared.stop_phase.set(StopPhase::Draining);
         let open = shared.drain.count();
         shared
--- a/crates/ops/examples/daemon.rs
+++ b/crates/ops/examples/daemon.rs
@@ -114,11 +114,11 @@
     let Some(callers) = start("callers", listen, ticker, &timer, &log) else {
         return ExitCode::FAILURE;
     };
-    readiness.hold("listening");
+    readiness.set_met("listening");
 
     stop.requested().await;
     log.emit(&events::STOP_ASKED, &[field("source", "signal")]);
-    readiness.fail("listening", "stopping");
+    readiness.set_unmet("listening", "stopping");
     let end = drain.finish(&stop, limit, &timer, &log).await;
     callers.stop();
     // The last bytes of what has ended are still on their way to the sockets.
--- a/crates/ops/src/ready.rs
+++ b/crates/ops/src/ready.rs
@@ -41,12 +41,12 @@
     }
 
     /// Notes that `condition` holds.
-    pub fn hold(&self, condition: &'static str) {
+    pub fn set_met(&self, condition: &'static str) {
         self.set(condition, None);
     }
 
     /// Notes that `condition` does not hold.
-    pub fn fail(&self, condition: &'static str, reason: &str) {
+    pub fn set_unmet(&self, condition: &'static str, reason: &str) {
         self.set(condition, Some(reason.to_owned()));
     }
 
--- a/crates/ops/tests/admin.rs
+++ b/crates/ops/tests/admin.rs
@@ -86,10 +86,10 @@
         let timer = Timer::start();
         let log = Log::to_writer(&LogOptions::default(), std::io::sink());
         let readiness = Readiness::new(&["config", "listening"], &log);
-        readiness.hold("config");
-        readiness.hold("listening");
+        readiness.set_met("config");
+        readiness.set_met("listening");
         assert!(readiness.is_ready());
-        readiness.fail("config", "log is down");
+        readiness.set_unmet("config", "log is down");
         let admin = Rc::new(Admin::new(&metrics(), &readiness, Rc::new(State)));
         let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap().to_string();
--- a/crates/side/src/config.rs
+++ b/crates/side/src/config.rs
@@ -218,8 +218,8 @@
             .revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
         match self.config.pool(self.pool()) {
-            Some(_) => self.readiness.hold(CONFIG_CONDITION),
-            None => self.readiness.fail(
+            Some(_) => self.readiness.set_met(CONFIG_CONDITION),
+            None => self.readiness.set_unmet(
                 CONFIG_CONDITION,
                 "the configuration does not declare this side's pool",
             ),
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -183,7 +183,7 @@
             ];
             self.state.log.emit(&events::ORDER_FENCED, &fields);
             // A newer side process gives orders to this engine, so this one must give no more.
-            self.state.readiness.fail(
+            self.state.readiness.set_unmet(
                 UPSTREAM_CONDITION,
                 "the upstream takes orders from a newer side only",
             );
--- a/crates/side/src/start.rs
+++ b/crates/side/src/start.rs
@@ -198,7 +198,7 @@
         &[CONFIG_CONDITION, UPSTREAM_CONDITION, STAYING_CONDITION],
         log,
     );
-    readiness.hold(STAYING_CONDITION);
+    readiness.set_met(STAYING_CONDITION);
     State {
         address,
         incarnation: unix_time().0,
@@ -272,7 +272,7 @@
         }
         PoolKind::Service { parts, .. } => match new_service_upstream(&state, parts) {
             Ok(upstream) => upstream,
-            Err(e) => return state.readiness.fail(CONFIG_CONDITION, &e.to_string()),
+            Err(e) => return state.readiness.set_unmet(CONFIG_CONDITION, &e.to_string()),
         },
     };
     let backend = Backend {
--- a/crates/side/src/state.rs
+++ b/crates/side/src/state.rs
@@ -98,7 +98,7 @@
         }
         let fields = [field("vm", self.vm()), field("source", source)];
         self.log.emit(&events::VM_LEAVING, &fields);
-        self.readiness.fail(STAYING_CONDITION, source);
+        self.readiness.set_unmet(STAYING_CONDITION, source);
         if let Some(backend) = self.backend() {
             backend.dispatcher.close(Reason::Leaving);
         }
--- a/crates/side/src/tune.rs
+++ b/crates/side/src/tune.rs
@@ -78,7 +78,8 @@
     fn reject_limits(&self, error: &LimitError) {
         let fields = [field("step", "limits of keys"), field("error", error)];
         self.log.emit(&events::INTERNAL, &fields);
-        self.readiness.fail(CONFIG_CONDITION, &error.to_string());
+        self.readiness
+            .set_unmet(CONFIG_CONDITION, &error.to_string());
     }
 }
 
--- a/crates/side/src/watch.rs
+++ b/crates/side/src/watch.rs
@@ -97,13 +97,13 @@
                 field("running", backend.dispatcher.figures().running),
             ];
             self.log.emit(&events::UPSTREAM_UP, &fields);
-            self.readiness.hold(UPSTREAM_CONDITION);
+            self.readiness.set_met(UPSTREAM_CONDITION);
             if !self.leaving.get() {
                 backend.dispatcher.reopen();
             }
         } else {
             self.readiness
-                .fail(UPSTREAM_CONDITION, "the upstream does not answer");
+                .set_unmet(UPSTREAM_CONDITION, "the upstream does not answer");
             backend.dispatcher.close(Reason::UpstreamDown);
         }
         self.request_reports();
