--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -96,7 +96,7 @@
     incoming: Incoming,
 ) -> Result<Reply, ApiError> {
     admit::check_accepting(shared)?;
-    let guard = shared.drain.enter(&info.request_id);
+    let guard = shared.drain.track(&info.request_id);
     // Boxed because each waiting request would otherwise reserve space for this future.
     Box::pin(ensure_fresh(shared)).await;
     let caller = admit::identify(shared, &incoming)?;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -22,7 +22,7 @@
 //!     let entry = Entry::start(&settings, &context, &timer, &log, &stop).unwrap();
 //!     entry.run().await
 //! });
-//! assert!(end.unwrap().cut().is_empty());
+//! assert!(end.unwrap().aborted().is_empty());
 //! ```
 
 mod api_error;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -5,7 +5,7 @@
 
 use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
 use pumicecleat_net::{Timer, run};
-use pumicecleat_ops::{DrainEnd, Log, Settings, Stop, events, field};
+use pumicecleat_ops::{DrainOutcome, Log, Settings, Stop, events, field};
 
 const PROGRAM: &str = "pumicecleat-entry";
 
@@ -16,12 +16,12 @@
     };
     let log = Log::new_ext(&settings.common.log_options(PROGRAM));
     match run(serve(&settings, &log)) {
-        Ok(Some(DrainEnd::Finished)) => ExitCode::SUCCESS,
+        Ok(Some(DrainOutcome::Finished)) => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
 
-async fn serve(settings: &EntrySettings, log: &Log) -> Option<DrainEnd> {
+async fn serve(settings: &EntrySettings, log: &Log) -> Option<DrainOutcome> {
     let common = &settings.common;
     let fields = [
         field("program", PROGRAM),
--- a/crates/entry/src/start/dump.rs
+++ b/crates/entry/src/start/dump.rs
@@ -82,7 +82,7 @@
             retries: shared.refusal_budget.borrow().available(),
             losses: shared.loss_budget.borrow().available(),
             order: self.order_dump(),
-            open: shared.drain.open(),
+            open: shared.drain.in_flight(),
         }
     }
 
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicecleat_net::Server;
-use pumicecleat_ops::{DrainEnd, events, field};
+use pumicecleat_ops::{DrainOutcome, events, field};
 
 use crate::shared::Shared;
 
@@ -76,7 +76,7 @@
 
     /// Serves until a stop is requested and all requests in progress have ended. A second stop
     /// request or the drain limit ends it earlier.
-    pub async fn run(self) -> DrainEnd {
+    pub async fn run(self) -> DrainOutcome {
         self.shared.stop.requested().await;
         let source = if self.shared.leaving.get() {
             "VM list"
@@ -107,9 +107,9 @@
     }
 
     /// Logs the end of the process.
-    pub fn log_end(log: &pumicecleat_ops::Log, end: &DrainEnd) {
+    pub fn log_end(log: &pumicecleat_ops::Log, end: &DrainOutcome) {
         let fields = [
-            field("cut", end.cut().len()),
+            field("cut", end.aborted().len()),
             field("dropped_lines", log.dropped()),
         ];
         log.emit_last(&events::STOPPED, &fields);
--- a/crates/entry/tests/entry/stop.rs
+++ b/crates/entry/tests/entry/stop.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join;
 use pumicecleat_entry::EntryContext;
 use pumicecleat_infra::{HttpVms, Peers};
-use pumicecleat_ops::DrainEnd;
+use pumicecleat_ops::DrainOutcome;
 use pumicecleat_standin::{VmList, VmListOptions};
 use pumicecleat_types::{VmEntry, VmRole, VmState};
 
@@ -54,7 +54,7 @@
             join(open, stopping).await.0
         };
         let (end, told) = join(entry.run(), ends).await;
-        assert_eq!(end, DrainEnd::Finished);
+        assert_eq!(end, DrainOutcome::Finished);
         assert!(told.whole);
         assert_eq!(told.text(), "Jó ég");
         assert_eq!(sides[0].seen().len(), 1);
@@ -79,8 +79,8 @@
                 started.stop.request();
             }
             let end = started.entry.run().await;
-            assert_eq!(end.cut(), [request]);
-            let interrupted = matches!(end, DrainEnd::Interrupted(_));
+            assert_eq!(end.aborted(), [request]);
+            let interrupted = matches!(end, DrainOutcome::Interrupted(_));
             assert_eq!(interrupted, second);
         }
     });
@@ -113,6 +113,6 @@
         };
         let started = world.start_with(&[], &parts);
         world.until(|| started.stop.is_requested()).await;
-        assert_eq!(started.entry.run().await, DrainEnd::Finished);
+        assert_eq!(started.entry.run().await, DrainOutcome::Finished);
     });
 }
--- a/crates/gateway/src/request/trace.rs
+++ b/crates/gateway/src/request/trace.rs
@@ -63,7 +63,7 @@
             turn_wait: Cell::default(),
             first_byte: Cell::new(None),
             outcome_counted: Cell::new(false),
-            _drain_guard: shared.drain.enter(&id),
+            _drain_guard: shared.drain.track(&id),
         }
     }
 
--- a/crates/ops/examples/daemon.rs
+++ b/crates/ops/examples/daemon.rs
@@ -14,8 +14,8 @@
     Body, Handler, Incoming, Reply, Server, ServerOptions, Timer, bind, json_reply, run,
 };
 use pumicecleat_ops::{
-    Admin, Counter, Drain, DrainEnd, Dump, Log, Metrics, Readiness, Settings, Span, Stop, events,
-    field, settings,
+    Admin, Counter, Drain, DrainOutcome, Dump, Log, Metrics, Readiness, Settings, Span, Stop,
+    events, field, settings,
 };
 use serde_json::{Value, json};
 
@@ -54,7 +54,7 @@
         self.requests.inc();
         self.number.set(self.number.get() + 1);
         let request = format!("request-{}", self.number.get()).into();
-        let guard = self.drain.enter(&request);
+        let guard = self.drain.track(&request);
         let timer = self.timer.clone();
         let TickSettings { ticks, pace, .. } = self.settings;
         let pieces = stream::unfold((0, guard), move |(n, guard)| {
@@ -72,7 +72,7 @@
 
 impl Dump for Ticker {
     fn dump(&self) -> Value {
-        json!({ "open": self.drain.open(), "requests": self.requests.get() })
+        json!({ "open": self.drain.in_flight(), "requests": self.requests.get() })
     }
 }
 
@@ -123,9 +123,9 @@
     callers.stop();
     // The last bytes of what has ended are still on their way to the sockets.
     let _ = timer.within(CLOSE_SPAN, callers.closed()).await;
-    log.emit_last(&events::STOPPED, &[field("cut", end.cut().len())]);
+    log.emit_last(&events::STOPPED, &[field("cut", end.aborted().len())]);
     match end {
-        DrainEnd::Finished => ExitCode::SUCCESS,
+        DrainOutcome::Finished => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -43,7 +43,7 @@
     ByteSize, Common, Exit, Fault, FaultKind, Origin, Resolver, Row, SettingValue, Settings, Span,
     process_environment,
 };
-pub use stop::{Drain, DrainEnd, DrainGuard, Reload, Stop, StopError};
+pub use stop::{Drain, DrainGuard, DrainOutcome, Reload, Stop, StopError};
 
 #[doc(hidden)]
 pub use argh;
--- a/crates/ops/src/stop/drain.rs
+++ b/crates/ops/src/stop/drain.rs
@@ -38,13 +38,13 @@
 
 /// How a drain ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DrainEnd {
+pub enum DrainOutcome {
     /// Every request has ended.
     Finished,
     /// A second signal ended it with these requests open.
     Interrupted(Vec<RequestId>),
     /// The limit ended it with these requests open.
-    Limited(Vec<RequestId>),
+    TimedOut(Vec<RequestId>),
 }
 
 impl Drain {
@@ -56,7 +56,7 @@
 
     /// Counts `request` as under way until the guard is dropped.
     #[must_use]
-    pub fn enter(&self, request: &RequestId) -> DrainGuard {
+    pub fn track(&self, request: &RequestId) -> DrainGuard {
         let mut state = self.state.borrow_mut();
         let number = state.next;
         state.next += 1;
@@ -71,7 +71,7 @@
 
     /// Requests under way.
     #[must_use]
-    pub fn open(&self) -> Vec<RequestId> {
+    pub fn in_flight(&self) -> Vec<RequestId> {
         self.state.borrow().open.values().cloned().collect()
     }
 
@@ -82,13 +82,19 @@
     }
 
     /// Waits until no request is under way.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         self.tally.zero().await;
     }
 
     /// Waits until no request is under way, a second signal comes or `limit` passes, and logs how
     /// it went, with each request cut.
-    pub async fn finish(&self, stop: &Stop, limit: Duration, timer: &Timer, log: &Log) -> DrainEnd {
+    pub async fn finish(
+        &self,
+        stop: &Stop,
+        limit: Duration,
+        timer: &Timer,
+        log: &Log,
+    ) -> DrainOutcome {
         let from = timer.now();
         let fields = [
             field("open", self.count()),
@@ -97,38 +103,38 @@
         log.emit(&events::DRAIN_STARTED, &fields);
         let end = self.wait(stop, timer.sleep(limit)).await;
         match &end {
-            DrainEnd::Finished => {
+            DrainOutcome::Finished => {
                 let took = timer.now().since(from).0;
                 log.emit(&events::DRAIN_FINISHED, &[field("took_ms", took)]);
             }
-            DrainEnd::Interrupted(cut) => {
+            DrainOutcome::Interrupted(cut) => {
                 log.emit(&events::SECOND_SIGNAL, &[field("open", cut.len())]);
                 log_cut(log, cut, "second signal");
             }
-            DrainEnd::Limited(cut) => log_cut(log, cut, "drain limit"),
+            DrainOutcome::TimedOut(cut) => log_cut(log, cut, "drain limit"),
         }
         end
     }
 
-    async fn wait(&self, stop: &Stop, limit: impl Future<Output = ()>) -> DrainEnd {
-        let idle = pin!(self.idle());
+    async fn wait(&self, stop: &Stop, limit: impl Future<Output = ()>) -> DrainOutcome {
+        let idle = pin!(self.wait_idle());
         let second = pin!(stop.requested_again());
         let limit = pin!(limit);
         match select(idle, select(second, limit)).await {
-            Either::Left(_) => DrainEnd::Finished,
-            Either::Right((Either::Left(_), _)) => DrainEnd::Interrupted(self.open()),
-            Either::Right((Either::Right(_), _)) => DrainEnd::Limited(self.open()),
+            Either::Left(_) => DrainOutcome::Finished,
+            Either::Right((Either::Left(_), _)) => DrainOutcome::Interrupted(self.in_flight()),
+            Either::Right((Either::Right(_), _)) => DrainOutcome::TimedOut(self.in_flight()),
         }
     }
 }
 
-impl DrainEnd {
+impl DrainOutcome {
     /// Requests that the end cut.
     #[must_use]
-    pub fn cut(&self) -> &[RequestId] {
+    pub fn aborted(&self) -> &[RequestId] {
         match self {
             Self::Finished => &[],
-            Self::Interrupted(cut) | Self::Limited(cut) => cut,
+            Self::Interrupted(cut) | Self::TimedOut(cut) => cut,
         }
     }
 }
--- a/crates/ops/src/stop/mod.rs
+++ b/crates/ops/src/stop/mod.rs
@@ -7,6 +7,6 @@
 mod reload;
 mod signal;
 
-pub use drain::{Drain, DrainEnd, DrainGuard};
+pub use drain::{Drain, DrainGuard, DrainOutcome};
 pub use reload::Reload;
 pub use signal::{Stop, StopError};
--- a/crates/ops/tests/stop.rs
+++ b/crates/ops/tests/stop.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use pumicecleat_net::{Timer, run};
-use pumicecleat_ops::{Drain, DrainEnd, Log, LogOptions, Stop};
+use pumicecleat_ops::{Drain, DrainOutcome, Log, LogOptions, Stop};
 use serde_json::Value;
 
 const LIMIT: Duration = Duration::from_secs(30);
@@ -197,13 +197,13 @@
     run(async {
         let timer = Timer::start();
         let drain = Drain::new();
-        drain.idle().await;
-        let (one, two) = (drain.enter(&"a".into()), drain.enter(&"b".into()));
-        assert_eq!(drain.open(), ["a".into(), "b".into()]);
+        drain.wait_idle().await;
+        let (one, two) = (drain.track(&"a".into()), drain.track(&"b".into()));
+        assert_eq!(drain.in_flight(), ["a".into(), "b".into()]);
         let idle = Rc::new(Cell::new(false));
         let (waiting, seen) = (drain.clone(), Rc::clone(&idle));
         monoio::spawn(async move {
-            waiting.idle().await;
+            waiting.wait_idle().await;
             seen.set(true);
         });
         for (guard, wanted) in [(one, false), (two, true)] {
@@ -221,16 +221,16 @@
         let timer = Timer::start();
         let log = Log::to_writer(&LogOptions::default(), std::io::sink());
         let (stop, drain) = (Stop::without_signals(), Drain::new());
-        let _open = drain.enter(&"a".into());
+        let _open = drain.track(&"a".into());
         stop.request_once();
         stop.request_once();
         stop.requested().await;
         let short = Duration::from_millis(20);
         let end = drain.finish(&stop, short, &timer, &log).await;
-        assert_eq!(end, DrainEnd::Limited(vec!["a".into()]));
+        assert_eq!(end, DrainOutcome::TimedOut(vec!["a".into()]));
         stop.request();
         let end = drain.finish(&stop, LIMIT, &timer, &log).await;
-        assert_eq!(end, DrainEnd::Interrupted(vec!["a".into()]));
+        assert_eq!(end, DrainOutcome::Interrupted(vec!["a".into()]));
     })
     .unwrap();
 }
--- a/crates/side/src/dump.rs
+++ b/crates/side/src/dump.rs
@@ -63,7 +63,7 @@
             healthy: self.healthy.get(),
             leaving: self.leaving.get(),
             entries: self.entries.all().into_iter().collect(),
-            open: self.drain.open(),
+            open: self.drain.in_flight(),
             queue: backend.map(|b| b.dispatcher.dump()),
             keys,
         }
--- a/crates/side/src/main.rs
+++ b/crates/side/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use pumicecleat_net::{Timer, run};
-use pumicecleat_ops::{DrainEnd, Log, Settings, Stop, events, field};
+use pumicecleat_ops::{DrainOutcome, Log, Settings, Stop, events, field};
 use pumicecleat_side::{Side, SideSettings};
 
 const PROGRAM: &str = "pumicecleat-side";
@@ -43,11 +43,11 @@
     stop.requested().await;
     let end = side.finish(&stop).await;
     let fields = [
-        field("cut", end.cut().len()),
+        field("cut", end.aborted().len()),
         field("dropped_lines", log.dropped()),
     ];
     log.emit_last(&events::STOPPED, &fields);
-    if end == DrainEnd::Finished {
+    if end == DrainOutcome::Finished {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/side/src/run/model/mod.rs
+++ b/crates/side/src/run/model/mod.rs
@@ -34,7 +34,7 @@
     // Boxed, as otherwise each frame would move it twice.
     let run = Box::new(ModelRun {
         deadline: state.timer.now() + Millis(request.head.left_ms),
-        guard: state.drain.enter(&request.head.request),
+        guard: state.drain.track(&request.head.request),
         engine_name: lora.engine_name(),
         state,
         work,
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -89,7 +89,7 @@
     /// Runs the call, and returns the frames of the whole answer. `entry` is closed once the entry
     /// has disconnected.
     async fn run_to_end(&self, entry: Option<&Sender<Vec<Frame>>>) -> Vec<Frame> {
-        let _guard = self.state.drain.enter(&self.request.head.request);
+        let _guard = self.state.drain.track(&self.request.head.request);
         // The part is opened before the call is queued, as its place in the queue could be used by
         // others meanwhile.
         let call_key = match self.acquire_key().await {
--- a/crates/side/src/start.rs
+++ b/crates/side/src/start.rs
@@ -12,7 +12,7 @@
 use pumicecleat_net::{
     Client, ClientOptions, Protocol, Server, ServerOptions, Timer, Turns, bind, bind_exclusive,
 };
-use pumicecleat_ops::{Admin, Drain, DrainEnd, Log, Metrics, Readiness, Stop, events, field};
+use pumicecleat_ops::{Admin, Drain, DrainOutcome, Log, Metrics, Readiness, Stop, events, field};
 use pumicecleat_types::ServiceId;
 use pumicecleat_upstream::{HttpService, VllmEngine};
 use snafu::{ResultExt, Snafu};
@@ -137,7 +137,7 @@
 
     /// Stops taking new work and waits until open requests have ended, the drain limit has passed
     /// or a second signal has arrived.
-    pub async fn finish(&self, stop: &Stop) -> DrainEnd {
+    pub async fn finish(&self, stop: &Stop) -> DrainOutcome {
         self.state.leave("signal");
         // Entries learn of it by a report before the listener closes.
         self.state.timer.sleep(SHORT_DELAY).await;
--- a/crates/side/tests/leave.rs
+++ b/crates/side/tests/leave.rs
@@ -7,7 +7,7 @@
 
 use bench::{Bench, TIMEOUT, body_of, is_whole, with_bench};
 use futures_util::future::join;
-use pumicecleat_ops::{DrainEnd, Stop};
+use pumicecleat_ops::{DrainOutcome, Stop};
 use pumicecleat_side::Side;
 use pumicecleat_types::{Frame, Reason, RunRequest};
 
@@ -94,7 +94,7 @@
             };
             let (end, (late, frames)) = join(leave, requests).await;
             let name = case.name;
-            assert_eq!(end, DrainEnd::Finished, "{name}");
+            assert_eq!(end, DrainOutcome::Finished, "{name}");
             let [Frame::Refused(refusal)] = &late[..] else {
                 panic!("{name}: {late:?}");
             };
