--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pumicecleat_ops::{Span, settings};
+use pumicecleat_ops::{HumanDuration, settings};
 use pumicecleat_types::ServiceId;
 
 settings! {
@@ -17,9 +17,9 @@
         /// address of the deployment's log
         store: SocketAddr = "", "ip:port";
         /// time between two reports of the engine
-        report_pause: Span = "100ms", "span";
+        report_pause: HumanDuration = "100ms", "span";
         /// longest wait of a read of the log for a record
-        store_wait: Span = "25s", "span";
+        store_wait: HumanDuration = "25s", "span";
         /// lines logged in a second at most; warnings and errors may take as many again
         log_lines: u32 = "400", "lines/s";
     }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pumicecleat_ops::{ByteSize, Span, settings};
+use pumicecleat_ops::{ByteSize, HumanDuration, settings};
 
 settings! {
     /// Meets callers, chooses upstreams and answers for the whole answer.
@@ -20,15 +20,15 @@
         /// peer addresses of other entries, for a start while the log is down
         peers: Vec<SocketAddr> = "", "ip:port,...";
         /// time that the log keeps records
-        retention: Span = "48h", "span";
+        retention: HumanDuration = "48h", "span";
         /// weight store whose loads this entry orders
         store: String = "weights", "name";
         /// connections of callers at once
         connections: usize = "10000", "connections";
         /// longest time for a caller's body to arrive
-        body_span: Span = "10s", "span";
+        body_span: HumanDuration = "10s", "span";
         /// longest silence of an upstream within an answer
-        stall: Span = "10s", "span";
+        stall: HumanDuration = "10s", "span";
         /// longest answer that is not streamed
         answer: ByteSize = "16MiB", "bytes";
         /// bytes a second that the reports of all sides may take together
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pumicecleat_ops::{Span, settings};
+use pumicecleat_ops::{HumanDuration, settings};
 
 settings! {
     /// Receives the requests of callers and forwards them to the upstreams of a deployment.
@@ -22,18 +22,18 @@
         /// additional repeated sends to a service within the window, over all gateways
         repeat_slack: f64 = "54", "sends";
         /// window over which repeated sends are counted
-        repeat_window: Span = "10s", "span";
+        repeat_window: HumanDuration = "10s", "span";
         /// minimum number of shares into which the slack is divided; two for each gateway known to agents, if
         /// that is more
         gateways: u32 = "8", "parts";
         /// longest wait of a read of the log for a record
-        store_wait: Span = "20s", "span";
+        store_wait: HumanDuration = "20s", "span";
         /// time within which a leaving upstream must get its last request
-        leave_span: Span = "2s", "span";
+        leave_span: HumanDuration = "2s", "span";
         /// time within which a configuration must be in force
-        apply_span: Span = "2s", "span";
+        apply_span: HumanDuration = "2s", "span";
         /// maximum duration of a stop
-        grace: Span = "8s", "span";
+        grace: HumanDuration = "8s", "span";
         /// maximum number of log lines per second; warnings and errors have a separate budget of the same
         /// size
         log_lines: u32 = "400", "lines/s";
--- a/crates/ops/examples/daemon.rs
+++ b/crates/ops/examples/daemon.rs
@@ -14,8 +14,8 @@
     Body, Handler, Incoming, Reply, Server, ServerOptions, Timer, bind, json_reply, run,
 };
 use pumicecleat_ops::{
-    Admin, Counter, Drain, DrainOutcome, Dump, Log, Metrics, Readiness, Settings, Span, Stop,
-    events, field, settings,
+    Admin, Counter, Drain, DrainOutcome, Dump, HumanDuration, Log, Metrics, Readiness, Settings,
+    Stop, events, field, settings,
 };
 use serde_json::{Value, json};
 
@@ -27,7 +27,7 @@
         /// pieces of an answer
         ticks: u32 = "10", "pieces";
         /// time between pieces
-        pace: Span = "20ms", "span";
+        pace: HumanDuration = "20ms", "span";
     }
 }
 
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -40,8 +40,8 @@
 pub use metrics::{Buckets, Counter, Family, Gauge, Histogram, Histograms, LabelSet, Metrics};
 pub use ready::{Readiness, Unmet};
 pub use settings::{
-    ByteSize, Common, Exit, Fault, FaultKind, Origin, Resolver, Row, SettingValue, Settings, Span,
-    process_environment,
+    ByteSize, Common, Exit, Fault, FaultKind, HumanDuration, Origin, Resolver, Row, SettingValue,
+    Settings, process_environment,
 };
 pub use stop::{Drain, DrainGuard, DrainOutcome, Reload, Stop, StopError};
 
--- a/crates/ops/src/settings/common.rs
+++ b/crates/ops/src/settings/common.rs
@@ -5,7 +5,7 @@
 
 use pumicecleat_types::{DataCentre, RegionId, VmId};
 
-use super::{Resolver, Row, Span};
+use super::{HumanDuration, Resolver, Row};
 use crate::{Level, LogFormat, LogOptions};
 
 /// Settings that every daemon has.
@@ -66,7 +66,7 @@
         let log_level = resolver.value("log_level");
         let log_format = resolver.value("log_format");
         let admin = resolver.value("admin");
-        let drain_limit = resolver.value::<Span>("drain_limit");
+        let drain_limit = resolver.value::<HumanDuration>("drain_limit");
         Some(Self {
             vm: vm?,
             centre: centre?,
--- a/crates/ops/src/settings/mod.rs
+++ b/crates/ops/src/settings/mod.rs
@@ -16,4 +16,4 @@
 pub use exit::{Exit, Settings};
 pub use fault::{Fault, FaultKind, Origin};
 pub use resolver::{Resolver, Row, process_environment};
-pub use value::{ByteSize, SettingValue, Span};
+pub use value::{ByteSize, HumanDuration, SettingValue};
--- a/crates/ops/src/settings/value.rs
+++ b/crates/ops/src/settings/value.rs
@@ -18,7 +18,7 @@
 
 /// Span of time, such as `250ms`, `3s`, `1.5s`, `5m` or `1h`, in whole milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Duration);
+pub struct HumanDuration(pub Duration);
 
 /// Size in bytes, such as `512`, `64KiB`, `8MiB` or `1GiB`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
     ("GiB", 1 << 30),
 ];
 
-impl SettingValue for Span {
+impl SettingValue for HumanDuration {
     fn wanted() -> String {
         "a span like 250ms, 3s, 1.5s, 5m or 1h".into()
     }
--- a/crates/ops/tests/settings.rs
+++ b/crates/ops/tests/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pumicecleat_ops::{ByteSize, Exit, Level, SettingValue, Settings, Span, settings};
+use pumicecleat_ops::{ByteSize, Exit, HumanDuration, Level, SettingValue, Settings, settings};
 
 settings! {
     /// Program of this test.
@@ -200,8 +200,8 @@
         ("18446744073709551615h", None),
     ];
     for (text, ms) in spans {
-        let wanted = ms.map(|ms| Span(Duration::from_millis(ms)));
-        assert_eq!(Span::parse(text), wanted, "{text}");
+        let wanted = ms.map(|ms| HumanDuration(Duration::from_millis(ms)));
+        assert_eq!(HumanDuration::parse(text), wanted, "{text}");
     }
     let numbers = [
         ("54", Some(54.0)),
--- a/crates/side/src/settings.rs
+++ b/crates/side/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pumicecleat_ops::{Span, settings};
+use pumicecleat_ops::{HumanDuration, settings};
 use pumicecleat_types::PoolId;
 
 settings! {
@@ -25,16 +25,16 @@
         /// addresses of entries known from the start
         entries: Vec<SocketAddr> = "", "ip:port,...";
         /// time the log keeps records; must be longer than the window of keys
-        retention: Span = "48h", "span";
+        retention: HumanDuration = "48h", "span";
         /// appends a second that the sides of one service make together at most
         log_rate: u32 = "320", "appends";
         /// time without calls after which a part of a service's keys is read no more
-        key_idle: Span = "60s", "span";
+        key_idle: HumanDuration = "60s", "span";
         /// longest time between two pieces of an engine's answer
-        stall: Span = "5s", "span";
+        stall: HumanDuration = "5s", "span";
         /// longest time of one load
-        load_limit: Span = "60s", "span";
+        load_limit: HumanDuration = "60s", "span";
         /// longest time by which the engine's load figures lag; a new side evicts nothing before
-        metrics_lag: Span = "2s", "span";
+        metrics_lag: HumanDuration = "2s", "span";
     }
 }
