--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -129,7 +129,7 @@
             .timer
             .within(STOP_TIMEOUT, self.peer_server.closed())
             .await;
-        self.log.emit_last(&events::STOPPED, &[]);
+        self.log.emit_and_flush(&events::STOPPED, &[]);
     }
 }
 
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -36,7 +36,7 @@
         Ok(stop) => stop,
         Err(e) => {
             let fields = [field("step", "listen for signals"), field("error", &e)];
-            log.emit_last(&events::INTERNAL, &fields);
+            log.emit_and_flush(&events::INTERNAL, &fields);
             return None;
         }
     };
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -112,6 +112,6 @@
             field("cut", end.aborted().len()),
             field("dropped_lines", log.dropped()),
         ];
-        log.emit_last(&events::STOPPED, &fields);
+        log.emit_and_flush(&events::STOPPED, &fields);
     }
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -194,7 +194,9 @@
         shared
             .log
             .emit(&events::DRAIN_FINISHED, &[field("took_ms", took)]);
-        shared.log.emit_last(&events::STOPPED, &[field("cut", cut)]);
+        shared
+            .log
+            .emit_and_flush(&events::STOPPED, &[field("cut", cut)]);
     }
 }
 
--- a/crates/ops/examples/daemon.rs
+++ b/crates/ops/examples/daemon.rs
@@ -123,7 +123,7 @@
     callers.stop();
     // The last bytes of what has ended are still on their way to the sockets.
     let _ = timer.within(CLOSE_SPAN, callers.closed()).await;
-    log.emit_last(&events::STOPPED, &[field("cut", end.aborted().len())]);
+    log.emit_and_flush(&events::STOPPED, &[field("cut", end.aborted().len())]);
     match end {
         DrainOutcome::Finished => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
--- a/crates/ops/src/listen.rs
+++ b/crates/ops/src/listen.rs
@@ -45,7 +45,7 @@
                 field("address", &address),
                 field("error", e),
             ];
-            log.emit_last(&events::BIND_FAILED, &fields);
+            log.emit_and_flush(&events::BIND_FAILED, &fields);
         }
     }
     let listener = bound.context(ListenSnafu { purpose, address })?;
--- a/crates/ops/src/log/field.rs
+++ b/crates/ops/src/log/field.rs
@@ -13,17 +13,17 @@
 #[derive(Clone, Copy)]
 pub enum FieldValue<'a> {
     /// Number from 0.
-    Count(u64),
+    Unsigned(u64),
     /// Number.
     Signed(i64),
     /// Number with a fraction.
-    Real(f64),
+    Float(f64),
     /// Truth value.
-    Flag(bool),
+    Bool(bool),
     /// Text.
     Text(&'a str),
     /// Whatever shows itself.
-    Shown(&'a dyn Display),
+    Display(&'a dyn Display),
 }
 
 /// Field of the given name and value.
@@ -45,19 +45,19 @@
 }
 
 from_number! {
-    u8 => Count,
-    u16 => Count,
-    u32 => Count,
-    u64 => Count,
+    u8 => Unsigned,
+    u16 => Unsigned,
+    u32 => Unsigned,
+    u64 => Unsigned,
     i32 => Signed,
     i64 => Signed,
-    f64 => Real,
-    bool => Flag,
+    f64 => Float,
+    bool => Bool,
 }
 
 impl From<usize> for FieldValue<'_> {
     fn from(n: usize) -> Self {
-        Self::Count(n as u64)
+        Self::Unsigned(n as u64)
     }
 }
 
@@ -69,6 +69,6 @@
 
 impl<'a, T: Display> From<&'a T> for FieldValue<'a> {
     fn from(value: &'a T) -> Self {
-        Self::Shown(value)
+        Self::Display(value)
     }
 }
--- a/crates/ops/src/log/logger.rs
+++ b/crates/ops/src/log/logger.rs
@@ -80,7 +80,7 @@
     /// Log whose lines are written to `target` before [`emit`](Self::emit) returns, by the thread that
     /// logs: for tests that act between two steps of a program. A daemon must never wait for its log.
     #[must_use]
-    pub fn to_writer_at_once(options: &LogOptions, target: impl Write + Send + 'static) -> Self {
+    pub fn to_writer_sync(options: &LogOptions, target: impl Write + Send + 'static) -> Self {
         let counts = Arc::default();
         let lines = write_sink(options.format, target, &counts);
         let logger = lines.and_then(|l| build_logger(l, &counts));
@@ -108,7 +108,7 @@
 
     /// Whether `event` is logged at this level.
     #[must_use]
-    pub fn is_on(&self, event: &Event) -> bool {
+    pub fn is_enabled(&self, event: &Event) -> bool {
         event.level <= self.options.level
     }
 
@@ -119,7 +119,7 @@
             "a field of {} is not in the catalogue",
             event.code
         );
-        if !self.is_on(event) || !self.is_within(event) {
+        if !self.is_enabled(event) || !self.is_within(event) {
             return;
         }
         self.write(event, fields);
@@ -156,7 +156,7 @@
     /// Logs the last event of the process and waits, for a second at most, until it is written.
     ///
     /// Tasks left on the loop may still hold clones when `main` returns, so that no drop does it.
-    pub fn emit_last(&self, event: &Event, fields: &[Field<'_>]) {
+    pub fn emit_and_flush(&self, event: &Event, fields: &[Field<'_>]) {
         self.emit(event, fields);
         self.writer.flush(FLUSH_SPAN);
     }
--- a/crates/side/src/main.rs
+++ b/crates/side/src/main.rs
@@ -18,7 +18,7 @@
         Ok(code) => code,
         Err(e) => {
             let fields = [field("step", "start"), field("error", &e)];
-            log.emit_last(&events::INTERNAL, &fields);
+            log.emit_and_flush(&events::INTERNAL, &fields);
             ExitCode::FAILURE
         }
     }
@@ -35,7 +35,7 @@
         Ok(started) => started,
         Err(e) => {
             let fields = [field("step", "start"), field("error", &e)];
-            log.emit_last(&events::INTERNAL, &fields);
+            log.emit_and_flush(&events::INTERNAL, &fields);
             return ExitCode::FAILURE;
         }
     };
@@ -46,7 +46,7 @@
         field("cut", end.aborted().len()),
         field("dropped_lines", log.dropped()),
     ];
-    log.emit_last(&events::STOPPED, &fields);
+    log.emit_and_flush(&events::STOPPED, &fields);
     if end == DrainOutcome::Finished {
         ExitCode::SUCCESS
     } else {
--- a/crates/side/tests/keys.rs
+++ b/crates/side/tests/keys.rs
@@ -331,7 +331,7 @@
             level: Level::Debug,
             ..LogOptions::default()
         };
-        let log = EventLog::to_writer_at_once(&options, freeze);
+        let log = EventLog::to_writer_sync(&options, freeze);
         let pair = pair_of(|bench| bench.logging_side("vm-1", &log)).await;
         armed.store(true, Ordering::Relaxed);
         let mut run = pair.bench.call("r", "/holds", Some("k"), "x");
