--- a/crates/ops/src/admin.rs
+++ b/crates/ops/src/admin.rs
@@ -9,7 +9,7 @@
 use pumicecleat_net::{Handler, Incoming, Reply, json_reply, plain_reply};
 use serde::Serialize;
 
-use crate::{Metrics, Readiness, Unmet};
+use crate::{Metrics, Readiness, UnmetCondition};
 
 /// Media type of the metrics' text.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -30,7 +30,7 @@
 #[derive(Serialize)]
 struct ReadyReply {
     ready: bool,
-    unmet: Vec<Unmet>,
+    unmet: Vec<UnmetCondition>,
 }
 
 impl Admin {
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -38,10 +38,10 @@
 pub use log::events;
 pub use log::{Event, Field, FieldValue, Level, Log, LogFormat, LogOptions, field};
 pub use metrics::{Buckets, Counter, Family, Gauge, Histogram, Histograms, LabelSet, Metrics};
-pub use ready::{Readiness, Unmet};
+pub use ready::{Readiness, UnmetCondition};
 pub use settings::{
-    ByteSize, Common, Exit, Fault, FaultKind, HumanDuration, Origin, Resolver, Row, SettingValue,
-    Settings, process_environment,
+    ByteSize, CommonSettings, HumanDuration, Resolver, SettingFault, SettingFaultKind,
+    SettingOrigin, SettingSpec, SettingValue, Settings, SettingsExit, process_environment,
 };
 pub use stop::{Drain, DrainGuard, DrainOutcome, Reload, Stop, StopError};
 
--- a/crates/ops/src/ready.rs
+++ b/crates/ops/src/ready.rs
@@ -21,7 +21,7 @@
 
 /// A condition that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Unmet {
+pub struct UnmetCondition {
     /// Condition.
     pub condition: &'static str,
     /// Why it does not hold.
@@ -58,12 +58,12 @@
 
     /// Conditions that don't hold.
     #[must_use]
-    pub fn unmet(&self) -> Vec<Unmet> {
+    pub fn unmet(&self) -> Vec<UnmetCondition> {
         let conditions = self.conditions.borrow();
         conditions
             .iter()
             .filter_map(|(condition, reason)| {
-                Some(Unmet {
+                Some(UnmetCondition {
                     condition,
                     reason: reason.clone()?,
                 })
@@ -84,14 +84,14 @@
     }
 
     fn log_unmet(&self) {
-        let reasons: Vec<String> = self.unmet().iter().map(Unmet::to_string).collect();
+        let reasons: Vec<String> = self.unmet().iter().map(UnmetCondition::to_string).collect();
         let reasons = reasons.join("; ");
         self.log
             .emit(&events::NOT_READY, &[field("reasons", &reasons)]);
     }
 }
 
-impl Display for Unmet {
+impl Display for UnmetCondition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.condition, self.reason)
     }
--- a/crates/ops/src/settings/common.rs
+++ b/crates/ops/src/settings/common.rs
@@ -5,12 +5,12 @@
 
 use pumicecleat_types::{DataCentre, RegionId, VmId};
 
-use super::{HumanDuration, Resolver, Row};
+use super::{HumanDuration, Resolver, SettingSpec};
 use crate::{Level, LogFormat, LogOptions};
 
 /// Settings that every daemon has.
 #[derive(Clone, Debug)]
-pub struct Common {
+pub struct CommonSettings {
     /// This VM.
     pub vm: VmId,
     /// Data centre of this VM.
@@ -27,7 +27,7 @@
     pub drain_limit: Duration,
 }
 
-impl Common {
+impl CommonSettings {
     /// Options of the log of `program`.
     #[must_use]
     pub fn log_options(&self, program: &str) -> LogOptions {
@@ -41,20 +41,20 @@
 
     #[doc(hidden)]
     #[must_use]
-    pub fn rows() -> Vec<Row> {
-        let row = |name, default, unit| Row {
+    pub fn specs() -> Vec<SettingSpec> {
+        let spec = |name, default, unit| SettingSpec {
             name,
             default,
             unit,
         };
         vec![
-            row("vm", "", "name"),
-            row("data_centre", "", "name"),
-            row("region", "", "name"),
-            row("log_level", "info", "off|error|warn|info|debug"),
-            row("log_format", "text", "text|json"),
-            row("admin", "127.0.0.1:9464", "ip:port"),
-            row("drain_limit", "60s", "span"),
+            spec("vm", "", "name"),
+            spec("data_centre", "", "name"),
+            spec("region", "", "name"),
+            spec("log_level", "info", "off|error|warn|info|debug"),
+            spec("log_format", "text", "text|json"),
+            spec("admin", "127.0.0.1:9464", "ip:port"),
+            spec("drain_limit", "60s", "span"),
         ]
     }
 
--- a/crates/ops/src/settings/declare.rs
+++ b/crates/ops/src/settings/declare.rs
@@ -17,22 +17,22 @@
         #[derive(Clone, Debug)]
         $vis struct $name {
             /// Settings that every daemon has.
-            pub common: $crate::Common,
+            pub common: $crate::CommonSettings,
             $($(#[doc = $help])+ pub $field: $kind,)*
         }
 
         impl $crate::Settings for $name {
-            fn rows() -> ::std::vec::Vec<$crate::Row> {
-                let mut rows = $crate::Common::rows();
-                rows.extend([$($crate::Row {
+            fn specs() -> ::std::vec::Vec<$crate::SettingSpec> {
+                let mut specs = $crate::CommonSettings::specs();
+                specs.extend([$($crate::SettingSpec {
                     name: stringify!($field),
                     default: $default,
                     unit: $unit,
                 },)*]);
-                rows
+                specs
             }
 
-            fn scan(
+            fn parse_flag(
                 program: &str,
                 args: &[&str],
             ) -> ::std::result::Result<
@@ -81,7 +81,7 @@
             }
 
             fn resolve(resolver: &mut $crate::Resolver<'_>) -> ::std::option::Option<Self> {
-                let common = $crate::Common::resolve(resolver);
+                let common = $crate::CommonSettings::resolve(resolver);
                 $(let $field = resolver.value(stringify!($field));)*
                 Some(Self {
                     common: common?,
--- a/crates/ops/src/settings/exit.rs
+++ b/crates/ops/src/settings/exit.rs
@@ -6,9 +6,9 @@
 
 use argh::EarlyExit;
 
-use super::flags::scan_flags;
+use super::flags::parse_flags;
 use super::resolver::{flag_name, variable_name};
-use super::{Fault, Resolver, Row, process_environment};
+use super::{Resolver, SettingFault, SettingSpec, process_environment};
 use crate::{Log, LogOptions, events, field};
 
 /// Exit status after wrong settings.
@@ -16,14 +16,14 @@
 
 /// Why a process ends before it starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Exit {
+pub enum SettingsExit {
     /// Help was asked for.
     Help(String),
     /// Settings are wrong.
-    Faults(Vec<Fault>),
+    Faults(Vec<SettingFault>),
 }
 
-impl Exit {
+impl SettingsExit {
     /// Prints help, or logs every fault, and gives the exit status.
     #[must_use]
     pub fn report(&self, program: &str) -> ExitCode {
@@ -40,7 +40,7 @@
     }
 }
 
-fn log_faults(program: &str, faults: &[Fault]) {
+fn log_faults(program: &str, faults: &[SettingFault]) {
     let options = LogOptions {
         origin: program.into(),
         ..LogOptions::default()
@@ -54,13 +54,16 @@
 /// Settings of a daemon, as made by [`settings!`](crate::settings!).
 pub trait Settings: Sized {
     /// Declared settings.
-    fn rows() -> Vec<Row>;
+    fn specs() -> Vec<SettingSpec>;
 
     /// Texts that `args` give, by name of the field.
     ///
     /// # Errors
     /// `argh`'s, for help or a bad flag.
-    fn scan(program: &str, args: &[&str]) -> Result<BTreeMap<&'static str, String>, EarlyExit>;
+    fn parse_flag(
+        program: &str,
+        args: &[&str],
+    ) -> Result<BTreeMap<&'static str, String>, EarlyExit>;
 
     /// Settings, if none has a fault.
     fn resolve(resolver: &mut Resolver<'_>) -> Option<Self>;
@@ -68,32 +71,32 @@
     /// Settings from `args` (without the program's name) over `environment` over defaults.
     ///
     /// # Errors
-    /// [`Exit`], with the help or with every fault.
+    /// [`SettingsExit`], with the help or with every fault.
     fn read(
         program: &str,
         args: &[&str],
         environment: &BTreeMap<String, String>,
-    ) -> Result<Self, Exit> {
-        let rows = Self::rows();
-        let scanned = scan_flags(program, args, Self::scan);
-        if let Some(help) = scanned.help {
-            return Err(Exit::Help(with_environment(&help, &rows)));
+    ) -> Result<Self, SettingsExit> {
+        let specs = Self::specs();
+        let parsed = parse_flags(program, args, Self::parse_flag);
+        if let Some(help) = parsed.help {
+            return Err(SettingsExit::Help(with_environment(&help, &specs)));
         }
-        let mut faults = scanned.faults;
-        let mut resolver = Resolver::new(&rows, &scanned.given, environment);
+        let mut faults = parsed.faults;
+        let mut resolver = Resolver::new(&specs, &parsed.given, environment);
         let settings = Self::resolve(&mut resolver);
         faults.extend(resolver.into_faults());
         match settings {
             Some(settings) if faults.is_empty() => Ok(settings),
-            _ => Err(Exit::Faults(faults)),
+            _ => Err(SettingsExit::Faults(faults)),
         }
     }
 
     /// Settings of this process.
     ///
     /// # Errors
-    /// [`Exit`], with the help or with every fault.
-    fn from_process(program: &str) -> Result<Self, Exit> {
+    /// [`SettingsExit`], with the help or with every fault.
+    fn from_process(program: &str) -> Result<Self, SettingsExit> {
         let args: Vec<String> = std::env::args_os()
             .skip(1)
             .map(|arg| arg.to_string_lossy().into_owned())
@@ -104,15 +107,15 @@
 }
 
 /// Help with a table of units, environment names and defaults.
-fn with_environment(help: &str, rows: &[Row]) -> String {
+fn with_environment(help: &str, specs: &[SettingSpec]) -> String {
     let mut text = format!(
         "{}\n\nUnits, environment names and defaults; a flag goes before the environment:\n",
         help.trim_end()
     );
-    for row in rows {
-        let flag = flag_name(row.name);
-        let variable = variable_name(row.name);
-        let default = match row.default {
+    for spec in specs {
+        let flag = flag_name(spec.name);
+        let variable = variable_name(spec.name);
+        let default = match spec.default {
             "" => "none",
             text => text,
         };
@@ -120,7 +123,7 @@
         let _ = writeln!(
             text,
             "  {flag:<22} {:<28} {variable}, default {default}",
-            row.unit
+            spec.unit
         );
     }
     text
--- a/crates/ops/src/settings/fault.rs
+++ b/crates/ops/src/settings/fault.rs
@@ -4,7 +4,7 @@
 
 /// Where a setting came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum Origin {
+pub enum SettingOrigin {
     /// Its flag.
     #[snafu(display("flag"))]
     Flag,
@@ -19,33 +19,33 @@
 /// A wrong setting.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{flag} ({variable}): {kind}"))]
-pub struct Fault {
+pub struct SettingFault {
     /// Flag.
     pub flag: String,
     /// Name in the environment.
     pub variable: String,
     /// What is wrong.
-    pub kind: FaultKind,
+    pub kind: SettingFaultKind,
 }
 
 /// What is wrong with a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum FaultKind {
+pub enum SettingFaultKind {
     /// Has no default and is not given.
-    #[snafu(display("not given; wanted {wanted}"))]
+    #[snafu(display("not set; expected {expected}"))]
     Missing {
         /// Form wanted.
-        wanted: String,
+        expected: String,
     },
     /// Given, but not in the form wanted.
-    #[snafu(display("{text:?} from the {origin} is not {wanted}"))]
+    #[snafu(display("{text:?} from the {origin} is not {expected}"))]
     Malformed {
         /// Text given.
         text: String,
         /// Where from.
-        origin: Origin,
+        origin: SettingOrigin,
         /// Form wanted.
-        wanted: String,
+        expected: String,
     },
     /// Flag given twice.
     #[snafu(display("flag given twice"))]
--- a/crates/ops/src/settings/flags.rs
+++ b/crates/ops/src/settings/flags.rs
@@ -4,44 +4,44 @@
 
 use argh::EarlyExit;
 
-use super::fault::{Fault, FaultKind};
+use super::fault::{SettingFault, SettingFaultKind};
 use super::resolver::{flag_name, variable_name};
 
 /// Scanner of one flag with its value.
-pub(super) type Scan = fn(&str, &[&str]) -> Result<BTreeMap<&'static str, String>, EarlyExit>;
+pub(super) type ParseFlag = fn(&str, &[&str]) -> Result<BTreeMap<&'static str, String>, EarlyExit>;
 
 /// What the flags gave.
 #[derive(Default)]
-pub(super) struct Scanned {
+pub(super) struct ParsedFlags {
     pub(super) given: BTreeMap<&'static str, String>,
-    pub(super) faults: Vec<Fault>,
+    pub(super) faults: Vec<SettingFault>,
     /// Help text, if asked for.
     pub(super) help: Option<String>,
 }
 
-pub(super) fn scan_flags(program: &str, args: &[&str], scan: Scan) -> Scanned {
-    let mut scanned = Scanned::default();
-    let mut rest = args;
-    while let Some(length) = scan_length(rest) {
-        let (one, after) = rest.split_at(length);
-        rest = after;
-        match scan(program, one) {
-            Ok(given) => scanned.add(given),
-            Err(exit) if exit.status.is_ok() => scanned.help = Some(exit.output),
-            Err(exit) => scanned.faults.push(bad_flag(one[0], &exit.output)),
+pub(super) fn parse_flags(program: &str, args: &[&str], parse_flag: ParseFlag) -> ParsedFlags {
+    let mut parsed = ParsedFlags::default();
+    let mut unparsed = args;
+    while let Some(length) = flag_length(unparsed) {
+        let (flag, remaining) = unparsed.split_at(length);
+        unparsed = remaining;
+        match parse_flag(program, flag) {
+            Ok(given) => parsed.add(given),
+            Err(exit) if exit.status.is_ok() => parsed.help = Some(exit.output),
+            Err(exit) => parsed.faults.push(bad_flag(flag[0], &exit.output)),
         }
     }
-    scanned
+    parsed
 }
 
-impl Scanned {
+impl ParsedFlags {
     fn add(&mut self, given: BTreeMap<&'static str, String>) {
         for (name, text) in given {
             if self.given.insert(name, text).is_some() {
-                self.faults.push(Fault {
+                self.faults.push(SettingFault {
                     flag: flag_name(name),
                     variable: variable_name(name),
-                    kind: FaultKind::Twice,
+                    kind: SettingFaultKind::Twice,
                 });
             }
         }
@@ -49,19 +49,19 @@
 }
 
 /// Length of the first flag with its value, or `None` at the end.
-fn scan_length(args: &[&str]) -> Option<usize> {
+fn flag_length(args: &[&str]) -> Option<usize> {
     let first = args.first()?;
-    let alone = !first.starts_with("--") || first.contains('=') || *first == "--help";
-    let valued = args.get(1).is_some_and(|next| !next.starts_with("--"));
-    Some(if !alone && valued { 2 } else { 1 })
+    let standalone = !first.starts_with("--") || first.contains('=') || *first == "--help";
+    let has_value = args.get(1).is_some_and(|next| !next.starts_with("--"));
+    Some(if !standalone && has_value { 2 } else { 1 })
 }
 
-fn bad_flag(flag: &str, output: &str) -> Fault {
+fn bad_flag(flag: &str, output: &str) -> SettingFault {
     let detail = output.lines().next().unwrap_or("malformed").trim();
-    Fault {
+    SettingFault {
         flag: flag.into(),
         variable: "no environment name".into(),
-        kind: FaultKind::BadFlag {
+        kind: SettingFaultKind::BadFlag {
             detail: detail.into(),
         },
     }
--- a/crates/ops/src/settings/mod.rs
+++ b/crates/ops/src/settings/mod.rs
@@ -12,8 +12,8 @@
 mod resolver;
 mod value;
 
-pub use common::Common;
-pub use exit::{Exit, Settings};
-pub use fault::{Fault, FaultKind, Origin};
-pub use resolver::{Resolver, Row, process_environment};
+pub use common::CommonSettings;
+pub use exit::{Settings, SettingsExit};
+pub use fault::{SettingFault, SettingFaultKind, SettingOrigin};
+pub use resolver::{Resolver, SettingSpec, process_environment};
 pub use value::{ByteSize, HumanDuration, SettingValue};
--- a/crates/ops/src/settings/resolver.rs
+++ b/crates/ops/src/settings/resolver.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use super::{Fault, FaultKind, Origin, SettingValue};
+use super::{SettingFault, SettingFaultKind, SettingOrigin, SettingValue};
 
 /// Start of every name in the environment.
 const PREFIX: &str = "PUMICECLEAT_";
 
 /// A declared setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct SettingSpec {
     /// Name of the field.
     pub name: &'static str,
     /// Default, empty for none.
@@ -21,22 +21,22 @@
 /// Chooses and checks values, and collects every fault.
 #[derive(Debug)]
 pub struct Resolver<'a> {
-    rows: &'a [Row],
+    specs: &'a [SettingSpec],
     given: &'a BTreeMap<&'static str, String>,
     environment: &'a BTreeMap<String, String>,
-    faults: Vec<Fault>,
+    faults: Vec<SettingFault>,
 }
 
 impl<'a> Resolver<'a> {
     /// Resolver of `rows` over the flags given and the environment.
     #[must_use]
     pub fn new(
-        rows: &'a [Row],
+        specs: &'a [SettingSpec],
         given: &'a BTreeMap<&'static str, String>,
         environment: &'a BTreeMap<String, String>,
     ) -> Self {
         Self {
-            rows,
+            specs,
             given,
             environment,
             faults: Vec::new(),
@@ -49,7 +49,7 @@
         let value = T::parse(text);
         if value.is_none() {
             let kind = fault_kind::<T>(text, origin);
-            self.faults.push(Fault {
+            self.faults.push(SettingFault {
                 flag: flag_name(name),
                 variable: variable_name(name),
                 kind,
@@ -60,31 +60,31 @@
 
     /// Faults so far.
     #[must_use]
-    pub fn into_faults(self) -> Vec<Fault> {
+    pub fn into_faults(self) -> Vec<SettingFault> {
         self.faults
     }
 
-    fn choose(&self, name: &str) -> (&'a str, Origin) {
+    fn choose(&self, name: &str) -> (&'a str, SettingOrigin) {
         if let Some(text) = self.given.get(name) {
-            return (text, Origin::Flag);
+            return (text, SettingOrigin::Flag);
         }
         if let Some(text) = self.environment.get(&variable_name(name)) {
-            return (text, Origin::Environment);
+            return (text, SettingOrigin::Environment);
         }
-        let row = self.rows.iter().find(|row| row.name == name);
-        (row.map_or("", |row| row.default), Origin::Default)
+        let spec = self.specs.iter().find(|spec| spec.name == name);
+        (spec.map_or("", |spec| spec.default), SettingOrigin::Default)
     }
 }
 
-fn fault_kind<T: SettingValue>(text: &str, origin: Origin) -> FaultKind {
-    let wanted = T::wanted();
-    if text.is_empty() && origin == Origin::Default {
-        return FaultKind::Missing { wanted };
+fn fault_kind<T: SettingValue>(text: &str, origin: SettingOrigin) -> SettingFaultKind {
+    let expected = T::expected();
+    if text.is_empty() && origin == SettingOrigin::Default {
+        return SettingFaultKind::Missing { expected };
     }
-    FaultKind::Malformed {
+    SettingFaultKind::Malformed {
         text: text.into(),
         origin,
-        wanted,
+        expected,
     }
 }
 
--- a/crates/ops/src/settings/value.rs
+++ b/crates/ops/src/settings/value.rs
@@ -10,7 +10,7 @@
 /// Type of a setting.
 pub trait SettingValue: Sized {
     /// Form wanted, for messages.
-    fn wanted() -> String;
+    fn expected() -> String;
 
     /// Value of `text`, or `None` if it is malformed.
     fn parse(text: &str) -> Option<Self>;
@@ -37,7 +37,7 @@
 ];
 
 impl SettingValue for HumanDuration {
-    fn wanted() -> String {
+    fn expected() -> String {
         "a span like 250ms, 3s, 1.5s, 5m or 1h".into()
     }
 
@@ -57,7 +57,7 @@
 }
 
 impl SettingValue for ByteSize {
-    fn wanted() -> String {
+    fn expected() -> String {
         "a size like 512, 64KiB, 8MiB or 1GiB".into()
     }
 
@@ -67,7 +67,7 @@
 }
 
 impl SettingValue for Level {
-    fn wanted() -> String {
+    fn expected() -> String {
         "one of off, error, warn, info, debug".into()
     }
 
@@ -77,7 +77,7 @@
 }
 
 impl SettingValue for LogFormat {
-    fn wanted() -> String {
+    fn expected() -> String {
         "text or json".into()
     }
 
@@ -91,7 +91,7 @@
 }
 
 impl SettingValue for SocketAddr {
-    fn wanted() -> String {
+    fn expected() -> String {
         "an IP address and port like 127.0.0.1:8080".into()
     }
 
@@ -101,7 +101,7 @@
 }
 
 impl SettingValue for bool {
-    fn wanted() -> String {
+    fn expected() -> String {
         "true or false".into()
     }
 
@@ -112,8 +112,8 @@
 
 /// A value that may be left empty.
 impl<T: SettingValue> SettingValue for Option<T> {
-    fn wanted() -> String {
-        format!("{}, or empty", T::wanted())
+    fn expected() -> String {
+        format!("{}, or empty", T::expected())
     }
 
     fn parse(text: &str) -> Option<Self> {
@@ -126,8 +126,8 @@
 
 /// Values parted by commas.
 impl<T: SettingValue> SettingValue for Vec<T> {
-    fn wanted() -> String {
-        format!("any number, parted by commas, of: {}", T::wanted())
+    fn expected() -> String {
+        format!("any number, parted by commas, of: {}", T::expected())
     }
 
     fn parse(text: &str) -> Option<Self> {
@@ -141,7 +141,7 @@
 macro_rules! numbers {
     ($($kind:ty),*) => {
         $(impl SettingValue for $kind {
-            fn wanted() -> String {
+            fn expected() -> String {
                 format!("a whole number from {} to {}", <$kind>::MIN, <$kind>::MAX)
             }
 
@@ -155,7 +155,7 @@
 numbers!(u8, u16, u32, u64, usize);
 
 impl SettingValue for f64 {
-    fn wanted() -> String {
+    fn expected() -> String {
         "a number from 0 on like 54 or 38.25".into()
     }
 
@@ -167,7 +167,7 @@
 macro_rules! names {
     ($($kind:ty),*) => {
         $(impl SettingValue for $kind {
-            fn wanted() -> String {
+            fn expected() -> String {
                 "a name without spaces or control characters".into()
             }
 
--- a/crates/ops/tests/settings.rs
+++ b/crates/ops/tests/settings.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pumicecleat_ops::{ByteSize, Exit, HumanDuration, Level, SettingValue, Settings, settings};
+use pumicecleat_ops::{
+    ByteSize, HumanDuration, Level, SettingValue, Settings, SettingsExit, settings,
+};
 
 settings! {
     /// Program of this test.
@@ -93,7 +95,7 @@
     },
 ];
 
-fn read(case: &Case, given: &[&str]) -> Result<TestSettings, Exit> {
+fn read(case: &Case, given: &[&str]) -> Result<TestSettings, SettingsExit> {
     let args: Vec<&str> = given.iter().chain(case.args).copied().collect();
     let owned = |(name, text): &(&str, &str)| ((*name).to_owned(), (*text).to_owned());
     let environment: BTreeMap<_, _> = case.environment.iter().map(owned).collect();
@@ -105,8 +107,8 @@
     for case in CASES {
         let faults = match read(case, &GIVEN) {
             Ok(_) => Vec::new(),
-            Err(Exit::Faults(faults)) => faults.iter().map(ToString::to_string).collect(),
-            Err(Exit::Help(help)) => panic!("help: {help}"),
+            Err(SettingsExit::Faults(faults)) => faults.iter().map(ToString::to_string).collect(),
+            Err(SettingsExit::Help(help)) => panic!("help: {help}"),
         };
         assert_eq!(faults.len(), case.faults.len(), "{faults:#?}");
         for part in case.faults {
@@ -125,7 +127,7 @@
         environment: &[],
         faults: &[],
     };
-    let Err(Exit::Faults(faults)) = read(&case, &[]) else {
+    let Err(SettingsExit::Faults(faults)) = read(&case, &[]) else {
         panic!("settings without a VM were taken");
     };
     let flags: Vec<&str> = faults.iter().map(|f| f.flag.as_str()).collect();
@@ -162,10 +164,10 @@
         environment: &[],
         faults: &[],
     };
-    let Err(Exit::Help(help)) = read(&case, &[]) else {
+    let Err(SettingsExit::Help(help)) = read(&case, &[]) else {
         panic!("no help");
     };
-    for row in TestSettings::rows() {
+    for row in TestSettings::specs() {
         let flag = format!("--{} ", row.name.replace('_', "-"));
         let variable = format!("PUMICECLEAT_{},", row.name.to_uppercase());
         let line = help.lines().find(|l| l.contains(&variable)).unwrap();
