--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -122,14 +122,14 @@
 
     /// Runs until a stop is requested.
     pub async fn run(self, stop: &Stop) {
-        stop.first().await;
+        stop.requested().await;
         self.peer_server.stop();
         // Gateways whose connection is closed proceed without a turn.
         let _ = self
             .timer
             .within(STOP_TIMEOUT, self.peer_server.closed())
             .await;
-        self.log.emit_last(&events::STOPPED, &[]);
+        self.log.emit_and_flush(&events::STOPPED, &[]);
     }
 }
 
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -84,7 +84,7 @@
     if let Ok(id) = HeaderValue::from_str(info.request_id.as_str()) {
         headers.insert(X_REQUEST_ID, id);
     }
-    if shared.stop.is_asked() {
+    if shared.stop.is_requested() {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     reply
@@ -96,7 +96,7 @@
     incoming: Incoming,
 ) -> Result<Reply, ApiError> {
     admit::check_accepting(shared)?;
-    let guard = shared.drain.enter(&info.request_id);
+    let guard = shared.drain.track(&info.request_id);
     // Boxed because each waiting request would otherwise reserve space for this future.
     Box::pin(ensure_fresh(shared)).await;
     let caller = admit::identify(shared, &incoming)?;
--- a/crates/entry/src/start/dump.rs
+++ b/crates/entry/src/start/dump.rs
@@ -74,7 +74,7 @@
             vm: shared.options.vm.clone(),
             address: shared.options.own_address.to_string(),
             ready: shared.readiness.is_ready(),
-            stopping: shared.stop.is_asked(),
+            stopping: shared.stop.is_requested(),
             config: shared.config.dump(now),
             sides: directory.dump(now),
             loras: directory.lora_count(),
@@ -82,7 +82,7 @@
             retries: shared.refusal_budget.borrow().available(),
             losses: shared.loss_budget.borrow().available(),
             order: self.order_dump(),
-            open: shared.drain.open(),
+            open: shared.drain.in_flight(),
         }
     }
 
--- a/crates/entry/src/start/running.rs
+++ b/crates/entry/src/start/running.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicecleat_net::Server;
-use pumicecleat_ops::{DrainEnd, events, field};
+use pumicecleat_ops::{DrainOutcome, events, field};
 
 use crate::shared::Shared;
 
@@ -47,7 +47,7 @@
         servers: Servers,
         drain_limit: Duration,
     ) -> Self {
-        shared.readiness.hold(RUNNING_CONDITION);
+        shared.readiness.set_met(RUNNING_CONDITION);
         Self {
             shared,
             addresses,
@@ -65,7 +65,7 @@
     /// Whether it takes requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.shared.readiness.is_ready() && !self.shared.stop.is_asked()
+        self.shared.readiness.is_ready() && !self.shared.stop.is_requested()
     }
 
     /// Revision of the configuration in force, 0 for none.
@@ -76,8 +76,8 @@
 
     /// Serves until a stop is requested and all requests in progress have ended. A second stop
     /// request or the drain limit ends it earlier.
-    pub async fn run(self) -> DrainEnd {
-        self.shared.stop.first().await;
+    pub async fn run(self) -> DrainOutcome {
+        self.shared.stop.requested().await;
         let source = if self.shared.leaving.get() {
             "VM list"
         } else {
@@ -85,7 +85,9 @@
         };
         let fields = [field("source", source)];
         self.shared.log.emit(&events::STOP_ASKED, &fields);
-        self.shared.readiness.fail(RUNNING_CONDITION, "stopping");
+        self.shared
+            .readiness
+            .set_unmet(RUNNING_CONDITION, "stopping");
         let drain = &self.shared.drain;
         let end = drain
             .finish(
@@ -105,11 +107,11 @@
     }
 
     /// Logs the end of the process.
-    pub fn log_end(log: &pumicecleat_ops::Log, end: &DrainEnd) {
+    pub fn log_end(log: &pumicecleat_ops::Log, end: &DrainOutcome) {
         let fields = [
-            field("cut", end.cut().len()),
+            field("cut", end.aborted().len()),
             field("dropped_lines", log.dropped()),
         ];
-        log.emit_last(&events::STOPPED, &fields);
+        log.emit_and_flush(&events::STOPPED, &fields);
     }
 }
--- a/crates/entry/tests/entry/stop.rs
+++ b/crates/entry/tests/entry/stop.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join;
 use pumicecleat_entry::EntryContext;
 use pumicecleat_infra::{HttpVms, Peers};
-use pumicecleat_ops::DrainEnd;
+use pumicecleat_ops::DrainOutcome;
 use pumicecleat_standin::{VmList, VmListOptions};
 use pumicecleat_types::{VmEntry, VmRole, VmState};
 
@@ -41,7 +41,7 @@
             let stopping = async {
                 world.until(|| sides[0].seen().len() == 1).await;
                 world.timer.sleep(Duration::from_millis(100)).await;
-                stop.ask();
+                stop.request();
                 world.timer.sleep(Duration::from_millis(50)).await;
                 let refused = caller.chat(false).await;
                 assert_eq!(refused.status, 503);
@@ -54,7 +54,7 @@
             join(open, stopping).await.0
         };
         let (end, told) = join(entry.run(), ends).await;
-        assert_eq!(end, DrainEnd::Finished);
+        assert_eq!(end, DrainOutcome::Finished);
         assert!(told.whole);
         assert_eq!(told.text(), "Jó ég");
         assert_eq!(sides[0].seen().len(), 1);
@@ -74,13 +74,13 @@
             monoio::spawn(async move { caller.send(chat(true)).await });
             world.until(|| sides[0].seen().len() == 1).await;
             let request = sides[0].seen()[0].head.request.clone();
-            started.stop.ask();
+            started.stop.request();
             if second {
-                started.stop.ask();
+                started.stop.request();
             }
             let end = started.entry.run().await;
-            assert_eq!(end.cut(), [request]);
-            let interrupted = matches!(end, DrainEnd::Interrupted(_));
+            assert_eq!(end.aborted(), [request]);
+            let interrupted = matches!(end, DrainOutcome::Interrupted(_));
             assert_eq!(interrupted, second);
         }
     });
@@ -112,7 +112,7 @@
             vm_list: Some(std::rc::Rc::new(vms)),
         };
         let started = world.start_with(&[], &parts);
-        world.until(|| started.stop.is_asked()).await;
-        assert_eq!(started.entry.run().await, DrainEnd::Finished);
+        world.until(|| started.stop.is_requested()).await;
+        assert_eq!(started.entry.run().await, DrainOutcome::Finished);
     });
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -163,7 +163,7 @@
             log,
         )?;
         spawn_loops(&shared, settings, parts);
-        shared.readiness.hold(RUNNING);
+        shared.readiness.set_met(RUNNING);
         Ok(Self {
             shared,
             callers,
@@ -173,10 +173,10 @@
 
     /// Runs until a stop is requested and the responses in progress have ended, or the grace is over.
     pub async fn run(self, stop: &Stop) {
-        stop.first().await;
+        stop.requested().await;
         let shared = &self.shared;
         let stop_start = shared.timer.now();
-        shared.readiness.fail(RUNNING, "stop asked for");
+        shared.readiness.set_unmet(RUNNING, "stop asked for");
         shared.stop_phase.set(StopPhase::Draining);
         let open = shared.drain.count();
         shared
@@ -194,7 +194,9 @@
         shared
             .log
             .emit(&events::DRAIN_FINISHED, &[field("took_ms", took)]);
-        shared.log.emit_last(&events::STOPPED, &[field("cut", cut)]);
+        shared
+            .log
+            .emit_and_flush(&events::STOPPED, &[field("cut", cut)]);
     }
 }
 
--- a/crates/ops/examples/daemon.rs
+++ b/crates/ops/examples/daemon.rs
@@ -14,8 +14,8 @@
     Body, Handler, Incoming, Reply, Server, ServerOptions, Timer, bind, json_reply, run,
 };
 use pumicecleat_ops::{
-    Admin, Counter, Drain, DrainEnd, Dump, Log, Metrics, Readiness, Settings, Span, Stop, events,
-    field, settings,
+    Admin, Counter, Drain, DrainOutcome, Dump, HumanDuration, Log, Metrics, Readiness, Settings,
+    Stop, events, field, settings,
 };
 use serde_json::{Value, json};
 
@@ -27,7 +27,7 @@
         /// pieces of an answer
         ticks: u32 = "10", "pieces";
         /// time between pieces
-        pace: Span = "20ms", "span";
+        pace: HumanDuration = "20ms", "span";
     }
 }
 
@@ -47,14 +47,14 @@
 
 impl Handler for Ticker {
     fn handle(&self, _: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
-        if self.stop.is_asked() {
+        if self.stop.is_requested() {
             let refused = json_reply(503, &json!({ "code": "leaving", "ran": "no" }));
             return Box::pin(std::future::ready(refused));
         }
         self.requests.inc();
         self.number.set(self.number.get() + 1);
         let request = format!("request-{}", self.number.get()).into();
-        let guard = self.drain.enter(&request);
+        let guard = self.drain.track(&request);
         let timer = self.timer.clone();
         let TickSettings { ticks, pace, .. } = self.settings;
         let pieces = stream::unfold((0, guard), move |(n, guard)| {
@@ -72,7 +72,7 @@
 
 impl Dump for Ticker {
     fn dump(&self) -> Value {
-        json!({ "open": self.drain.open(), "requests": self.requests.get() })
+        json!({ "open": self.drain.in_flight(), "requests": self.requests.get() })
     }
 }
 
@@ -114,18 +114,18 @@
     let Some(callers) = start("callers", listen, ticker, &timer, &log) else {
         return ExitCode::FAILURE;
     };
-    readiness.hold("listening");
+    readiness.set_met("listening");
 
-    stop.first().await;
+    stop.requested().await;
     log.emit(&events::STOP_ASKED, &[field("source", "signal")]);
-    readiness.fail("listening", "stopping");
+    readiness.set_unmet("listening", "stopping");
     let end = drain.finish(&stop, limit, &timer, &log).await;
     callers.stop();
     // The last bytes of what has ended are still on their way to the sockets.
     let _ = timer.within(CLOSE_SPAN, callers.closed()).await;
-    log.emit_last(&events::STOPPED, &[field("cut", end.cut().len())]);
+    log.emit_and_flush(&events::STOPPED, &[field("cut", end.aborted().len())]);
     match end {
-        DrainEnd::Finished => ExitCode::SUCCESS,
+        DrainOutcome::Finished => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -38,12 +38,12 @@
 pub use log::events;
 pub use log::{Event, Field, FieldValue, Level, Log, LogFormat, LogOptions, field};
 pub use metrics::{Buckets, Counter, Family, Gauge, Histogram, Histograms, LabelSet, Metrics};
-pub use ready::{Readiness, Unmet};
+pub use ready::{Readiness, UnmetCondition};
 pub use settings::{
-    ByteSize, Common, Exit, Fault, FaultKind, Origin, Resolver, Row, SettingValue, Settings, Span,
-    process_environment,
+    ByteSize, CommonSettings, HumanDuration, Resolver, SettingFault, SettingFaultKind,
+    SettingOrigin, SettingSpec, SettingValue, Settings, SettingsExit, process_environment,
 };
-pub use stop::{Drain, DrainEnd, DrainGuard, Reload, Stop, StopError};
+pub use stop::{Drain, DrainGuard, DrainOutcome, Reload, Stop, StopError};
 
 #[doc(hidden)]
 pub use argh;
--- a/crates/side/src/main.rs
+++ b/crates/side/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use pumicecleat_net::{Timer, run};
-use pumicecleat_ops::{DrainEnd, Log, Settings, Stop, events, field};
+use pumicecleat_ops::{DrainOutcome, Log, Settings, Stop, events, field};
 use pumicecleat_side::{Side, SideSettings};
 
 const PROGRAM: &str = "pumicecleat-side";
@@ -18,7 +18,7 @@
         Ok(code) => code,
         Err(e) => {
             let fields = [field("step", "start"), field("error", &e)];
-            log.emit_last(&events::INTERNAL, &fields);
+            log.emit_and_flush(&events::INTERNAL, &fields);
             ExitCode::FAILURE
         }
     }
@@ -35,19 +35,19 @@
         Ok(started) => started,
         Err(e) => {
             let fields = [field("step", "start"), field("error", &e)];
-            log.emit_last(&events::INTERNAL, &fields);
+            log.emit_and_flush(&events::INTERNAL, &fields);
             return ExitCode::FAILURE;
         }
     };
     println!("listening {} admin {}", side.address(), side.admin());
-    stop.first().await;
+    stop.requested().await;
     let end = side.finish(&stop).await;
     let fields = [
-        field("cut", end.cut().len()),
+        field("cut", end.aborted().len()),
         field("dropped_lines", log.dropped()),
     ];
-    log.emit_last(&events::STOPPED, &fields);
-    if end == DrainEnd::Finished {
+    log.emit_and_flush(&events::STOPPED, &fields);
+    if end == DrainOutcome::Finished {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/side/src/start.rs
+++ b/crates/side/src/start.rs
@@ -12,7 +12,7 @@
 use pumicecleat_net::{
     Client, ClientOptions, Protocol, Server, ServerOptions, Timer, Turns, bind, bind_exclusive,
 };
-use pumicecleat_ops::{Admin, Drain, DrainEnd, Log, Metrics, Readiness, Stop, events, field};
+use pumicecleat_ops::{Admin, Drain, DrainOutcome, Log, Metrics, Readiness, Stop, events, field};
 use pumicecleat_types::ServiceId;
 use pumicecleat_upstream::{HttpService, VllmEngine};
 use snafu::{ResultExt, Snafu};
@@ -137,7 +137,7 @@
 
     /// Stops taking new work and waits until open requests have ended, the drain limit has passed
     /// or a second signal has arrived.
-    pub async fn finish(&self, stop: &Stop) -> DrainEnd {
+    pub async fn finish(&self, stop: &Stop) -> DrainOutcome {
         self.state.leave("signal");
         // Entries learn of it by a report before the listener closes.
         self.state.timer.sleep(SHORT_DELAY).await;
@@ -198,7 +198,7 @@
         &[CONFIG_CONDITION, UPSTREAM_CONDITION, STAYING_CONDITION],
         log,
     );
-    readiness.hold(STAYING_CONDITION);
+    readiness.set_met(STAYING_CONDITION);
     State {
         address,
         incarnation: unix_time().0,
@@ -272,7 +272,7 @@
         }
         PoolKind::Service { parts, .. } => match new_service_upstream(&state, parts) {
             Ok(upstream) => upstream,
-            Err(e) => return state.readiness.fail(CONFIG_CONDITION, &e.to_string()),
+            Err(e) => return state.readiness.set_unmet(CONFIG_CONDITION, &e.to_string()),
         },
     };
     let backend = Backend {
