--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of commands, each with its step and exit status.
 
-use pumicecleat_config::{Cause, Faults};
+use pumicecleat_config::{Faults, RefusalCause};
 use pumicecleat_infra::{AppendError, ReadError};
 use pumicecleat_net::{NetError, RuntimeError};
 use snafu::Snafu;
@@ -34,7 +34,7 @@
     ))]
     NoVerdict { id: String, wait: u64 },
     #[snafu(display("refused, change {id}: {cause}"))]
-    Refused { id: String, cause: Cause },
+    Refused { id: String, cause: RefusalCause },
     #[snafu(display("step ask process: {source}"))]
     Ask { source: NetError },
     #[snafu(display("step read dump, peer {peer}: {source}"))]
--- a/crates/config/examples/memory.rs
+++ b/crates/config/examples/memory.rs
@@ -3,7 +3,7 @@
 //! Takes the number of adapters. One size a process: what a larger one left behind would be reused
 //! by the next. Run it with `--release`, on Linux.
 
-use pumicecleat_config::model::{Adapter, Base, Config, Version};
+use pumicecleat_config::model::{Adapter, BaseModel, Config, Version};
 use pumicecleat_config::{Change, ChangeId, Fold, FoldEvent, Record};
 use pumicecleat_types::LogRecord;
 
@@ -30,7 +30,7 @@
 fn declare(adapters: usize) -> Config {
     let mut config = Config::default();
     for i in 0..BASES {
-        let base = Base { context: 8192 };
+        let base = BaseModel { context: 8192 };
         config.bases.insert(base_name(i).into(), base);
     }
     for i in 0..adapters {
--- a/crates/config/src/check/links.rs
+++ b/crates/config/src/check/links.rs
@@ -11,12 +11,12 @@
 
 use super::Report;
 use crate::fault::Problem;
-use crate::model::{Caller, Config, Item, Key, Pool, PoolKind};
+use crate::model::{Caller, Config, Item, ItemKey, Pool, PoolKind};
 
 /// Who refers to what across tables, and who holds which key hash.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Links {
-    users: BTreeMap<Key, BTreeSet<Key>>,
+    users: BTreeMap<ItemKey, BTreeSet<ItemKey>>,
     holders: BTreeMap<String, BTreeSet<CallerId>>,
 }
 
@@ -55,32 +55,32 @@
     }
 
     /// Adds to `keys` the items that must be checked again once these have changed.
-    pub(crate) fn widen(&self, config: &Config, keys: &mut BTreeSet<Key>) {
+    pub(crate) fn widen(&self, config: &Config, keys: &mut BTreeSet<ItemKey>) {
         let mut more = BTreeSet::new();
         for key in keys.iter() {
             match key {
-                Key::Version(id, _) => {
-                    let adapter = Key::Adapter(id.clone());
+                ItemKey::Version(id, _) => {
+                    let adapter = ItemKey::Adapter(id.clone());
                     if !keys.contains(&adapter) {
                         more.insert(adapter);
                     }
                 }
-                Key::Caller(id) => more.extend(self.sharers(config, id)),
+                ItemKey::Caller(id) => more.extend(self.sharers(config, id)),
                 _ => {}
             }
-            let held = config.holds(key);
-            if matches!(key, Key::Pool(_)) || !held {
+            let held = config.contains(key);
+            if matches!(key, ItemKey::Pool(_)) || !held {
                 more.extend(self.users.get(key).into_iter().flatten().cloned());
             }
-            if let (Key::Base(id), false) = (key, held) {
+            if let (ItemKey::Base(id), false) = (key, held) {
                 let adapters = config.adapters.iter().filter(|(_, a)| a.base == *id);
-                more.extend(adapters.map(|(id, _)| Key::Adapter(id.clone())));
+                more.extend(adapters.map(|(id, _)| ItemKey::Adapter(id.clone())));
             }
         }
         keys.extend(more);
     }
 
-    fn sharers(&self, config: &Config, id: &CallerId) -> BTreeSet<Key> {
+    fn sharers(&self, config: &Config, id: &CallerId) -> BTreeSet<ItemKey> {
         let caller = config.callers.get(id);
         caller
             .into_iter()
@@ -88,16 +88,16 @@
             .filter_map(|hash| self.holders.get(hash))
             .flatten()
             .cloned()
-            .map(Key::Caller)
+            .map(ItemKey::Caller)
             .collect()
     }
 
     /// Reports references of an item that don't hold.
     pub(super) fn check_item(&self, config: &Config, item: &Item, report: &mut Report) {
         for (field, target) in targets(item) {
-            if !config.holds(&target) {
+            if !config.contains(&target) {
                 let target = target.to_string();
-                report.add(field, Problem::Unknown { target });
+                report.add(field, Problem::NotDeclared { target });
             }
         }
         match item {
@@ -151,28 +151,28 @@
 }
 
 /// What an item refers to, with the field that does.
-fn targets(item: &Item) -> Vec<(&'static str, Key)> {
+fn targets(item: &Item) -> Vec<(&'static str, ItemKey)> {
     match item {
         Item::Adapter { id, base, default } => {
-            let mut targets = vec![("base", Key::Base(base.clone()))];
+            let mut targets = vec![("base", ItemKey::Base(base.clone()))];
             let version = default.iter().cloned();
-            targets.extend(version.map(|v| ("default", Key::Version(id.clone(), v))));
+            targets.extend(version.map(|v| ("default", ItemKey::Version(id.clone(), v))));
             targets
         }
         Item::Caller(_, caller) => {
             let grant = &caller.grant;
-            let adapters = grant.adapters.iter().cloned().map(Key::Adapter);
-            let services = grant.services.iter().cloned().map(Key::Service);
+            let adapters = grant.adapters.iter().cloned().map(ItemKey::Adapter);
+            let services = grant.services.iter().cloned().map(ItemKey::Service);
             adapters
                 .map(|key| ("adapters", key))
                 .chain(services.map(|key| ("services", key)))
                 .collect()
         }
         Item::Pool(_, pool) => match &pool.kind {
-            PoolKind::Model { base, .. } => vec![("base", Key::Base(base.clone()))],
+            PoolKind::Model { base, .. } => vec![("base", ItemKey::Base(base.clone()))],
             PoolKind::Service { .. } => Vec::new(),
         },
-        Item::Service(_, service) => vec![("pool", Key::Pool(service.pool.clone()))],
+        Item::Service(_, service) => vec![("pool", ItemKey::Pool(service.pool.clone()))],
         Item::Base(..) | Item::Version(..) | Item::Tuning(_) | Item::Limits(_) => Vec::new(),
     }
 }
--- a/crates/config/src/check/value.rs
+++ b/crates/config/src/check/value.rs
@@ -6,7 +6,7 @@
 use super::{Report, limit};
 use crate::fault::Problem;
 use crate::key::HASH_LEN;
-use crate::model::{Caller, Item, Key, Limits, Pool, PoolKind, Route, Tuning};
+use crate::model::{Caller, Item, ItemKey, Limits, Pool, PoolKind, Route, Tuning};
 
 pub(super) fn check_item(item: &Item, report: &mut Report) {
     check_name(&item.key(), report);
@@ -22,15 +22,15 @@
     }
 }
 
-fn check_name(key: &Key, report: &mut Report) {
+fn check_name(key: &ItemKey, report: &mut Report) {
     let id = match key {
-        Key::Base(id) => id.as_str(),
-        Key::Adapter(id) => id.as_str(),
-        Key::Version(_, id) => id.as_str(),
-        Key::Caller(id) => id.as_str(),
-        Key::Pool(id) => id.as_str(),
-        Key::Service(id) => id.as_str(),
-        Key::Tuning | Key::Limits => return,
+        ItemKey::Base(id) => id.as_str(),
+        ItemKey::Adapter(id) => id.as_str(),
+        ItemKey::Version(_, id) => id.as_str(),
+        ItemKey::Caller(id) => id.as_str(),
+        ItemKey::Pool(id) => id.as_str(),
+        ItemKey::Service(id) => id.as_str(),
+        ItemKey::Tuning | ItemKey::Limits => return,
     };
     if id.is_empty() {
         report.add("", Problem::Empty);
@@ -38,7 +38,7 @@
     long(report, "", id, limit::ID_LEN);
     if !id.chars().all(is_id_char) {
         let id = id.to_owned();
-        report.add("", Problem::Characters { id });
+        report.add("", Problem::InvalidCharacters { id });
     }
 }
 
@@ -59,7 +59,7 @@
     }
     for hash in caller.keys.iter().filter(|hash| !is_hash(hash)) {
         let hash = hash.clone();
-        report.add("keys", Problem::Hash { hash });
+        report.add("keys", Problem::InvalidHash { hash });
     }
     range(report, "claim", caller.claim.into(), &limit::CLAIM);
     for prefix in &caller.grant.prefixes {
@@ -68,7 +68,7 @@
         }
         if !prefix.chars().all(is_id_char) {
             let id = prefix.clone();
-            report.add("adapters", Problem::Characters { id });
+            report.add("adapters", Problem::InvalidCharacters { id });
         }
     }
 }
@@ -100,7 +100,7 @@
         check_route(i, route, report);
         let first = *seen.entry((&route.method, &route.prefix)).or_insert(i);
         if first != i {
-            report.add(&format!("route[{i}]"), Problem::SameRoute { first });
+            report.add(&format!("route[{i}]"), Problem::DuplicateRoute { first });
         }
     }
 }
@@ -109,7 +109,7 @@
     let field = format!("route[{i}].prefix");
     if !is_prefix(&route.prefix) {
         let prefix = route.prefix.clone();
-        report.add(&field, Problem::Prefix { prefix });
+        report.add(&field, Problem::InvalidPrefix { prefix });
     }
     long(report, &field, &route.prefix, limit::PATH_LEN);
     let Some(method) = &route.method else {
@@ -117,7 +117,10 @@
     };
     if method.is_empty() || !method.chars().all(|c| c.is_ascii_uppercase()) {
         let method = method.clone();
-        report.add(&format!("route[{i}].method"), Problem::Method { method });
+        report.add(
+            &format!("route[{i}].method"),
+            Problem::InvalidMethod { method },
+        );
     }
 }
 
@@ -134,7 +137,7 @@
     range(report, "batch", tuning.batch.into(), &limit::WEIGHT);
     range(report, "hold_ms", tuning.hold_ms, &limit::HOLD);
     if tuning.stall == 0 && tuning.batch == 0 {
-        report.add("", Problem::Weights);
+        report.add("", Problem::ZeroWeights);
     }
 }
 
@@ -146,7 +149,7 @@
     if limits.deadline_ms > limits.longest_ms {
         let found = limits.deadline_ms;
         let longest = limits.longest_ms;
-        report.add("deadline_ms", Problem::Deadline { found, longest });
+        report.add("deadline_ms", Problem::DeadlineTooLong { found, longest });
     }
 }
 
@@ -163,6 +166,6 @@
 
 fn long(report: &mut Report, field: &str, text: &str, most: usize) {
     if text.chars().count() > most {
-        report.add(field, Problem::Long { most });
+        report.add(field, Problem::TooLong { most });
     }
 }
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -10,13 +10,13 @@
 use snafu::{Snafu, ensure};
 
 use crate::diff::{Difference, diff};
-use crate::model::{Config, Item, Key};
+use crate::model::{Config, Item, ItemKey};
 
 /// What turns one configuration into another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Keys of items taken out, ascending.
-    pub removed: Vec<Key>,
+    pub removed: Vec<ItemKey>,
     /// Items put in, ascending by key.
     pub put: Vec<Item>,
 }
@@ -28,25 +28,25 @@
     #[snafu(display("step delta: '{key}' is out of order or comes twice"))]
     Order {
         /// Key.
-        key: Key,
+        key: ItemKey,
     },
     /// Nothing there to take out.
     #[snafu(display("step delta: '{key}' is not declared"))]
     Absent {
         /// Key.
-        key: Key,
+        key: ItemKey,
     },
     /// Takes out what always stands.
     #[snafu(display("step delta: '{key}' can't be removed"))]
     Fixed {
         /// Key.
-        key: Key,
+        key: ItemKey,
     },
     /// Takes an adapter out and leaves versions.
     #[snafu(display("step delta: '{key}' still has versions"))]
     Versions {
         /// Key.
-        key: Key,
+        key: ItemKey,
     },
     /// Deals the keys of a pool that stands out anew.
     #[snafu(display(
@@ -55,7 +55,7 @@
     ))]
     Parts {
         /// Key.
-        key: Key,
+        key: ItemKey,
         /// Parts as they stand.
         parts: u32,
         /// Parts asked for.
@@ -65,18 +65,18 @@
     #[snafu(display("step delta: '{key}' has no adapter"))]
     Orphan {
         /// Key.
-        key: Key,
+        key: ItemKey,
     },
 }
 
 /// One step of a delta.
 pub(crate) enum Step<'a> {
-    Remove(&'a Key),
+    Remove(&'a ItemKey),
     Put(&'a Item),
 }
 
 impl Step<'_> {
-    pub(crate) fn key(&self) -> Key {
+    pub(crate) fn key(&self) -> ItemKey {
         match self {
             Self::Remove(key) => (*key).clone(),
             Self::Put(item) => item.key(),
@@ -94,9 +94,9 @@
     pub(crate) fn fits(&self, config: &Config) -> Result<(), DeltaError> {
         let key = self.key();
         match self {
-            Self::Remove(Key::Tuning | Key::Limits) => FixedSnafu { key }.fail(),
+            Self::Remove(ItemKey::Tuning | ItemKey::Limits) => FixedSnafu { key }.fail(),
             Self::Remove(removed) => {
-                ensure!(config.holds(removed), AbsentSnafu { key });
+                ensure!(config.contains(removed), AbsentSnafu { key });
                 ensure!(!has_versions(config, removed), VersionsSnafu { key });
                 Ok(())
             }
@@ -117,8 +117,8 @@
     }
 }
 
-fn has_versions(config: &Config, key: &Key) -> bool {
-    let Key::Adapter(id) = key else {
+fn has_versions(config: &Config, key: &ItemKey) -> bool {
+    let ItemKey::Adapter(id) = key else {
         return false;
     };
     config
@@ -169,7 +169,7 @@
     pub(crate) fn steps(&self) -> Result<impl Iterator<Item = Step<'_>>, DeltaError> {
         ascending(self.removed.iter().cloned())?;
         ascending(self.put.iter().map(Item::key))?;
-        let removed: BTreeSet<&Key> = self.removed.iter().collect();
+        let removed: BTreeSet<&ItemKey> = self.removed.iter().collect();
         for key in self.put.iter().map(Item::key) {
             ensure!(!removed.contains(&key), OrderSnafu { key });
         }
@@ -178,7 +178,7 @@
     }
 }
 
-fn ascending(keys: impl Iterator<Item = Key>) -> Result<(), DeltaError> {
+fn ascending(keys: impl Iterator<Item = ItemKey>) -> Result<(), DeltaError> {
     let mut last = None;
     for key in keys {
         ensure!(last.is_none_or(|l| l < key), OrderSnafu { key });
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use crate::model::{Config, Item, Key};
+use crate::model::{Config, Item, ItemKey};
 
 /// Difference in one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 impl Difference {
     /// Key of the item.
     #[must_use]
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> ItemKey {
         match self {
             Self::Added(item) | Self::Removed(item) | Self::Changed { new: item, .. } => item.key(),
         }
@@ -68,11 +68,11 @@
 /// Differences that lead from `a` to `b`, in order of keys.
 #[must_use]
 pub fn diff(a: &Config, b: &Config) -> Vec<Difference> {
-    let keys: BTreeSet<Key> = a.keys().chain(b.keys()).collect();
+    let keys: BTreeSet<ItemKey> = a.keys().chain(b.keys()).collect();
     keys.iter().filter_map(|key| compare(a, b, key)).collect()
 }
 
-fn compare(a: &Config, b: &Config, key: &Key) -> Option<Difference> {
+fn compare(a: &Config, b: &Config, key: &ItemKey) -> Option<Difference> {
     match (a.item(key), b.item(key)) {
         (None, Some(item)) => Some(Difference::Added(item)),
         (Some(item), None) => Some(Difference::Removed(item)),
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -87,7 +87,7 @@
     },
     /// Not one of the words allowed.
     #[snafu(display("'{found}' is not one of {allowed}"))]
-    Word {
+    NotAllowed {
         /// Word met.
         found: String,
         /// Words allowed.
@@ -95,7 +95,7 @@
     },
     /// Declared in two places.
     #[snafu(display("declared twice, first at {first}"))]
-    Twice {
+    Duplicate {
         /// First place.
         first: Place,
     },
@@ -114,19 +114,19 @@
     Empty,
     /// Text too long.
     #[snafu(display("longer than {most} characters"))]
-    Long {
+    TooLong {
         /// Most allowed.
         most: usize,
     },
     /// Id with other characters.
     #[snafu(display("'{id}' has characters outside a-z, 0-9, '.', '_' and '-'"))]
-    Characters {
+    InvalidCharacters {
         /// Id.
         id: String,
     },
     /// Not a SHA-256.
     #[snafu(display("'{hash}' is not a SHA-256 of 64 lower-case hex digits"))]
-    Hash {
+    InvalidHash {
         /// Text met.
         hash: String,
     },
@@ -138,7 +138,7 @@
     },
     /// Reference to nothing.
     #[snafu(display("'{target}' is not declared"))]
-    Unknown {
+    NotDeclared {
         /// Item referred to.
         target: String,
     },
@@ -152,25 +152,25 @@
     #[snafu(display(
         "'{prefix}' must start with '/', and not end with it or hold '//', '.' or '..' segments, '?', '#', '%' or '\\'"
     ))]
-    Prefix {
+    InvalidPrefix {
         /// Prefix.
         prefix: String,
     },
     /// Two routes alike.
     #[snafu(display("same method and prefix as route {first}"))]
-    SameRoute {
+    DuplicateRoute {
         /// First of them, from 0.
         first: usize,
     },
     /// Method not in capitals.
     #[snafu(display("'{method}' is not a method in capitals"))]
-    Method {
+    InvalidMethod {
         /// Method.
         method: String,
     },
     /// Default deadline above the longest.
     #[snafu(display("{found} is above longest_ms, {longest}"))]
-    Deadline {
+    DeadlineTooLong {
         /// Default, milliseconds.
         found: u64,
         /// Longest, milliseconds.
@@ -178,5 +178,5 @@
     },
     /// Both weights zero.
     #[snafu(display("stall and batch must not both be 0"))]
-    Weights,
+    ZeroWeights,
 }
--- a/crates/config/src/fold/adopt.rs
+++ b/crates/config/src/fold/adopt.rs
@@ -6,12 +6,12 @@
 use snafu::{ResultExt, Snafu};
 
 use super::Fold;
-use super::due::Mark;
+use super::due::SnapshotProgress;
 use super::event::{FoldEvent, GapError, short};
-use super::objection::Objection;
-use super::record::{Settled, Snapshot};
+use super::objection::SnapshotRejection;
+use super::record::{SettledChange, Snapshot};
 use super::view::{Checked, SnapshotView};
-use super::window::{WINDOW, Window};
+use super::window::{VERDICT_WINDOW, Window};
 use crate::state::State;
 
 /// A peer's snapshot that can't be used.
@@ -27,7 +27,7 @@
     #[snafu(display("step snapshot: {objection}"))]
     Unusable {
         /// Why.
-        objection: Objection,
+        objection: SnapshotRejection,
     },
 }
 
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// [`SnapshotError`] if it can't be used, or contradicts the state held.
-    pub fn adopt(&mut self, bytes: &[u8]) -> Result<bool, SnapshotError> {
+    pub fn adopt_snapshot(&mut self, bytes: &[u8]) -> Result<bool, SnapshotError> {
         let snapshot = decode::<Snapshot>(bytes).context(MalformedSnafu)?;
         if snapshot.next <= self.next {
             return Ok(false);
@@ -70,7 +70,7 @@
         }
         self.mark.cover(next, record.at);
         let revision = self.revision;
-        Ok(FoldEvent::Started { revision })
+        Ok(FoldEvent::Restored { revision })
     }
 
     /// Says whether a snapshot record agrees with the state held.
@@ -87,54 +87,54 @@
     pub(super) fn confirm(&self, record: &LogRecord, checked: &Checked) -> FoldEvent {
         let next = checked.next;
         if next > record.offset {
-            return FoldEvent::Ignored(Objection::Numbers);
+            return FoldEvent::Ignored(SnapshotRejection::InconsistentNumbers);
         }
         match self.window.at(next) {
-            None => FoldEvent::Ignored(Objection::Forgotten { next }),
+            None => FoldEvent::Ignored(SnapshotRejection::StateForgotten { next }),
             Some(known) if known == (checked.revision, checked.digest) => FoldEvent::Confirmed,
-            Some(_) => FoldEvent::Ignored(Objection::Mismatch { next }),
+            Some(_) => FoldEvent::Ignored(SnapshotRejection::StateMismatch { next }),
         }
     }
 
-    fn object(&self, offset: u64, snapshot: &SnapshotView) -> Option<Objection> {
+    fn object(&self, offset: u64, snapshot: &SnapshotView) -> Option<SnapshotRejection> {
         let next = snapshot.next;
         let numbers = Numbers::new(snapshot.revision, next, &snapshot.mark);
         if next > offset || !numbers.fit(&snapshot.window) {
-            return Some(Objection::Numbers);
+            return Some(SnapshotRejection::InconsistentNumbers);
         }
         let Some((revision, known)) = self.window.at(next) else {
-            return Some(Objection::Forgotten { next });
+            return Some(SnapshotRejection::StateForgotten { next });
         };
         let same = revision == snapshot.revision && known == snapshot.digest;
         if !same || !self.window.follows(&snapshot.window, next) {
-            return Some(Objection::Mismatch { next });
+            return Some(SnapshotRejection::StateMismatch { next });
         }
         // Others will start from the body, so that it must be what its digest says.
-        (snapshot.sum.digest() != snapshot.digest).then_some(Objection::Body)
+        (snapshot.sum.digest() != snapshot.digest).then_some(SnapshotRejection::DigestMismatch)
     }
 
-    fn advance_to(&mut self, snapshot: Snapshot) -> Result<(), Objection> {
+    fn advance_to(&mut self, snapshot: Snapshot) -> Result<(), SnapshotRejection> {
         let next = snapshot.next;
         let older = snapshot.revision < self.revision;
         let other = snapshot.revision == self.revision && snapshot.digest != self.digest();
         if older || other {
-            return Err(Objection::Mismatch { next });
+            return Err(SnapshotRejection::StateMismatch { next });
         }
         *self = Self::build(snapshot)?;
         Ok(())
     }
 
-    fn build(snapshot: Snapshot) -> Result<Self, Objection> {
+    fn build(snapshot: Snapshot) -> Result<Self, SnapshotRejection> {
         let numbers = Numbers::new(snapshot.revision, snapshot.next, &snapshot.mark);
         if !numbers.fit(&snapshot.window) {
-            return Err(Objection::Numbers);
+            return Err(SnapshotRejection::InconsistentNumbers);
         }
-        let state = State::new(snapshot.config).map_err(|faults| Objection::Faulty {
+        let state = State::new(snapshot.config).map_err(|faults| SnapshotRejection::Faulty {
             count: faults.len(),
             first: faults.first().map(short).unwrap_or_default(),
         })?;
         if state.digest() != snapshot.digest {
-            return Err(Objection::Body);
+            return Err(SnapshotRejection::DigestMismatch);
         }
         let mut window = Window::new(snapshot.revision, snapshot.digest);
         for settled in snapshot.window {
@@ -158,7 +158,7 @@
 }
 
 impl Numbers {
-    fn new(revision: u64, next: u64, mark: &Mark) -> Self {
+    fn new(revision: u64, next: u64, mark: &SnapshotProgress) -> Self {
         let covered = mark.covered;
         Self {
             revision,
@@ -168,12 +168,12 @@
     }
 
     /// Whether they may stand together, and with the window.
-    fn fit(&self, window: &[Settled]) -> bool {
+    fn fit(&self, window: &[SettledChange]) -> bool {
         let rising = window.is_sorted_by(|a, b| a.offset < b.offset);
         let within = window.last().is_none_or(|s| s.offset < self.next);
         let reached = self.revision <= self.next && self.covered <= self.next;
         let ids: BTreeSet<_> = window.iter().map(|s| &s.id).collect();
-        let unique = ids.len() == window.len() && window.len() <= WINDOW;
+        let unique = ids.len() == window.len() && window.len() <= VERDICT_WINDOW;
         rising && within && reached && unique
     }
 }
--- a/crates/config/src/fold/change.rs
+++ b/crates/config/src/fold/change.rs
@@ -1,16 +1,16 @@
 //! Verdicts on changes.
 
 use super::Fold;
-use super::event::{Cause, FoldEvent, Verdict, short};
-use super::record::{Change, Settled};
-use crate::model::Key;
+use super::event::{FoldEvent, RefusalCause, Verdict, short};
+use super::record::{Change, SettledChange};
+use crate::model::ItemKey;
 use crate::state::Denial;
 
 impl Fold {
     pub(super) fn judge(&mut self, offset: u64, change: Change) -> FoldEvent {
         let id = change.id.clone();
         if self.window.verdict(&id).is_some() {
-            return FoldEvent::Repeated { id };
+            return FoldEvent::AlreadySettled { id };
         }
         let result = self.try_change(&change);
         let verdict = match &result {
@@ -22,7 +22,7 @@
             Err(cause) => Verdict::Refused(cause.clone()),
         };
         let id = change.id;
-        let settled = Settled {
+        let settled = SettledChange {
             id: id.clone(),
             offset,
             verdict,
@@ -42,20 +42,20 @@
         }
     }
 
-    fn try_change(&mut self, change: &Change) -> Result<Vec<Key>, Cause> {
+    fn try_change(&mut self, change: &Change) -> Result<Vec<ItemKey>, RefusalCause> {
         if change.base != self.revision {
-            return Err(Cause::Stale {
+            return Err(RefusalCause::Stale {
                 base: change.base,
                 revision: self.revision,
             });
         }
         let result = self.state.advance(&change.delta, change.digest);
         result.map_err(|denial| match denial {
-            Denial::Delta(error) => Cause::Delta {
+            Denial::Delta(error) => RefusalCause::Delta {
                 detail: short(&error),
             },
-            Denial::Faults(faults) => Cause::faulty(&faults),
-            Denial::Digest => Cause::Digest,
+            Denial::Faults(faults) => RefusalCause::faulty(&faults),
+            Denial::Digest => RefusalCause::Digest,
         })
     }
 }
--- a/crates/config/src/fold/due.rs
+++ b/crates/config/src/fold/due.rs
@@ -27,7 +27,7 @@
 
 /// What came since the last snapshot in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct SnapshotProgress {
     /// Offset that it covers up to, 0 for none.
     pub covered: u64,
     /// Log's time of it, or of the first record without one, milliseconds since 1970.
@@ -40,7 +40,7 @@
     pub full: Option<u64>,
 }
 
-impl Mark {
+impl SnapshotProgress {
     /// Counts a record of the log.
     pub(super) fn count(&mut self, record: &LogRecord) {
         self.at.get_or_insert(record.at);
@@ -74,7 +74,7 @@
 
 /// A snapshot that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct DueSnapshot {
     /// Why.
     pub reason: DueReason,
     /// Since when, milliseconds since 1970.
@@ -83,11 +83,11 @@
     covered: u64,
 }
 
-impl Due {
+impl DueSnapshot {
     /// Time from which process `own` may append it; processes are the entries it knows of. Every
     /// process's time comes, also if those before it in rank are gone.
     #[must_use]
-    pub fn turn(&self, own: &VmId, entries: &BTreeSet<VmId>) -> u64 {
+    pub fn append_time(&self, own: &VmId, entries: &BTreeSet<VmId>) -> u64 {
         let mine = self.rank(own);
         let before = entries.iter().filter(|e| self.rank(e) < mine).count();
         let wait = TURN_MS.saturating_mul(before as u64);
@@ -108,13 +108,13 @@
     /// in milliseconds. One is due also if nothing was accepted yet: without it, no one could start
     /// once the records refused so far are trimmed.
     #[must_use]
-    pub fn snapshot_due(&self, now: u64, retention: u64) -> Option<Due> {
+    pub fn snapshot_due(&self, now: u64, retention: u64) -> Option<DueSnapshot> {
         let aged = self.mark.at?.saturating_add(retention / RETENTION_PART);
         let (since, reason) = match self.mark.full {
             Some(full) if full <= aged => (full, DueReason::Size),
             _ => (aged, DueReason::Age),
         };
-        (since <= now).then_some(Due {
+        (since <= now).then_some(DueSnapshot {
             reason,
             since,
             retention,
--- a/crates/config/src/fold/event.rs
+++ b/crates/config/src/fold/event.rs
@@ -3,10 +3,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use super::objection::Objection;
+use super::objection::SnapshotRejection;
 use super::record::ChangeId;
 use crate::fault::Fault;
-use crate::model::Key;
+use crate::model::ItemKey;
 
 const DETAIL_LEN: usize = 200;
 
@@ -19,12 +19,12 @@
         revision: u64,
     },
     /// Never in force.
-    Refused(Cause),
+    Refused(RefusalCause),
 }
 
 /// Why a change was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Snafu)]
-pub enum Cause {
+pub enum RefusalCause {
     /// Made from another revision than the one in force.
     #[snafu(display("made from revision {base}, but {revision} was in force"))]
     Stale {
@@ -52,7 +52,7 @@
     Digest,
 }
 
-impl Cause {
+impl RefusalCause {
     pub(super) fn faulty(faults: &[Fault]) -> Self {
         Self::Faulty {
             count: faults.len() as u64,
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FoldEvent {
     /// Seen before; nothing changed.
-    Old,
+    AlreadyApplied,
     /// Change in force.
     Accepted {
         /// Change.
@@ -78,29 +78,29 @@
         /// Its revision.
         revision: u64,
         /// Items it touched.
-        touched: Vec<Key>,
+        touched: Vec<ItemKey>,
     },
     /// Change refused.
     Refused {
         /// Change.
         id: ChangeId,
         /// Why.
-        cause: Cause,
+        cause: RefusalCause,
     },
     /// Change settled before; its first verdict holds.
-    Repeated {
+    AlreadySettled {
         /// Change.
         id: ChangeId,
     },
     /// Not a record; refused.
-    Garbage {
+    Malformed {
         /// Offset.
         offset: u64,
         /// Why.
         detail: String,
     },
     /// Record of a later format. The fold stays before it: this process must be upgraded.
-    Newer {
+    UnsupportedFormat {
         /// Offset.
         offset: u64,
         /// Format.
@@ -109,9 +109,9 @@
     /// Snapshot that agrees with this fold.
     Confirmed,
     /// Snapshot not used.
-    Ignored(Objection),
+    Ignored(SnapshotRejection),
     /// Snapshot that started this fold, or took it over a gap; read on from [`super::Fold::next`].
-    Started {
+    Restored {
         /// Revision in force now.
         revision: u64,
     },
--- a/crates/config/src/fold/mod.rs
+++ b/crates/config/src/fold/mod.rs
@@ -10,7 +10,7 @@
 //! not its beginning is still kept, and it says where to find the change.
 //!
 //! A change that comes twice (its author's retry after a lost reply) has one verdict, the first.
-//! The fold remembers the verdicts of the last [`WINDOW`] changes; the window is part of what
+//! The fold remembers the verdicts of the last [`VERDICT_WINDOW`] changes; the window is part of what
 //! snapshots carry, so that late readers give the same verdicts.
 //!
 //! A snapshot record of the log is checked by those who hold the state it covers, and starts those
@@ -39,12 +39,12 @@
 use window::Window;
 
 pub use adopt::SnapshotError;
-pub use due::{Due, DueReason, Mark};
-pub use event::{Cause, FoldEvent, GapError, Verdict};
-pub use objection::Objection;
-pub use record::{Change, ChangeId, ChangeIdError, Record, RecordError, Settled, Snapshot};
-pub use scan::Scan;
-pub use window::WINDOW;
+pub use due::{DueReason, DueSnapshot, SnapshotProgress};
+pub use event::{FoldEvent, GapError, RefusalCause, Verdict};
+pub use objection::SnapshotRejection;
+pub use record::{Change, ChangeId, ChangeIdError, Record, RecordError, SettledChange, Snapshot};
+pub use scan::SnapshotScan;
+pub use window::VERDICT_WINDOW;
 
 use event::GapSnafu;
 
@@ -55,7 +55,7 @@
     revision: u64,
     next: u64,
     window: Window,
-    mark: Mark,
+    mark: SnapshotProgress,
 }
 
 impl Default for Fold {
@@ -73,7 +73,7 @@
             revision: 0,
             next: 0,
             window: Window::default(),
-            mark: Mark::default(),
+            mark: SnapshotProgress::default(),
         }
     }
 
@@ -110,7 +110,7 @@
         self.next
     }
 
-    /// Verdict on a change, if it is among the last [`WINDOW`].
+    /// Verdict on a change, if it is among the last [`VERDICT_WINDOW`].
     #[must_use]
     pub fn verdict(&self, id: &ChangeId) -> Option<&Verdict> {
         self.window.verdict(id)
@@ -123,7 +123,7 @@
     /// reader needs those records or a snapshot.
     pub fn apply(&mut self, record: &LogRecord) -> Result<FoldEvent, GapError> {
         if record.offset < self.next {
-            return Ok(FoldEvent::Old);
+            return Ok(FoldEvent::AlreadyApplied);
         }
         if record.offset > self.next {
             return match Record::from_bytes(&record.data) {
@@ -132,9 +132,9 @@
             };
         }
         let decoded = RecordView::from_bytes(&record.data);
-        if let Err(RecordError::Newer { format }) = decoded {
+        if let Err(RecordError::UnsupportedFormat { format }) = decoded {
             let offset = record.offset;
-            return Ok(FoldEvent::Newer { offset, format });
+            return Ok(FoldEvent::UnsupportedFormat { offset, format });
         }
         self.next = record.offset.saturating_add(1);
         self.mark.count(record);
@@ -142,7 +142,7 @@
             Ok(RecordView::Change(change)) => self.judge(record.offset, *change),
             Ok(RecordView::Snapshot(view)) => self.compare(record, &view),
             Ok(RecordView::Checked(checked)) => self.confirm(record, &checked),
-            Err(error) => FoldEvent::Garbage {
+            Err(error) => FoldEvent::Malformed {
                 offset: record.offset,
                 detail: error.to_string(),
             },
@@ -157,7 +157,7 @@
     pub fn apply_scanned(
         &mut self,
         record: &LogRecord,
-        scan: Scan<'_>,
+        scan: SnapshotScan<'_>,
     ) -> Result<FoldEvent, GapError> {
         let Some(view) = scan.finish().filter(|_| record.offset == self.next) else {
             return self.apply(record);
--- a/crates/config/src/fold/objection.rs
+++ b/crates/config/src/fold/objection.rs
@@ -4,13 +4,13 @@
 
 /// Why a snapshot is not used.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum Objection {
+pub enum SnapshotRejection {
     /// Its numbers contradict each other or the record's offset.
     #[snafu(display("numbers contradict each other"))]
-    Numbers,
+    InconsistentNumbers,
     /// Its body has another digest than stated.
     #[snafu(display("body has another digest than stated"))]
-    Body,
+    DigestMismatch,
     /// Its configuration has faults.
     #[snafu(display("{count} faults, the first: {first}"))]
     Faulty {
@@ -21,13 +21,13 @@
     },
     /// It contradicts the state held here.
     #[snafu(display("contradicts the state at offset {next}"))]
-    Mismatch {
+    StateMismatch {
         /// Offset it claims to cover up to.
         next: u64,
     },
     /// It covers a state that is forgotten here.
     #[snafu(display("covers offset {next}, which is forgotten here"))]
-    Forgotten {
+    StateForgotten {
         /// Offset it claims to cover up to.
         next: u64,
     },
--- a/crates/config/src/fold/record.rs
+++ b/crates/config/src/fold/record.rs
@@ -12,7 +12,7 @@
 use serde_with::{Bytes, serde_as};
 use snafu::{ResultExt, Snafu, ensure};
 
-use super::due::Mark;
+use super::due::SnapshotProgress;
 use super::event::Verdict;
 use super::items;
 use crate::delta::Delta;
@@ -95,7 +95,7 @@
 
 /// A change that the log has settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Settled {
+pub struct SettledChange {
     /// Change.
     pub id: ChangeId,
     /// Offset of its record.
@@ -117,9 +117,9 @@
     #[serde(with = "items")]
     pub config: Config,
     /// Changes settled last, by offset.
-    pub window: Vec<Settled>,
+    pub window: Vec<SettledChange>,
     /// What the next snapshot waits for.
-    pub mark: Mark,
+    pub mark: SnapshotProgress,
 }
 
 /// Record of the `config` stream.
@@ -147,7 +147,7 @@
 pub enum RecordError {
     /// Written by a later version, which alone knows how to judge it.
     #[snafu(display("step record: format {format} is newer than {FORMAT}"))]
-    Newer {
+    UnsupportedFormat {
         /// Format.
         format: u32,
     },
@@ -214,6 +214,6 @@
         body,
     } = envelope;
     ensure!(magic == MAGIC, ForeignSnafu);
-    ensure!(format <= FORMAT, NewerSnafu { format });
+    ensure!(format <= FORMAT, UnsupportedFormatSnafu { format });
     Ok(body)
 }
--- a/crates/config/src/fold/scan.rs
+++ b/crates/config/src/fold/scan.rs
@@ -6,7 +6,7 @@
 
 use serde::de::DeserializeOwned;
 
-use super::record::{Settled, unseal};
+use super::record::{SettledChange, unseal};
 use super::view::SnapshotView;
 use crate::digest::{Digest, Sum};
 use crate::model::Item;
@@ -19,7 +19,7 @@
 
 /// A snapshot record that is read from the start on.
 #[derive(Debug)]
-pub struct Scan<'r> {
+pub struct SnapshotScan<'r> {
     rest: &'r [u8],
     left: u32,
     revision: u64,
@@ -28,7 +28,7 @@
     sum: Sum,
 }
 
-impl<'r> Scan<'r> {
+impl<'r> SnapshotScan<'r> {
     /// Scan of a record's bytes; `None` if it is no snapshot as written here.
     #[must_use]
     pub fn open(bytes: &'r [u8]) -> Option<Self> {
@@ -76,7 +76,7 @@
         if self.left > 0 {
             return None;
         }
-        let window: Vec<Settled> = field(&mut self.rest, "window")?;
+        let window: Vec<SettledChange> = field(&mut self.rest, "window")?;
         let mark = field(&mut self.rest, "mark")?;
         Some(SnapshotView {
             revision: self.revision,
--- a/crates/config/src/fold/view.rs
+++ b/crates/config/src/fold/view.rs
@@ -3,8 +3,8 @@
 use pumicecleat_types::encode;
 use serde::{Deserialize, Serialize};
 
-use super::due::Mark;
-use super::record::{Change, Settled, has_parted, open, seal};
+use super::due::SnapshotProgress;
+use super::record::{Change, SettledChange, has_parted, open, seal};
 use super::{Fold, RecordError, items};
 use crate::digest::{Digest, Sum};
 use crate::model::Config;
@@ -40,8 +40,8 @@
     pub(super) digest: Digest,
     #[serde(rename = "config", deserialize_with = "items::sum")]
     pub(super) sum: Sum,
-    pub(super) window: Vec<Settled>,
-    pub(super) mark: Mark,
+    pub(super) window: Vec<SettledChange>,
+    pub(super) mark: SnapshotProgress,
 }
 
 /// Snapshot written from a fold, with the fields of [`super::Snapshot`].
@@ -52,8 +52,8 @@
     digest: Digest,
     #[serde(serialize_with = "items::serialize")]
     config: &'f Config,
-    window: Vec<Settled>,
-    mark: &'f Mark,
+    window: Vec<SettledChange>,
+    mark: &'f SnapshotProgress,
 }
 
 /// Record written from a fold, with the variant of [`super::Record`].
--- a/crates/config/src/fold/window.rs
+++ b/crates/config/src/fold/window.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::event::Verdict;
-use super::record::{ChangeId, Settled};
+use super::record::{ChangeId, SettledChange};
 use crate::digest::Digest;
 
 /// Changes whose verdicts are remembered: more than half an hour of 39,000 a day.
-pub const WINDOW: usize = 1024;
+pub const VERDICT_WINDOW: usize = 1024;
 
 /// Last verdicts, oldest first.
 #[derive(Clone, Debug)]
 pub(super) struct Window {
-    settled: VecDeque<Settled>,
+    settled: VecDeque<SettledChange>,
     ids: BTreeMap<ChangeId, Verdict>,
     reached: BTreeMap<u64, Digest>,
 }
@@ -37,10 +37,10 @@
         self.ids.get(id)
     }
 
-    pub(super) fn push(&mut self, settled: Settled) {
+    pub(super) fn push(&mut self, settled: SettledChange) {
         self.ids.insert(settled.id.clone(), settled.verdict.clone());
         self.settled.push_back(settled);
-        if self.settled.len() > WINDOW {
+        if self.settled.len() > VERDICT_WINDOW {
             let oldest = self.settled.pop_front();
             oldest.map(|o| self.ids.remove(&o.id));
         }
@@ -49,7 +49,7 @@
     /// Notes a revision's digest.
     pub(super) fn reach(&mut self, revision: u64, digest: Digest) {
         self.reached.insert(revision, digest);
-        if self.reached.len() > WINDOW {
+        if self.reached.len() > VERDICT_WINDOW {
             self.reached.pop_first();
         }
     }
@@ -60,12 +60,12 @@
         Some((*revision, *digest))
     }
 
-    pub(super) fn to_vec(&self) -> Vec<Settled> {
+    pub(super) fn to_vec(&self) -> Vec<SettledChange> {
         self.settled.iter().cloned().collect()
     }
 
     /// Whether a window as of `next` may be followed by this one.
-    pub(super) fn follows(&self, earlier: &[Settled], next: u64) -> bool {
+    pub(super) fn follows(&self, earlier: &[SettledChange], next: u64) -> bool {
         let shared = self.settled.iter().take_while(|s| s.offset < next);
         let count = shared.clone().count();
         let Some(skipped) = earlier.len().checked_sub(count) else {
--- a/crates/config/src/key.rs
+++ b/crates/config/src/key.rs
@@ -44,13 +44,13 @@
     pub fn new(config: &Config) -> Self {
         let mut index = Self::default();
         for (id, caller) in &config.callers {
-            index.put(id, caller);
+            index.insert(id, caller);
         }
         index
     }
 
     /// Adds a caller's keys.
-    pub fn put(&mut self, id: &CallerId, caller: &Caller) {
+    pub fn insert(&mut self, id: &CallerId, caller: &Caller) {
         for hash in &caller.keys {
             let bucket = self.buckets.entry(prefix(hash).to_owned()).or_default();
             bucket.push((hash.clone(), id.clone()));
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -44,8 +44,9 @@
 pub use digest::{Digest, digest};
 pub use fault::{Fault, Faults, Place, Problem};
 pub use fold::{
-    Cause, Change, ChangeId, ChangeIdError, Due, DueReason, Fold, FoldEvent, GapError, Mark,
-    Objection, Record, RecordError, Scan, Settled, Snapshot, SnapshotError, Verdict, WINDOW,
+    Change, ChangeId, ChangeIdError, DueReason, DueSnapshot, Fold, FoldEvent, GapError, Record,
+    RecordError, RefusalCause, SettledChange, Snapshot, SnapshotError, SnapshotProgress,
+    SnapshotRejection, SnapshotScan, VERDICT_WINDOW, Verdict,
 };
 pub use key::{KeyIndex, hash_key};
 pub use parse::{Source, parse};
--- a/crates/config/src/model/adapter.rs
+++ b/crates/config/src/model/adapter.rs
@@ -7,7 +7,7 @@
 
 /// Base model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Base {
+pub struct BaseModel {
     /// Longest context, tokens.
     pub context: u32,
 }
--- a/crates/config/src/model/caller.rs
+++ b/crates/config/src/model/caller.rs
@@ -34,14 +34,14 @@
 impl Caller {
     /// Whether it may reach an adapter.
     #[must_use]
-    pub fn may_adapter(&self, adapter: &AdapterId) -> bool {
+    pub fn may_use_adapter(&self, adapter: &AdapterId) -> bool {
         let grant = &self.grant;
         grant.all || grant.adapters.contains(adapter) || grant.starts(adapter.as_str())
     }
 
     /// Whether it may reach a service.
     #[must_use]
-    pub fn may_service(&self, service: &ServiceId) -> bool {
+    pub fn may_use_service(&self, service: &ServiceId) -> bool {
         self.grant.services.contains(service)
     }
 }
--- a/crates/config/src/model/item.rs
+++ b/crates/config/src/model/item.rs
@@ -6,11 +6,11 @@
 use pumicecleat_types::{AdapterId, BaseId, CallerId, PoolId, ServiceId, VersionId};
 use serde::{Deserialize, Serialize};
 
-use super::{Adapter, Base, Caller, Config, Limits, Pool, Service, Tuning, Version};
+use super::{Adapter, BaseModel, Caller, Config, Limits, Pool, Service, Tuning, Version};
 
 /// Name of an item; displayed as the path of its table.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Key {
+pub enum ItemKey {
     /// Base model.
     Base(BaseId),
     /// Adapter, without its versions.
@@ -29,7 +29,7 @@
     Limits,
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for ItemKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Base(id) => write!(f, "base.{id}"),
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
     /// Base model.
-    Base(BaseId, Base),
+    Base(BaseId, BaseModel),
     /// Adapter, without its versions.
     Adapter {
         /// Adapter.
@@ -75,16 +75,16 @@
 impl Item {
     /// Key of the item.
     #[must_use]
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> ItemKey {
         match self {
-            Self::Base(id, _) => Key::Base(id.clone()),
-            Self::Adapter { id, .. } => Key::Adapter(id.clone()),
-            Self::Version(id, version, _) => Key::Version(id.clone(), version.clone()),
-            Self::Caller(id, _) => Key::Caller(id.clone()),
-            Self::Pool(id, _) => Key::Pool(id.clone()),
-            Self::Service(id, _) => Key::Service(id.clone()),
-            Self::Tuning(_) => Key::Tuning,
-            Self::Limits(_) => Key::Limits,
+            Self::Base(id, _) => ItemKey::Base(id.clone()),
+            Self::Adapter { id, .. } => ItemKey::Adapter(id.clone()),
+            Self::Version(id, version, _) => ItemKey::Version(id.clone(), version.clone()),
+            Self::Caller(id, _) => ItemKey::Caller(id.clone()),
+            Self::Pool(id, _) => ItemKey::Pool(id.clone()),
+            Self::Service(id, _) => ItemKey::Service(id.clone()),
+            Self::Tuning(_) => ItemKey::Tuning,
+            Self::Limits(_) => ItemKey::Limits,
         }
     }
 
@@ -100,57 +100,57 @@
 impl Config {
     /// Item under a key.
     #[must_use]
-    pub fn item(&self, key: &Key) -> Option<Item> {
+    pub fn item(&self, key: &ItemKey) -> Option<Item> {
         match key {
-            Key::Base(id) => Some(Item::Base(id.clone(), self.bases.get(id)?.clone())),
-            Key::Adapter(id) => Some(Item::of_adapter(id, self.adapters.get(id)?)),
-            Key::Version(id, version) => {
+            ItemKey::Base(id) => Some(Item::Base(id.clone(), self.bases.get(id)?.clone())),
+            ItemKey::Adapter(id) => Some(Item::of_adapter(id, self.adapters.get(id)?)),
+            ItemKey::Version(id, version) => {
                 let found = self.adapters.get(id)?.versions.get(version)?;
                 Some(Item::Version(id.clone(), version.clone(), found.clone()))
             }
-            Key::Caller(id) => {
+            ItemKey::Caller(id) => {
                 let caller = Box::new(self.callers.get(id)?.clone());
                 Some(Item::Caller(id.clone(), caller))
             }
-            Key::Pool(id) => Some(Item::Pool(id.clone(), self.pools.get(id)?.clone())),
-            Key::Service(id) => Some(Item::Service(id.clone(), self.services.get(id)?.clone())),
-            Key::Tuning => Some(Item::Tuning(self.tuning)),
-            Key::Limits => Some(Item::Limits(self.limits)),
+            ItemKey::Pool(id) => Some(Item::Pool(id.clone(), self.pools.get(id)?.clone())),
+            ItemKey::Service(id) => Some(Item::Service(id.clone(), self.services.get(id)?.clone())),
+            ItemKey::Tuning => Some(Item::Tuning(self.tuning)),
+            ItemKey::Limits => Some(Item::Limits(self.limits)),
         }
     }
 
     /// Whether an item stands under a key.
     #[must_use]
-    pub fn holds(&self, key: &Key) -> bool {
+    pub fn contains(&self, key: &ItemKey) -> bool {
         match key {
-            Key::Base(id) => self.bases.contains_key(id),
-            Key::Adapter(id) => self.adapters.contains_key(id),
-            Key::Version(id, version) => self
+            ItemKey::Base(id) => self.bases.contains_key(id),
+            ItemKey::Adapter(id) => self.adapters.contains_key(id),
+            ItemKey::Version(id, version) => self
                 .adapters
                 .get(id)
                 .is_some_and(|a| a.versions.contains_key(version)),
-            Key::Caller(id) => self.callers.contains_key(id),
-            Key::Pool(id) => self.pools.contains_key(id),
-            Key::Service(id) => self.services.contains_key(id),
-            Key::Tuning | Key::Limits => true,
+            ItemKey::Caller(id) => self.callers.contains_key(id),
+            ItemKey::Pool(id) => self.pools.contains_key(id),
+            ItemKey::Service(id) => self.services.contains_key(id),
+            ItemKey::Tuning | ItemKey::Limits => true,
         }
     }
 
     /// Keys of all items, in order.
-    pub fn keys(&self) -> impl Iterator<Item = Key> + '_ {
-        let bases = self.bases.keys().cloned().map(Key::Base);
-        let adapters = self.adapters.keys().cloned().map(Key::Adapter);
+    pub fn keys(&self) -> impl Iterator<Item = ItemKey> + '_ {
+        let bases = self.bases.keys().cloned().map(ItemKey::Base);
+        let adapters = self.adapters.keys().cloned().map(ItemKey::Adapter);
         let versions = self.adapters.iter().flat_map(version_keys);
-        let callers = self.callers.keys().cloned().map(Key::Caller);
-        let pools = self.pools.keys().cloned().map(Key::Pool);
-        let services = self.services.keys().cloned().map(Key::Service);
+        let callers = self.callers.keys().cloned().map(ItemKey::Caller);
+        let pools = self.pools.keys().cloned().map(ItemKey::Pool);
+        let services = self.services.keys().cloned().map(ItemKey::Service);
         bases
             .chain(adapters)
             .chain(versions)
             .chain(callers)
             .chain(pools)
             .chain(services)
-            .chain([Key::Tuning, Key::Limits])
+            .chain([ItemKey::Tuning, ItemKey::Limits])
     }
 
     /// All items, in the order of their keys.
@@ -196,24 +196,26 @@
     }
 
     /// Takes the item under a key out. Tuning and limits stay: they always stand.
-    pub(crate) fn remove(&mut self, key: &Key) {
+    pub(crate) fn remove(&mut self, key: &ItemKey) {
         match key {
-            Key::Base(id) => drop(self.bases.remove(id)),
-            Key::Adapter(id) => drop(self.adapters.remove(id)),
-            Key::Version(id, version) => {
+            ItemKey::Base(id) => drop(self.bases.remove(id)),
+            ItemKey::Adapter(id) => drop(self.adapters.remove(id)),
+            ItemKey::Version(id, version) => {
                 if let Some(adapter) = self.adapters.get_mut(id) {
                     adapter.versions.remove(version);
                 }
             }
-            Key::Caller(id) => drop(self.callers.remove(id)),
-            Key::Pool(id) => drop(self.pools.remove(id)),
-            Key::Service(id) => drop(self.services.remove(id)),
-            Key::Tuning | Key::Limits => {}
+            ItemKey::Caller(id) => drop(self.callers.remove(id)),
+            ItemKey::Pool(id) => drop(self.pools.remove(id)),
+            ItemKey::Service(id) => drop(self.services.remove(id)),
+            ItemKey::Tuning | ItemKey::Limits => {}
         }
     }
 }
 
-fn version_keys<'a>((id, adapter): (&'a AdapterId, &'a Adapter)) -> impl Iterator<Item = Key> + 'a {
+fn version_keys<'a>(
+    (id, adapter): (&'a AdapterId, &'a Adapter),
+) -> impl Iterator<Item = ItemKey> + 'a {
     let versions = adapter.versions.keys().cloned();
-    versions.map(|version| Key::Version(id.clone(), version))
+    versions.map(|version| ItemKey::Version(id.clone(), version))
 }
--- a/crates/config/src/model/mod.rs
+++ b/crates/config/src/model/mod.rs
@@ -13,11 +13,11 @@
 use pumicecleat_types::{AdapterId, BaseId, CallerId, PoolId, ServiceId};
 use serde::{Deserialize, Serialize};
 
-pub use adapter::{Adapter, Base, Version};
+pub use adapter::{Adapter, BaseModel, Version};
 pub use caller::{Caller, Grant};
-pub use item::{Item, Key};
+pub use item::{Item, ItemKey};
 pub use pool::{Pool, PoolKind};
-pub use service::{KeyRule, Route, Service};
+pub use service::{IdempotencyKeyRule, Route, Service};
 pub use tuning::{Limits, Tuning};
 pub use versions::Versions;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// Base models.
-    pub bases: BTreeMap<BaseId, Base>,
+    pub bases: BTreeMap<BaseId, BaseModel>,
     /// Adapters.
     pub adapters: BTreeMap<AdapterId, Adapter>,
     /// Callers.
--- a/crates/config/src/model/service.rs
+++ b/crates/config/src/model/service.rs
@@ -22,13 +22,13 @@
     /// May be sent again.
     pub idempotent: bool,
     /// Rule for the `Idempotency-Key` of a route that is not idempotent.
-    pub key: KeyRule,
+    pub key: IdempotencyKeyRule,
 }
 
 /// Whether a call that may not be repeated must carry a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum KeyRule {
+pub enum IdempotencyKeyRule {
     /// Refused without one.
     #[default]
     Required,
--- a/crates/config/src/parse/declare.rs
+++ b/crates/config/src/parse/declare.rs
@@ -9,8 +9,8 @@
 use super::value::{Value, entries};
 use crate::fault::Problem;
 use crate::model::{
-    Adapter, Base, Caller, Config, Grant, KeyRule, Limits, Pool, PoolKind, Route, Service, Tuning,
-    Version, Versions,
+    Adapter, BaseModel, Caller, Config, Grant, IdempotencyKeyRule, Limits, Pool, PoolKind, Route,
+    Service, Tuning, Version, Versions,
 };
 
 const QUEUE: u32 = 256;
@@ -93,8 +93,8 @@
     }
 }
 
-fn scan_base(mut fields: Fields<'_, '_>) -> Base {
-    let base = Base {
+fn scan_base(mut fields: Fields<'_, '_>) -> BaseModel {
+    let base = BaseModel {
         context: fields.count("context"),
     };
     fields.finish();
@@ -206,11 +206,11 @@
     let prefix = fields.string("prefix").to_owned();
     let idempotent = fields.flag("idempotent");
     let key = match fields.optional("key") {
-        None | Some("required") => KeyRule::Required,
-        Some("optional") => KeyRule::Optional,
+        None | Some("required") => IdempotencyKeyRule::Required,
+        Some("optional") => IdempotencyKeyRule::Optional,
         Some(word) => {
             fields.word("key", word, KEY_RULES);
-            KeyRule::default()
+            IdempotencyKeyRule::default()
         }
     };
     fields.finish();
--- a/crates/config/src/parse/fields.rs
+++ b/crates/config/src/parse/fields.rs
@@ -155,7 +155,7 @@
         let found = word.to_owned();
         let place = place.unwrap_or_else(|| self.place.clone());
         self.notes
-            .fault(&path, place, Problem::Word { found, allowed });
+            .fault(&path, place, Problem::NotAllowed { found, allowed });
     }
 
     /// Tables below a field by name, each declared once.
--- a/crates/config/src/parse/notes.rs
+++ b/crates/config/src/parse/notes.rs
@@ -41,7 +41,7 @@
             self.places.insert(path.to_owned(), place);
             return;
         };
-        self.fault(path, place, Problem::Twice { first });
+        self.fault(path, place, Problem::Duplicate { first });
     }
 
     pub(super) fn fault(&mut self, path: &str, place: Place, problem: Problem) {
--- a/crates/config/src/parse/source.rs
+++ b/crates/config/src/parse/source.rs
@@ -85,7 +85,7 @@
             Some(line) => self.place_of(line),
             None => self.first_key(span, root)?,
         };
-        Some(Problem::Twice { first })
+        Some(Problem::Duplicate { first })
     }
 
     /// First line with the same table header as `line`, if that is one and another comes first.
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -7,7 +7,7 @@
 use crate::delta::{Delta, DeltaError};
 use crate::digest::{Digest, Sum};
 use crate::fault::Fault;
-use crate::model::{Config, Item, Key};
+use crate::model::{Config, Item, ItemKey};
 
 /// Why a delta can't be taken in.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
 }
 
 /// Item as it was before a step. Boxed, as a first change has very many steps and no such items.
-type Undo = (Key, Option<Box<Item>>);
+type Undo = (ItemKey, Option<Box<Item>>);
 
 /// Configuration in force.
 #[derive(Clone, Debug, Default)]
@@ -81,7 +81,11 @@
 
     /// Takes a delta in if its result is free of faults and has the digest; else all stays.
     /// Gives the keys it touched.
-    pub(crate) fn advance(&mut self, delta: &Delta, digest: Digest) -> Result<Vec<Key>, Denial> {
+    pub(crate) fn advance(
+        &mut self,
+        delta: &Delta,
+        digest: Digest,
+    ) -> Result<Vec<ItemKey>, Denial> {
         let mut undo = Vec::new();
         if let Err(denial) = self.try_advance(delta, digest, &mut undo) {
             for (key, old) in undo.into_iter().rev() {
@@ -89,7 +93,7 @@
             }
             return Err(denial);
         }
-        let mut touched: Vec<Key> = undo.into_iter().map(|(key, _)| key).collect();
+        let mut touched: Vec<ItemKey> = undo.into_iter().map(|(key, _)| key).collect();
         touched.sort_unstable();
         Ok(touched)
     }
@@ -109,7 +113,7 @@
         if self.digest() != digest {
             return Err(Denial::Digest);
         }
-        let mut wide: BTreeSet<Key> = undo.iter().map(|(key, _)| key.clone()).collect();
+        let mut wide: BTreeSet<ItemKey> = undo.iter().map(|(key, _)| key.clone()).collect();
         self.links.widen(&self.config, &mut wide);
         let items = wide.iter().filter_map(|key| self.config.item(key));
         let faults = check_items(&self.config, &self.links, items);
@@ -120,7 +124,7 @@
         }
     }
 
-    fn set(&mut self, key: &Key, item: Option<Item>) -> Option<Item> {
+    fn set(&mut self, key: &ItemKey, item: Option<Item>) -> Option<Item> {
         let old = self.config.item(key);
         if let Some(old) = &old {
             self.sum.sub(old);
--- a/crates/config/tests/back.rs
+++ b/crates/config/tests/back.rs
@@ -36,7 +36,10 @@
     change(&mut newer, 2_048);
     for offset in 1..4 {
         let event = older.apply(&record(offset, b"no record".to_vec()));
-        assert!(matches!(event, Ok(FoldEvent::Garbage { .. })), "{event:?}");
+        assert!(
+            matches!(event, Ok(FoldEvent::Malformed { .. })),
+            "{event:?}"
+        );
     }
     (newer, older)
 }
@@ -49,7 +52,7 @@
 const CASES: [Case; 2] = [
     Case {
         name: "from a peer",
-        give: |newer, older| newer.adopt(&older.snapshot_bytes()).is_err(),
+        give: |newer, older| newer.adopt_snapshot(&older.snapshot_bytes()).is_err(),
     },
     Case {
         name: "in the log, behind a gap",
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -61,10 +61,10 @@
     let (offset, at) = (0, 0);
     let mut fold = Fold::new();
     let event = fold.apply(&LogRecord { offset, at, data }).unwrap();
-    if matches!(event, FoldEvent::Garbage { .. }) {
+    if matches!(event, FoldEvent::Malformed { .. }) {
         assert_eq!(fold.revision(), 0);
     }
-    let newer = matches!(event, FoldEvent::Newer { .. });
+    let newer = matches!(event, FoldEvent::UnsupportedFormat { .. });
     assert_eq!(fold.next(), u64::from(!newer));
 }
 
--- a/crates/config/tests/due.rs
+++ b/crates/config/tests/due.rs
@@ -25,6 +25,6 @@
         data: fold.snapshot_record(),
     };
     let mut late = Fold::new();
-    assert_eq!(late.apply(&record), Ok(FoldEvent::Started { revision: 0 }));
+    assert_eq!(late.apply(&record), Ok(FoldEvent::Restored { revision: 0 }));
     assert_eq!(late.next(), 1);
 }
--- a/crates/config/tests/fold/main.rs
+++ b/crates/config/tests/fold/main.rs
@@ -77,7 +77,7 @@
         reader.read(&log[..behind.index(log.len())], 0);
         let newer = peer.fold.next() > reader.fold.next();
         let most = peer.fold.next().max(reader.fold.next());
-        let adopted = reader.fold.adopt(&peer.fold.snapshot_bytes()).unwrap();
+        let adopted = reader.fold.adopt_snapshot(&peer.fold.snapshot_bytes()).unwrap();
         prop_assert_eq!(adopted, newer);
         prop_assert_eq!(reader.fold.next(), most);
         prop_assert_eq!(reader.differs(truth(&world, &reader)), None);
--- a/crates/config/tests/fold/naive.rs
+++ b/crates/config/tests/fold/naive.rs
@@ -4,9 +4,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pumicecleat_config::model::{Config, Item, Key, PoolKind};
+use pumicecleat_config::model::{Config, Item, ItemKey, PoolKind};
 use pumicecleat_config::{
-    Cause, Change, ChangeId, Delta, Mark, Record, Settled, Snapshot, Verdict, check, digest,
+    Change, ChangeId, Delta, Record, RefusalCause, SettledChange, Snapshot, SnapshotProgress,
+    Verdict, check, digest,
 };
 use pumicecleat_types::LogRecord;
 
@@ -76,27 +77,27 @@
         self.settled.insert(change.id.clone(), (offset, verdict));
     }
 
-    fn result(&self, change: &Change, rule: Rule) -> Result<Config, Cause> {
+    fn result(&self, change: &Change, rule: Rule) -> Result<Config, RefusalCause> {
         let revision = self.revision;
         let base = change.base;
         if base != revision && rule != Rule::AnyBase {
-            return Err(Cause::Stale { base, revision });
+            return Err(RefusalCause::Stale { base, revision });
         }
         let applied = change.delta.apply(&self.config);
-        let result = applied.map_err(|e| Cause::Delta {
+        let result = applied.map_err(|e| RefusalCause::Delta {
             detail: short(&e.to_string()),
         })?;
         assert_eq!(result, rebuild(&self.config, &change.delta));
         assert!(keeps_parts(&self.config, &result));
         if digest(&result) != change.digest && rule != Rule::AnyDigest {
-            return Err(Cause::Digest);
+            return Err(RefusalCause::Digest);
         }
         let faults = check(&result);
         if faults.is_empty() {
             assert!(is_closed(&result));
         }
         match faults.first() {
-            Some(first) if rule != Rule::AnyResult => Err(Cause::Faulty {
+            Some(first) if rule != Rule::AnyResult => Err(RefusalCause::Faulty {
                 count: faults.len() as u64,
                 first: short(&first.to_string()),
             }),
@@ -106,7 +107,7 @@
 
     /// Snapshot of the state.
     pub fn snapshot(&self) -> Snapshot {
-        let settle = |(id, (offset, verdict)): (&ChangeId, &(u64, Verdict))| Settled {
+        let settle = |(id, (offset, verdict)): (&ChangeId, &(u64, Verdict))| SettledChange {
             id: id.clone(),
             offset: *offset,
             verdict: verdict.clone(),
@@ -119,7 +120,7 @@
             digest: digest(&self.config),
             config: self.config.clone(),
             window,
-            mark: Mark::default(),
+            mark: SnapshotProgress::default(),
         }
     }
 }
@@ -130,7 +131,7 @@
 
 /// Result of a delta, by a list of all items.
 fn rebuild(config: &Config, delta: &Delta) -> Config {
-    let mut items: BTreeMap<Key, Item> = config.items().map(|i| (i.key(), i)).collect();
+    let mut items: BTreeMap<ItemKey, Item> = config.items().map(|i| (i.key(), i)).collect();
     items.retain(|key, _| !delta.removed.contains(key));
     items.extend(delta.put.iter().map(|item| (item.key(), item.clone())));
     let all = Delta {
--- a/crates/config/tests/fold/reader.rs
+++ b/crates/config/tests/fold/reader.rs
@@ -1,6 +1,6 @@
 //! Readers of a log: in order or with repeats, from its start, a trimmed log or a peer.
 
-use pumicecleat_config::{Fold, FoldEvent, GapError, Record, Scan};
+use pumicecleat_config::{Fold, FoldEvent, GapError, Record, SnapshotScan};
 use pumicecleat_types::{LogRecord, encode};
 
 use crate::naive::Naive;
@@ -49,7 +49,7 @@
             ..record.clone()
         };
         if self.kind == Kind::Sliced
-            && let Some(mut scan) = Scan::open(&record.data)
+            && let Some(mut scan) = SnapshotScan::open(&record.data)
         {
             while scan.step(1) {}
             return self.fold.apply_scanned(record, scan);
@@ -59,7 +59,7 @@
                 if let Ok(fold) = Fold::from_snapshot(&encode(&s)) {
                     self.fold = fold;
                 }
-                Ok(FoldEvent::Old)
+                Ok(FoldEvent::AlreadyApplied)
             }
             (Kind::SkipGaps, _) if record.offset > next => self.fold.apply(&moved),
             (Kind::Reread, _) if record.offset < next => self.fold.apply(&moved),
@@ -73,7 +73,7 @@
         while let Some(record) = log.get(at) {
             at += 1;
             let before = self.fold.next();
-            if let Ok(FoldEvent::Started { .. }) = self.apply(record) {
+            if let Ok(FoldEvent::Restored { .. }) = self.apply(record) {
                 assert!(self.fold.next() > before, "would read for ever");
                 at = first.max(usize::try_from(self.fold.next()).unwrap());
             }
--- a/crates/config/tests/fold/world.rs
+++ b/crates/config/tests/fold/world.rs
@@ -3,7 +3,8 @@
 use proptest::prelude::*;
 use proptest::sample::Index;
 use pumicecleat_config::model::{
-    Adapter, Base, Caller, Config, Grant, KeyRule, Pool, PoolKind, Route, Service, Version,
+    Adapter, BaseModel, Caller, Config, Grant, IdempotencyKeyRule, Pool, PoolKind, Route, Service,
+    Version,
 };
 use pumicecleat_config::{Change, ChangeId, Record, Snapshot, digest, hash_key};
 use pumicecleat_types::LogRecord;
@@ -194,7 +195,7 @@
     let Edit { kind, a, b } = edit;
     let (x, y) = (a.to_string(), b.to_string());
     match kind {
-        0 => drop(config.bases.insert(x.into(), Base { context: 10 })),
+        0 => drop(config.bases.insert(x.into(), BaseModel { context: 10 })),
         1 => drop(config.bases.remove(x.as_str())),
         2 | 3 => put_adapter(config, &x, &y),
         4 => drop(config.adapters.remove(x.as_str())),
@@ -271,7 +272,7 @@
         method: None,
         prefix: "/".to_owned(),
         idempotent: false,
-        key: KeyRule::Required,
+        key: IdempotencyKeyRule::Required,
     };
     Service {
         pool: pool.into(),
--- a/crates/config/tests/model/reader.rs
+++ b/crates/config/tests/model/reader.rs
@@ -1,7 +1,7 @@
 //! A reader of the small world: the real fold and the driver's few variables, with the reader's
 //! mutants.
 
-use pumicecleat_config::{Fold, FoldEvent, GapError, Mark, Record, Snapshot};
+use pumicecleat_config::{Fold, FoldEvent, GapError, Record, Snapshot, SnapshotProgress};
 use pumicecleat_types::{LogRecord, encode};
 
 use crate::world::Slip;
@@ -9,7 +9,7 @@
 /// What a fold tells others: all but when the next snapshot is due.
 pub fn fact(fold: &Fold) -> Snapshot {
     Snapshot {
-        mark: Mark::default(),
+        mark: SnapshotProgress::default(),
         ..fold.snapshot()
     }
 }
@@ -48,7 +48,7 @@
         let event = self.apply(record, slip);
         let next = self.fold.next();
         self.cursor = next.max(record.offset + 1);
-        if let Ok(FoldEvent::Started { .. }) = event {
+        if let Ok(FoldEvent::Restored { .. }) = event {
             self.origin = next;
             self.cursor = next.max(first);
         }
@@ -66,7 +66,7 @@
         if self.fold.next() == 0 {
             self.fold = Fold::from_snapshot(bytes).unwrap();
         } else {
-            assert!(self.fold.adopt(bytes).unwrap());
+            assert!(self.fold.adopt_snapshot(bytes).unwrap());
         }
         self.origin = self.fold.next();
         self.cursor = self.origin.max(first);
--- a/crates/config/tests/model/world.rs
+++ b/crates/config/tests/model/world.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pumicecleat_config::model::{Adapter, Base, Config, Version};
+use pumicecleat_config::model::{Adapter, BaseModel, Config, Version};
 use pumicecleat_config::{Change, ChangeId, Fold, Record, Snapshot, Verdict};
 use pumicecleat_types::LogRecord;
 
@@ -86,7 +86,7 @@
 // Goals overwrite one item, so that a stale delta still gives the digest it states.
 fn goal(from: &Config, name: &str) -> Config {
     let mut goal = from.clone();
-    goal.bases.insert("m".into(), Base { context: 8 });
+    goal.bases.insert("m".into(), BaseModel { context: 8 });
     let adapter = goal.adapters.entry("x".into()).or_insert(Adapter {
         base: "m".into(),
         default: None,
--- a/crates/config/tests/tables.rs
+++ b/crates/config/tests/tables.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use pumicecleat_config::model::{Config, Key, Limits};
+use pumicecleat_config::model::{Config, ItemKey, Limits};
 use pumicecleat_config::{
-    Change, ChangeId, Delta, DueReason, Fold, FoldEvent, KeyIndex, Objection, Record, Snapshot,
-    Source, WINDOW, diff, digest, hash_key, parse,
+    Change, ChangeId, Delta, DueReason, Fold, FoldEvent, KeyIndex, Record, Snapshot,
+    SnapshotRejection, Source, VERDICT_WINDOW, diff, digest, hash_key, parse,
 };
 use pumicecleat_types::{LogRecord, Lora, VmId, encode};
 
@@ -80,8 +80,8 @@
     let config = sample();
     for case in GRANTS {
         let caller = &config.callers[case.caller];
-        let adapter = caller.may_adapter(&case.adapter.into());
-        let service = caller.may_service(&case.service.into());
+        let adapter = caller.may_use_adapter(&case.adapter.into());
+        let service = caller.may_use_service(&case.service.into());
         assert_eq!((adapter, service), case.want, "{}", case.caller);
     }
 }
@@ -112,7 +112,7 @@
     let near = format!("{:0<64}", &hash_key("near key")[..16]);
     let mut caller = config.callers["front-desk"].clone();
     caller.keys = [near].into();
-    index.put(&"near".into(), &caller);
+    index.insert(&"near".into(), &caller);
     assert_eq!(index.caller("near key"), None);
     for (id, caller) in &config.callers {
         index.remove(id, caller);
@@ -184,18 +184,18 @@
 
 struct DeltaCase {
     /// Keys taken out.
-    removed: fn() -> Vec<Key>,
+    removed: fn() -> Vec<ItemKey>,
     /// Keys of the sample whose items are put in again.
-    put: fn() -> Vec<Key>,
+    put: fn() -> Vec<ItemKey>,
     want: Result<(), &'static str>,
 }
 
-fn itinerary() -> Key {
-    Key::Adapter("itinerary".into())
+fn itinerary() -> ItemKey {
+    ItemKey::Adapter("itinerary".into())
 }
 
-fn version(name: &str) -> Key {
-    Key::Version("itinerary".into(), name.into())
+fn version(name: &str) -> ItemKey {
+    ItemKey::Version("itinerary".into(), name.into())
 }
 
 #[rustfmt::skip]
@@ -215,7 +215,7 @@
     },
     DeltaCase {
         removed: || vec![itinerary(), version("v6"), version("v7")],
-        put: || vec![Key::Version("itinerary".into(), "v6".into())],
+        put: || vec![ItemKey::Version("itinerary".into(), "v6".into())],
         want: Err("step delta: 'adapter.itinerary.version.v6' is out of order or comes twice"),
     },
     DeltaCase {
@@ -227,7 +227,7 @@
         want: Err("step delta: 'adapter.itinerary.version.v6' is out of order or comes twice"),
     },
     DeltaCase {
-        removed: || vec![Key::Limits], put: Vec::new,
+        removed: || vec![ItemKey::Limits], put: Vec::new,
         want: Err("step delta: 'limits' can't be removed"),
     },
 ];
@@ -280,23 +280,23 @@
     SnapshotCase { edit: |_| {}, want: |e| *e == FoldEvent::Confirmed },
     SnapshotCase {
         edit: |s| { s.config.limits.body = 9; s.digest = digest(&s.config); },
-        want: |e| matches!(e, FoldEvent::Ignored(Objection::Mismatch { .. })),
+        want: |e| matches!(e, FoldEvent::Ignored(SnapshotRejection::StateMismatch { .. })),
     },
     SnapshotCase {
         edit: |s| s.window.clear(),
-        want: |e| matches!(e, FoldEvent::Ignored(Objection::Mismatch { .. })),
+        want: |e| matches!(e, FoldEvent::Ignored(SnapshotRejection::StateMismatch { .. })),
     },
     SnapshotCase {
         edit: |s| s.config.limits.body = 9,
-        want: |e| matches!(e, FoldEvent::Ignored(Objection::Body)),
+        want: |e| matches!(e, FoldEvent::Ignored(SnapshotRejection::DigestMismatch)),
     },
     SnapshotCase {
         edit: |s| s.revision = s.next + 1,
-        want: |e| matches!(e, FoldEvent::Ignored(Objection::Numbers)),
+        want: |e| matches!(e, FoldEvent::Ignored(SnapshotRejection::InconsistentNumbers)),
     },
     SnapshotCase {
         edit: |s| { s.next = 0; s.revision = 0; s.window.clear(); },
-        want: |e| matches!(e, FoldEvent::Ignored(Objection::Forgotten { .. })),
+        want: |e| matches!(e, FoldEvent::Ignored(SnapshotRejection::StateForgotten { .. })),
     },
 ];
 
@@ -357,10 +357,14 @@
         let mut fold = origin.clone();
         let mut state = origin.snapshot();
         (case.edit)(&mut state);
-        assert_eq!(fold.adopt(&encode(&state)).ok(), case.want, "case {i}");
+        assert_eq!(
+            fold.adopt_snapshot(&encode(&state)).ok(),
+            case.want,
+            "case {i}"
+        );
         assert_eq!(fold.digest(), origin.digest());
     }
-    assert!(origin.clone().adopt(b"garbage").is_err());
+    assert!(origin.clone().adopt_snapshot(b"garbage").is_err());
 }
 
 /// Readers agree also on verdicts that have left the window.
@@ -370,7 +374,7 @@
     let first = change(&fold, 0, 0, &sample());
     fold.apply(&first).unwrap();
     let mut late = None;
-    for i in 0..WINDOW as u64 + 50 {
+    for i in 0..VERDICT_WINDOW as u64 + 50 {
         if i == 40 {
             late = Some(Fold::from_snapshot(&fold.snapshot_bytes()).unwrap());
         }
@@ -382,7 +386,7 @@
     }
     let late = late.unwrap();
     assert_eq!(late.snapshot().window, fold.snapshot().window);
-    assert_eq!(fold.snapshot().window.len(), WINDOW);
+    assert_eq!(fold.snapshot().window.len(), VERDICT_WINDOW);
     let id = ChangeId::try_from("change-0".to_owned()).unwrap();
     assert_eq!(fold.verdict(&id), None);
     // A repeat from before the window is stale, so it still can't take effect twice.
@@ -427,7 +431,7 @@
                 data,
             })
             .unwrap();
-        let stopped = matches!(event, FoldEvent::Newer { format: 3, .. });
+        let stopped = matches!(event, FoldEvent::UnsupportedFormat { format: 3, .. });
         assert_eq!(stopped, case.stops, "case {i}: {event:?}");
         let next = fold.apply(&LogRecord { offset: 1, ..first });
         assert_eq!(next.is_err(), case.stops);
@@ -470,7 +474,10 @@
         let Some(due) = due else {
             continue;
         };
-        let turns: Vec<u64> = entries.iter().map(|e| due.turn(e, &entries)).collect();
+        let turns: Vec<u64> = entries
+            .iter()
+            .map(|e| due.append_time(e, &entries))
+            .collect();
         assert_eq!(turns.iter().filter(|t| **t == due.since).count(), 1);
         assert!(turns.iter().all(|t| *t <= due.since + RETENTION / 16));
         let record = snapshot(&fold, case.now, fold.snapshot());
--- a/crates/entry/src/caller/models.rs
+++ b/crates/entry/src/caller/models.rs
@@ -36,7 +36,7 @@
     let permitted = config
         .adapters
         .iter()
-        .filter(|(id, _)| caller.may_adapter(id));
+        .filter(|(id, _)| caller.may_use_adapter(id));
     permitted
         .flat_map(|(id, adapter)| models_of(id, adapter))
         .collect()
--- a/crates/entry/src/caller/service.rs
+++ b/crates/entry/src/caller/service.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use http::StatusCode;
-use pumicecleat_config::model::KeyRule;
+use pumicecleat_config::model::IdempotencyKeyRule;
 use pumicecleat_net::{Body, Reply};
 use pumicecleat_types::HeaderField;
 
@@ -69,8 +69,8 @@
     match (route.idempotent, key, route.key_rule) {
         (true, _, _) => Ok(RetryMode::Idempotent),
         (false, Some(_), _) => Ok(RetryMode::OnceByKey),
-        (false, None, KeyRule::Optional) => Ok(RetryMode::Never),
-        (false, None, KeyRule::Required) => {
+        (false, None, IdempotencyKeyRule::Optional) => Ok(RetryMode::Never),
+        (false, None, IdempotencyKeyRule::Required) => {
             let message = "this route requires an Idempotency-Key";
             Err(ApiError::rejected(400, "key_required", message))
         }
--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_config::{FoldEvent, Scan};
+use pumicecleat_config::{FoldEvent, SnapshotScan};
 use pumicecleat_infra::{Batch, ReadError};
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{LogRecord, Millis};
@@ -114,11 +114,11 @@
 }
 
 /// Scans a snapshot record in slices, because a scan in one step would delay every stream.
-async fn scan<'r>(shared: &Shared, record: &'r LogRecord) -> Option<Scan<'r>> {
+async fn scan<'r>(shared: &Shared, record: &'r LogRecord) -> Option<SnapshotScan<'r>> {
     if record.offset != shared.config.next_offset() {
         return None;
     }
-    let mut scan = Scan::open(&record.data)?;
+    let mut scan = SnapshotScan::open(&record.data)?;
     while scan.step(MAX_SLICE_ITEMS) {
         shared.timer.sleep(SLICE_PAUSE).await;
     }
@@ -161,20 +161,22 @@
 }
 
 /// Applies a record. Returns false if it lies beyond a gap that it does not close.
-fn apply_record(shared: &Shared, record: &LogRecord, scan: Option<Scan<'_>>) -> bool {
+fn apply_record(shared: &Shared, record: &LogRecord, scan: Option<SnapshotScan<'_>>) -> bool {
     let Ok(event) = shared.config.apply(record, scan) else {
         return false;
     };
     let offset = field("offset", record.offset);
     match &event {
-        FoldEvent::Accepted { .. } | FoldEvent::Started { .. } => on_new_revision(shared, "log"),
+        FoldEvent::Accepted { .. } | FoldEvent::Restored { .. } => on_new_revision(shared, "log"),
         FoldEvent::Refused { cause, .. } => {
             let revision = field("revision", shared.config.revision());
             let fields = [revision, offset, field("reason", cause)];
             shared.log.emit(&events::CONFIG_REFUSED, &fields);
         }
-        FoldEvent::Newer { format, .. } => log_unsupported_format(shared, record.offset, *format),
-        FoldEvent::Garbage { detail, .. } => {
+        FoldEvent::UnsupportedFormat { format, .. } => {
+            log_unsupported_format(shared, record.offset, *format)
+        }
+        FoldEvent::Malformed { detail, .. } => {
             let fields = [offset, field("error", detail)];
             shared.log.emit(&events::RECORD_BAD, &fields);
         }
@@ -184,7 +186,7 @@
         }
         _ => {}
     }
-    shared.config.next_offset() > record.offset || matches!(event, FoldEvent::Started { .. })
+    shared.config.next_offset() > record.offset || matches!(event, FoldEvent::Restored { .. })
 }
 
 /// Logs once per record that its format is not supported. The process continues with its current
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -11,8 +11,10 @@
 
 use std::cell::{Cell, RefCell};
 
-use pumicecleat_config::model::{Config, Key};
-use pumicecleat_config::{Due, Fold, FoldEvent, GapError, KeyIndex, Scan, SnapshotError};
+use pumicecleat_config::model::{Config, ItemKey};
+use pumicecleat_config::{
+    DueSnapshot, Fold, FoldEvent, GapError, KeyIndex, SnapshotError, SnapshotScan,
+};
 use pumicecleat_types::{CallerId, ConfigAsk, ConfigReply, LogRecord, Millis};
 use serde::{Deserialize, Serialize};
 
@@ -121,23 +123,27 @@
     }
 
     /// Snapshot record that is due at `now`, a Unix time in milliseconds like `retention`.
-    fn snapshot_due(&self, now: u64, retention: u64) -> Option<Due> {
+    fn snapshot_due(&self, now: u64, retention: u64) -> Option<DueSnapshot> {
         self.state.borrow().fold.snapshot_due(now, retention)
     }
 
     /// Applies a record, using its scan if there is one.
-    fn apply(&self, record: &LogRecord, scan: Option<Scan<'_>>) -> Result<FoldEvent, GapError> {
+    fn apply(
+        &self,
+        record: &LogRecord,
+        scan: Option<SnapshotScan<'_>>,
+    ) -> Result<FoldEvent, GapError> {
         let mut state = self.state.borrow_mut();
         let event = match scan {
             Some(scan) => state.fold.apply_scanned(record, scan)?,
             None => state.fold.apply(record)?,
         };
         match &event {
-            FoldEvent::Old | FoldEvent::Newer { .. } => {}
-            FoldEvent::Started { .. } => state.restart(),
+            FoldEvent::AlreadyApplied | FoldEvent::UnsupportedFormat { .. } => {}
+            FoldEvent::Restored { .. } => state.restart(),
             FoldEvent::Accepted { touched, .. } => {
                 state.recent.push(record);
-                if touched.iter().any(|key| matches!(key, Key::Caller(_))) {
+                if touched.iter().any(|key| matches!(key, ItemKey::Caller(_))) {
                     state.rebuild_key_index();
                 }
             }
@@ -157,7 +163,7 @@
     /// Applies a peer's snapshot and returns whether it was newer.
     fn adopt_snapshot(&self, bytes: &[u8]) -> Result<bool, SnapshotError> {
         let mut state = self.state.borrow_mut();
-        let newer = state.fold.adopt(bytes)?;
+        let newer = state.fold.adopt_snapshot(bytes)?;
         if newer {
             state.restart();
         }
--- a/crates/entry/src/config/snapshots.rs
+++ b/crates/entry/src/config/snapshots.rs
@@ -30,7 +30,7 @@
         return false;
     };
     let entries = shared.directory.borrow().entry_vms();
-    due.turn(&shared.options.vm, &entries) <= now
+    due.append_time(&shared.options.vm, &entries) <= now
 }
 
 /// Appends a snapshot. Returns false if it may not be in the log.
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -1,6 +1,6 @@
 //! Lookup of model names and routes in the configuration in force.
 
-use pumicecleat_config::model::{Adapter, Config, KeyRule, Pool, PoolKind};
+use pumicecleat_config::model::{Adapter, Config, IdempotencyKeyRule, Pool, PoolKind};
 use pumicecleat_policy::{LoraIx, PoolIx, lora_key};
 use pumicecleat_types::{
     AdapterId, BaseId, CallerId, HeaderField, Lora, ModelTarget, PoolId, ServiceTarget, Target,
@@ -40,7 +40,7 @@
 /// Declared route of a plain service.
 pub(crate) struct ServiceRoute {
     pub(crate) resolved: ResolvedTarget,
-    pub(crate) key_rule: KeyRule,
+    pub(crate) key_rule: IdempotencyKeyRule,
     pub(crate) idempotent: bool,
 }
 
@@ -100,7 +100,7 @@
         None => (model, None),
     };
     let (id, adapter) = config.adapters.get_key_value(name)?;
-    if !config.callers.get(caller)?.may_adapter(id) {
+    if !config.callers.get(caller)?.may_use_adapter(id) {
         return None;
     }
     let version = find_version(adapter, version)?;
@@ -180,7 +180,7 @@
     pool: PoolId,
     key_parts: u32,
     idempotent: bool,
-    key_rule: KeyRule,
+    key_rule: IdempotencyKeyRule,
     prefix_len: usize,
 }
 
@@ -207,7 +207,7 @@
         return Err(ApiError::rejected(404, "route_not_found", "no such route"));
     };
     let caller = config.callers.get(caller);
-    if !caller.is_some_and(|c| c.may_service(&found.service)) {
+    if !caller.is_some_and(|c| c.may_use_service(&found.service)) {
         let message = "this caller may not call this service";
         return Err(ApiError::rejected(403, "forbidden", message));
     }
--- a/crates/fuzz/src/targets/log.rs
+++ b/crates/fuzz/src/targets/log.rs
@@ -79,7 +79,7 @@
     let Ok(event) = after.apply(&record) else {
         return require(false, "a gap where there is none").map(|()| false);
     };
-    if let FoldEvent::Newer { format, .. } = event {
+    if let FoldEvent::UnsupportedFormat { format, .. } = event {
         return check_stop(fold, &after, format);
     }
     require(after.next() == offset + 1, "the record was not passed")?;
@@ -91,9 +91,9 @@
     let moved = after.revision() != fold.revision() || after.digest() != fold.digest();
     require(accepted || !moved, "changed without being accepted")?;
     let twice = after.apply(&record);
-    require(twice == Ok(FoldEvent::Old), "taken twice")?;
+    require(twice == Ok(FoldEvent::AlreadyApplied), "taken twice")?;
     check_snapshot(&after)?;
-    Ok(!matches!(event, FoldEvent::Garbage { .. }))
+    Ok(!matches!(event, FoldEvent::Malformed { .. }))
 }
 
 /// Behind a gap only a snapshot may move the fold, and only forward.
@@ -106,7 +106,7 @@
         data,
     };
     let event = after.apply(&record);
-    let started = matches!(event, Ok(FoldEvent::Started { .. }));
+    let started = matches!(event, Ok(FoldEvent::Restored { .. }));
     let forward = after.next() > fold.next() && after.revision() >= fold.revision();
     let still = after.next() == fold.next() && after.digest() == fold.digest();
     require(if started { forward } else { still }, "moved over a gap")?;
@@ -125,7 +125,7 @@
     fn check(&self, input: &[u8]) -> Result<bool, Broken> {
         let before = &self.held;
         let mut after = before.clone();
-        let newer = after.adopt(input).unwrap_or(false);
+        let newer = after.adopt_snapshot(input).unwrap_or(false);
         require(
             after.revision() >= before.revision(),
             "the revision went back",
--- a/crates/measure/src/slopes/config.rs
+++ b/crates/measure/src/slopes/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: memory of a fold, changes, snapshots, and the operator's command.
 
 use pumicecleat_config::model::Config;
-use pumicecleat_config::{Change, ChangeId, Delta, Fold, FoldEvent, Record, Scan};
+use pumicecleat_config::{Change, ChangeId, Delta, Fold, FoldEvent, Record, SnapshotScan};
 use pumicecleat_types::LogRecord;
 
 use super::clock::{cost, thread_time};
@@ -151,7 +151,7 @@
     for _ in 0..SCANS {
         let record = appended(fold);
         let mut slices = vec![thread_time()];
-        let mut scan = Scan::open(&record.data).expect("a snapshot as written");
+        let mut scan = SnapshotScan::open(&record.data).expect("a snapshot as written");
         while scan.step(SLICE) {
             slices.push(thread_time());
         }
--- a/crates/measure/src/slopes/fleet.rs
+++ b/crates/measure/src/slopes/fleet.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use pumicecleat_config::model::{Adapter, Base, Caller, Config, Grant, Pool, PoolKind, Version};
+use pumicecleat_config::model::{
+    Adapter, BaseModel, Caller, Config, Grant, Pool, PoolKind, Version,
+};
 use pumicecleat_types::{LoadFigures, Report, VmEntry, VmRole, VmState};
 
 /// Base models.
@@ -70,7 +72,7 @@
         let name = base_name(base);
         config
             .bases
-            .insert(name.as_str().into(), Base { context: 8_192 });
+            .insert(name.as_str().into(), BaseModel { context: 8_192 });
         config
             .pools
             .insert(pool(base).as_str().into(), model_pool(&name));
--- a/crates/side/src/config.rs
+++ b/crates/side/src/config.rs
@@ -110,7 +110,7 @@
     fn adopt_snapshot(&self, bytes: &[u8]) -> Result<bool, String> {
         let mut slot = self.fold.borrow_mut();
         if let Some(fold) = slot.as_mut() {
-            fold.adopt(bytes).map_err(|e| e.to_string())?;
+            fold.adopt_snapshot(bytes).map_err(|e| e.to_string())?;
         } else {
             let fold = Fold::from_snapshot(bytes).map_err(|e| e.to_string())?;
             *slot = Some(fold);
