--- a/crates/entry/tests/entry/caller.rs
+++ b/crates/entry/tests/entry/caller.rs
@@ -10,10 +10,10 @@
 use serde_json::{Value, json};
 
 /// Bearer key of the caller that may do most.
-pub(crate) const KEY: &str = "key-of-desk";
+pub(crate) const DESK_KEY: &str = "key-of-desk";
 
 /// Longest wait for an answer.
-const SPAN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A caller of one entry.
 #[derive(Clone)]
@@ -24,48 +24,48 @@
 
 /// An answer, read as far as it came.
 #[derive(Clone, Debug)]
-pub(crate) struct Told {
+pub(crate) struct ReceivedResponse {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Vec<u8>,
     /// Its proper end came.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
 }
 
 impl Caller {
     /// Sends a request and gives its answer's head.
     pub(crate) async fn send(&self, request: http::Request<Bytes>) -> Response {
         let entry = self.entry.to_string();
-        self.client.send(&entry, request, SPAN).await.unwrap()
+        self.client.send(&entry, request, TIMEOUT).await.unwrap()
     }
 
     /// Sends a request and reads its answer.
-    pub(crate) async fn ask(&self, request: http::Request<Bytes>) -> Told {
+    pub(crate) async fn call(&self, request: http::Request<Bytes>) -> ReceivedResponse {
         let mut response = self.send(request).await;
         read(&mut response).await
     }
 
     /// Asks for a chat answer.
-    pub(crate) async fn chat(&self, stream: bool) -> Told {
-        self.ask(chat(stream)).await
+    pub(crate) async fn chat(&self, stream: bool) -> ReceivedResponse {
+        self.call(chat(stream)).await
     }
 }
 
 /// Reads an answer as far as it comes.
-pub(crate) async fn read(response: &mut Response) -> Told {
-    let mut told = Told {
+pub(crate) async fn read(response: &mut Response) -> ReceivedResponse {
+    let mut received = ReceivedResponse {
         status: response.status(),
         headers: response.headers().clone(),
         body: Vec::new(),
-        whole: false,
+        complete: false,
     };
     loop {
         match response.next().await {
-            Some(Ok(piece)) => told.body.extend_from_slice(&piece),
-            Some(Err(_)) => return told,
+            Some(Ok(piece)) => received.body.extend_from_slice(&piece),
+            Some(Err(_)) => return received,
             None => {
-                told.whole = true;
-                return told;
+                received.complete = true;
+                return received;
             }
         }
     }
@@ -73,14 +73,14 @@
 
 /// A chat request for the model of most cases.
 pub(crate) fn chat(stream: bool) -> http::Request<Bytes> {
-    chat_of(&json!({
+    chat_with_body(&json!({
         "model": "tour@v1", "stream": stream,
         "messages": [{"role": "user", "content": "Tonight?"}],
     }))
 }
 
 /// A chat request with a body.
-pub(crate) fn chat_of(body: &Value) -> http::Request<Bytes> {
+pub(crate) fn chat_with_body(body: &Value) -> http::Request<Bytes> {
     post("/v1/chat/completions", body.to_string())
 }
 
@@ -89,13 +89,13 @@
     let mut request = http::Request::new(body.into());
     *request.method_mut() = Method::POST;
     *request.uri_mut() = path.parse().unwrap();
-    let key = HeaderValue::from_str(&format!("Bearer {KEY}")).unwrap();
+    let key = HeaderValue::from_str(&format!("Bearer {DESK_KEY}")).unwrap();
     request.headers_mut().insert(AUTHORIZATION, key);
     request
 }
 
 /// The same request with one more header.
-pub(crate) fn with(
+pub(crate) fn with_header(
     mut request: http::Request<Bytes>,
     name: &'static str,
     value: &str,
@@ -105,7 +105,7 @@
     request
 }
 
-impl Told {
+impl ReceivedResponse {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
@@ -139,8 +139,8 @@
 
     /// Text of a stream or a whole answer.
     pub(crate) fn text(&self) -> String {
-        if let Ok(whole) = serde_json::from_slice::<Value>(&self.body) {
-            let content = &whole["choices"][0]["message"]["content"];
+        if let Ok(complete) = serde_json::from_slice::<Value>(&self.body) {
+            let content = &complete["choices"][0]["message"]["content"];
             return content.as_str().unwrap_or_default().to_owned();
         }
         let chunks = self.chunks();
--- a/crates/entry/tests/entry/world.rs
+++ b/crates/entry/tests/entry/fixture.rs
@@ -16,74 +16,74 @@
 use pumicecleat_standin::{Log as StandinLog, LogFaults, Running};
 use pumicecleat_types::LogRecord;
 
-use crate::caller::{Caller, KEY};
-use crate::script::Act;
+use crate::caller::{Caller, DESK_KEY};
+use crate::script::Action;
 use crate::side::FakeSide;
 
 /// Any free port of loopback.
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 
 /// Pool of the model of most cases.
-pub(crate) const POOL: &str = "engines";
+pub(crate) const MODEL_POOL: &str = "engines";
 
 /// Pool of the plain service.
-pub(crate) const SERVICES: &str = "bookings";
+pub(crate) const SERVICE_POOL: &str = "bookings";
 
 /// What surrounds entries.
-pub(crate) struct World {
+pub(crate) struct Fixture {
     pub(crate) timer: Timer,
     pub(crate) client: Client,
     pub(crate) log: Running<LogFaults>,
     /// What the author of the configuration holds.
     fold: Fold,
-    changes: u32,
+    change_count: u32,
 }
 
 /// An author of the configuration that races another.
-pub(crate) struct Rival {
+pub(crate) struct ConcurrentAuthor {
     records: Rc<dyn Records>,
     fold: Fold,
 }
 
-impl Rival {
+impl ConcurrentAuthor {
     /// Appends a change from what it holds.
-    pub(crate) async fn apply(&mut self, config: &str) {
+    pub(crate) async fn apply_config(&mut self, config: &str) {
         let id = ChangeId::try_from("change-of-rival".to_owned()).unwrap();
         let (revision, from) = (self.fold.revision(), self.fold.config());
-        let change = Change::new(id, revision, from, &read_config(config), "vithu");
+        let change = Change::new(id, revision, from, &parse_config(config), "vithu");
         let data = Record::Change(Box::new(change)).to_bytes();
         self.records.append("config", vec![data]).await.unwrap();
     }
 }
 
-fn read_config(text: &str) -> Config {
+fn parse_config(text: &str) -> Config {
     let name = "test.toml";
     let bytes = text.as_bytes();
     parse(&[Source { name, bytes }]).unwrap()
 }
 
 /// An entry, with the handle that stops it.
-pub(crate) struct Started {
+pub(crate) struct StartedEntry {
     pub(crate) entry: Entry,
     pub(crate) stop: Stop,
 }
 
 /// Runs a case on a loop of its own.
-pub(crate) fn case<F: Future>(work: impl FnOnce() -> F) -> F::Output {
-    run(async { work().await }).unwrap()
+pub(crate) fn run_test<F: Future>(test: impl FnOnce() -> F) -> F::Output {
+    run(async { test().await }).unwrap()
 }
 
-impl World {
+impl Fixture {
     /// Surroundings with the usual configuration in the log.
     pub(crate) async fn new() -> Self {
-        let mut world = Self::bare();
-        let config = usual_config();
-        world.apply(&config).await;
-        world
+        let mut fixture = Self::with_empty_log();
+        let config = default_config();
+        fixture.apply_config(&config).await;
+        fixture
     }
 
     /// Surroundings with an empty log.
-    pub(crate) fn bare() -> Self {
+    pub(crate) fn with_empty_log() -> Self {
         let timer = Timer::start();
         let options = pumicecleat_standin::LogOptions::default();
         Self {
@@ -91,15 +91,15 @@
             log: StandinLog::start(options, &timer).unwrap(),
             timer,
             fold: Fold::new(),
-            changes: 0,
+            change_count: 0,
         }
     }
 
     /// Appends a change to `config` and gives its revision.
-    pub(crate) async fn apply(&mut self, config: &str) -> u64 {
-        let config = read_config(config);
-        self.changes += 1;
-        let id = ChangeId::try_from(format!("change-{}", self.changes)).unwrap();
+    pub(crate) async fn apply_config(&mut self, config: &str) -> u64 {
+        let config = parse_config(config);
+        self.change_count += 1;
+        let id = ChangeId::try_from(format!("change-{}", self.change_count)).unwrap();
         let change = Change::new(
             id,
             self.fold.revision(),
@@ -119,53 +119,53 @@
     }
 
     async fn append(&mut self, data: Vec<u8>) {
-        let records = self.records();
+        let records = self.log_service();
         let appended = records.append("config", vec![data.clone()]).await.unwrap();
         let (offset, at) = (appended.first, appended.at);
         self.fold.apply(&LogRecord { offset, at, data }).unwrap();
     }
 
     /// Offset of the next record.
-    pub(crate) fn next(&self) -> u64 {
+    pub(crate) fn next_offset(&self) -> u64 {
         self.fold.next()
     }
 
-    pub(crate) fn records(&self) -> Rc<dyn Records> {
+    pub(crate) fn log_service(&self) -> Rc<dyn Records> {
         let peers = Peers::parse(&self.log.address.to_string());
         Rc::new(HttpLog::new(&self.client, peers, Duration::from_secs(1)))
     }
 
     /// Another author, who holds what this one holds now.
-    pub(crate) fn rival(&self) -> Rival {
-        Rival {
-            records: self.records(),
+    pub(crate) fn concurrent_author(&self) -> ConcurrentAuthor {
+        ConcurrentAuthor {
+            records: self.log_service(),
             fold: self.fold.clone(),
         }
     }
 
     /// Starts an entry under further settings.
-    pub(crate) fn start(&self, args: &[&str]) -> Started {
-        let parts = EntryContext {
-            log_service: self.records(),
+    pub(crate) fn start(&self, args: &[&str]) -> StartedEntry {
+        let context = EntryContext {
+            log_service: self.log_service(),
             vm_list: None,
         };
-        self.start_with(args, &parts)
+        self.start_with_context(args, &context)
     }
 
     /// Starts an entry on parts of the case's own.
-    pub(crate) fn start_with(&self, args: &[&str], parts: &EntryContext) -> Started {
+    pub(crate) fn start_with_context(&self, args: &[&str], context: &EntryContext) -> StartedEntry {
         let settings = self.settings(args);
         let stop = Stop::by_hand();
-        let log = quiet();
-        let entry = Entry::start(&settings, parts, &self.timer, &log, &stop).unwrap();
-        Started { entry, stop }
+        let log = test_log();
+        let entry = Entry::start(&settings, context, &self.timer, &log, &stop).unwrap();
+        StartedEntry { entry, stop }
     }
 
     fn settings(&self, args: &[&str]) -> EntrySettings {
         let log = self.log.address.to_string();
         let flags = format!(
-            "--vm entry-1 --data-centre bp-a --region hu-central --listen {ANY} --peer-listen {ANY} \
-             --admin {ANY} --log {log}"
+            "--vm entry-1 --data-centre bp-a --region hu-central --listen {ANY_PORT} \
+             --peer-listen {ANY_PORT} --admin {ANY_PORT} --log {log}"
         );
         let mut all: Vec<&str> = flags.split(' ').collect();
         all.extend(args);
@@ -173,19 +173,19 @@
     }
 
     /// Starts an entry that is ready.
-    pub(crate) async fn start_ready(&self, args: &[&str]) -> Started {
+    pub(crate) async fn start_ready(&self, args: &[&str]) -> StartedEntry {
         let started = self.start(args);
-        self.until(|| started.entry.is_ready()).await;
+        self.wait_until(|| started.entry.is_ready()).await;
         started
     }
 
     /// Starts sides that play one script an attempt, and lets them report to the entry.
-    pub(crate) async fn sides(
+    pub(crate) async fn start_sides(
         &self,
-        started: &Started,
+        started: &StartedEntry,
         pool: &'static str,
         count: usize,
-        scripts: &[Vec<Act>],
+        scripts: &[Vec<Action>],
     ) -> Vec<FakeSide> {
         let scripts = Rc::new(RefCell::new(scripts.iter().cloned().collect()));
         let names = ["side-1", "side-2", "side-3", "side-4"];
@@ -193,13 +193,13 @@
         for name in names.into_iter().take(count) {
             let side = FakeSide::start(name, &scripts, &self.timer);
             let entry = started.entry.addresses().peers;
-            side.join(&self.client, entry, pool).await;
+            side.start_reporting(&self.client, entry, pool).await;
             sides.push(side);
         }
         sides
     }
 
-    pub(crate) fn caller(&self, started: &Started) -> Caller {
+    pub(crate) fn caller(&self, started: &StartedEntry) -> Caller {
         Caller {
             client: self.client.clone(),
             entry: started.entry.addresses().callers,
@@ -207,7 +207,7 @@
     }
 
     /// Text that an entry's admin listener gives.
-    pub(crate) async fn admin(&self, started: &Started, path: &str) -> String {
+    pub(crate) async fn get_admin(&self, started: &StartedEntry, path: &str) -> String {
         self.get(started.entry.addresses().admin, path).await
     }
 
@@ -215,24 +215,24 @@
     pub(crate) async fn get(&self, address: SocketAddr, path: &str) -> String {
         let mut request = http::Request::new(Bytes::new());
         *request.uri_mut() = path.parse().unwrap();
-        let span = Duration::from_secs(2);
+        let timeout = Duration::from_secs(2);
         let peer = address.to_string();
-        let sent = self.client.send(&peer, request, span);
-        let body = sent.await.unwrap().read(1 << 20, span).await;
+        let response = self.client.send(&peer, request, timeout);
+        let body = response.await.unwrap().read(1 << 20, timeout).await;
         String::from_utf8(body.unwrap()).unwrap()
     }
 
     /// Waits until something holds, for ten seconds at most.
-    pub(crate) async fn until(&self, holds: impl Fn() -> bool) {
+    pub(crate) async fn wait_until(&self, condition: impl Fn() -> bool) {
         let end = self.timer.now().0 + 10_000;
-        while !holds() {
+        while !condition() {
             assert!(self.timer.now().0 < end, "not within ten seconds");
             self.timer.sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-fn quiet() -> Log {
+fn test_log() -> Log {
     let level = if std::env::var_os("ENTRY_TEST_LOG").is_some() {
         Level::Debug
     } else {
@@ -245,14 +245,14 @@
 }
 
 /// Configuration of most cases.
-pub(crate) fn usual_config() -> String {
+pub(crate) fn default_config() -> String {
     config_with("")
 }
 
 /// Configuration of most cases with further tables.
-pub(crate) fn config_with(more: &str) -> String {
-    let desk = hash_key(KEY);
-    let guest = hash_key("key-of-guest");
+pub(crate) fn config_with(extra_tables: &str) -> String {
+    let desk_hash = hash_key(DESK_KEY);
+    let guest_hash = hash_key("key-of-guest");
     format!(
         "[base.magyar-7b]
 context = 8192
@@ -285,17 +285,17 @@
 idempotent = false
 key = 'optional'
 [caller.desk]
-keys = ['sha256:{desk}']
+keys = ['sha256:{desk_hash}']
 priority = 3
 adapters = ['*']
 services = ['seats']
 [caller.guest]
-keys = ['sha256:{guest}']
+keys = ['sha256:{guest_hash}']
 adapters = ['brief']
 [limits]
 deadline_ms = 5000
 longest_ms = 20000
 body = 4096
-{more}"
+{extra_tables}"
     )
 }
--- a/crates/entry/tests/entry/input.rs
+++ b/crates/entry/tests/entry/input.rs
@@ -6,15 +6,15 @@
 use monoio::net::TcpStream;
 use serde_json::json;
 
-use crate::caller::{KEY, Told, chat, chat_of, post, with};
-use crate::script::whole;
-use crate::world::{POOL, World, case};
+use crate::caller::{DESK_KEY, ReceivedResponse, chat, chat_with_body, post, with_header};
+use crate::fixture::{Fixture, MODEL_POOL, run_test};
+use crate::script::completion_script;
 
-const CHAT: &str = "/v1/chat/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 
 /// The same request by another caller.
-fn by(key: &str, request: http::Request<Bytes>) -> http::Request<Bytes> {
-    with(request, "authorization", &format!("Bearer {key}"))
+fn with_key(key: &str, request: http::Request<Bytes>) -> http::Request<Bytes> {
+    with_header(request, "authorization", &format!("Bearer {key}"))
 }
 
 fn get(path: &str) -> http::Request<Bytes> {
@@ -23,58 +23,78 @@
     request
 }
 
-fn model(name: &str) -> http::Request<Bytes> {
+fn model_request(name: &str) -> http::Request<Bytes> {
     let messages = json!([{"role": "user", "content": "Tonight?"}]);
-    chat_of(&json!({"model": name, "messages": messages}))
+    chat_with_body(&json!({"model": name, "messages": messages}))
 }
 
 /// A request, and what it is told.
-type Row = (&'static str, http::Request<Bytes>, u16, &'static str);
+type Case = (&'static str, http::Request<Bytes>, u16, &'static str);
 
 /// Callers and targets.
-fn unknown() -> Vec<Row> {
-    let mut nameless = chat(false);
-    nameless.headers_mut().remove("authorization");
-    let stranger = by("key-of-nobody", chat(false));
-    let basic = with(chat(false), "authorization", "Basic a2V5");
-    let guest = "key-of-guest";
+fn access_cases() -> Vec<Case> {
+    let mut unauthenticated = chat(false);
+    unauthenticated.headers_mut().remove("authorization");
+    let unknown_key = with_key("key-of-nobody", chat(false));
+    let basic = with_header(chat(false), "authorization", "Basic a2V5");
+    let guest_key = "key-of-guest";
     let key = "invalid_api_key";
-    let model_fault = "model_not_found";
+    let model_not_found = "model_not_found";
     let route = "route_not_found";
-    let dotted = post("/seats/list/../hold", "seat");
+    let dotted_path = post("/seats/list/../hold", "seat");
     vec![
-        ("no key", nameless, 401, key),
-        ("unknown key", stranger, 401, key),
+        ("no key", unauthenticated, 401, key),
+        ("unknown key", unknown_key, 401, key),
         ("other scheme", basic, 401, key),
-        ("unknown adapter", model("moon@v1"), 404, model_fault),
-        ("unknown version", model("tour@v9"), 404, model_fault),
-        ("no default version", model("brief"), 404, model_fault),
-        ("closed adapter", by(guest, chat(false)), 404, model_fault),
+        (
+            "unknown adapter",
+            model_request("moon@v1"),
+            404,
+            model_not_found,
+        ),
+        (
+            "unknown version",
+            model_request("tour@v9"),
+            404,
+            model_not_found,
+        ),
+        (
+            "no default version",
+            model_request("brief"),
+            404,
+            model_not_found,
+        ),
+        (
+            "closed adapter",
+            with_key(guest_key, chat(false)),
+            404,
+            model_not_found,
+        ),
         (
             "closed service",
-            by(guest, get("/seats/list")),
+            with_key(guest_key, get("/seats/list")),
             403,
             "forbidden",
         ),
         ("unknown path", get("/seats/map"), 404, route),
-        ("path in two readings", dotted, 404, route),
-        ("other method", get(CHAT), 405, "method_not_allowed"),
+        ("path in two readings", dotted_path, 404, route),
+        ("other method", get(CHAT_PATH), 405, "method_not_allowed"),
     ]
 }
 
 /// Bodies and headers.
-fn malformed() -> Vec<Row> {
-    let priority = |text| with(chat(false), "x-priority", text);
-    let deadline = |text| with(chat(false), "x-deadline-ms", text);
-    let empty = chat_of(&json!({"model": "tour@v1"}));
-    let long = post(CHAT, vec![b'x'; 5000]);
-    let bytes = post(CHAT, vec![b'"', 0xff, b'"']);
+fn malformed_cases() -> Vec<Case> {
+    let priority = |text| with_header(chat(false), "x-priority", text);
+    let deadline = |text| with_header(chat(false), "x-deadline-ms", text);
+    let no_messages = chat_with_body(&json!({"model": "tour@v1"}));
+    let too_long = post(CHAT_PATH, vec![b'x'; 5000]);
+    let bytes = post(CHAT_PATH, vec![b'"', 0xff, b'"']);
     vec![
-        ("not JSON", post(CHAT, "{"), 400, "body_not_json"),
-        ("not an object", post(CHAT, "[]"), 400, "body_not_json"),
+        ("not JSON", post(CHAT_PATH, "{"), 400, "body_not_json"),
+        ("not an object", post(CHAT_PATH, "[]"), 400, "body_not_json"),
         ("not UTF-8", bytes, 400, "body_not_utf8"),
-        ("no messages", empty, 400, "bad_field"),
-        ("too long", long, 413, "body_too_long"),
+        ("no messages", no_messages, 400, "bad_field"),
+        ("too long", too_long, 413, "body_too_long"),
         ("no key", post("/seats/hold", "seat"), 400, "key_required"),
         ("priority too high", priority("4"), 403, "priority_too_high"),
         ("priority no number", priority("-1"), 400, "bad_priority"),
@@ -84,50 +104,59 @@
 }
 
 #[test]
-fn refuses_bad_requests() {
-    case(|| async {
-        let world = World::new().await;
-        let started = world.start_ready(&[]).await;
-        let sides = world.sides(&started, POOL, 1, &[whole("Jó")]).await;
-        let caller = world.caller(&started);
-        for (name, request, status, code) in unknown().into_iter().chain(malformed()) {
-            let told = caller.ask(request).await;
-            assert_eq!(told.status, status, "{name}");
-            assert_eq!(told.error(), (code.into(), "no".into()), "{name}");
-            assert!(told.header("x-request-id").is_some(), "{name}");
-            assert!(told.json()["error"]["type"].is_string(), "{name}");
+fn rejects_bad_requests() {
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let started = fixture.start_ready(&[]).await;
+        let sides = fixture
+            .start_sides(&started, MODEL_POOL, 1, &[completion_script("Jó")])
+            .await;
+        let caller = fixture.caller(&started);
+        for (name, request, status, code) in access_cases().into_iter().chain(malformed_cases()) {
+            let response = caller.call(request).await;
+            assert_eq!(response.status, status, "{name}");
+            assert_eq!(response.error(), (code.into(), "no".into()), "{name}");
+            assert!(response.header("x-request-id").is_some(), "{name}");
+            assert!(response.json()["error"]["type"].is_string(), "{name}");
         }
-        assert_eq!(sides[0].seen().len(), 0);
+        assert_eq!(sides[0].attempts().len(), 0);
         assert_eq!(caller.chat(false).await.status, 200);
     });
 }
 
 /// What a caller may not reach looks like what does not exist.
 #[test]
-fn tells_nothing_of_closed_adapters() {
-    case(|| async {
-        let world = World::new().await;
-        let started = world.start_ready(&[]).await;
-        let caller = world.caller(&started);
-        let closed = caller.ask(by("key-of-guest", model("tour@v1"))).await;
-        let unknown = caller.ask(by("key-of-guest", model("moon@v1"))).await;
-        let text = |told: &Told| String::from_utf8(told.body.clone()).unwrap();
-        assert_eq!(text(&closed).replace("tour", "moon"), text(&unknown));
+fn hides_forbidden_adapters() {
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let started = fixture.start_ready(&[]).await;
+        let caller = fixture.caller(&started);
+        let forbidden = caller
+            .call(with_key("key-of-guest", model_request("tour@v1")))
+            .await;
+        let unknown = caller
+            .call(with_key("key-of-guest", model_request("moon@v1")))
+            .await;
+        let text = |response: &ReceivedResponse| String::from_utf8(response.body.clone()).unwrap();
+        assert_eq!(text(&forbidden).replace("tour", "moon"), text(&unknown));
     });
 }
 
 #[test]
-fn lists_what_a_caller_may_reach() {
+fn lists_models_that_the_caller_may_use() {
     let rows = [
-        (KEY, vec!["brief@v1", "tour", "tour@v1", "tour@v2"]),
+        (DESK_KEY, vec!["brief@v1", "tour", "tour@v1", "tour@v2"]),
         ("key-of-guest", vec!["brief@v1"]),
     ];
-    case(|| async {
-        let world = World::new().await;
-        let started = world.start_ready(&[]).await;
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let started = fixture.start_ready(&[]).await;
         for (key, models) in rows {
-            let told = world.caller(&started).ask(by(key, get("/v1/models"))).await;
-            let body = told.json();
+            let response = fixture
+                .caller(&started)
+                .call(with_key(key, get("/v1/models")))
+                .await;
+            let body = response.json();
             let data = body["data"].as_array().unwrap();
             let ids: Vec<&str> = data.iter().map(|m| m["id"].as_str().unwrap()).collect();
             assert_eq!(ids, models);
@@ -137,37 +166,43 @@
 
 /// What a head says reaches the side.
 #[test]
-fn passes_on_what_a_head_says() {
-    case(|| async {
-        let world = World::new().await;
-        let started = world.start_ready(&[]).await;
-        let sides = world.sides(&started, POOL, 1, &[whole("Jó")]).await;
-        let caller = world.caller(&started);
-        caller.ask(model("tour")).await;
-        let request = with(chat(false), "x-priority", "3");
-        let request = with(request, "x-deadline-ms", "99000");
-        caller.ask(request).await;
-        let seen = sides[0].seen();
-        assert_eq!(sides[0].body(0)["model"], json!("tour@v1"));
+fn forwards_version_priority_and_deadline() {
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let started = fixture.start_ready(&[]).await;
+        let sides = fixture
+            .start_sides(&started, MODEL_POOL, 1, &[completion_script("Jó")])
+            .await;
+        let caller = fixture.caller(&started);
+        caller.call(model_request("tour")).await;
+        let request = with_header(chat(false), "x-priority", "3");
+        let request = with_header(request, "x-deadline-ms", "99000");
+        caller.call(request).await;
+        let seen = sides[0].attempts();
+        assert_eq!(sides[0].attempt_body(0)["model"], json!("tour@v1"));
         assert!((4_900..=5_000).contains(&seen[0].head.left_ms));
         assert_eq!(seen[0].head.priority, 0);
         assert_eq!(seen[1].head.priority, 3);
         assert!((19_900..=20_000).contains(&seen[1].head.left_ms));
-        assert_eq!(sides[0].body(1)["priority"], json!(-3));
+        assert_eq!(sides[0].attempt_body(1)["priority"], json!(-3));
     });
 }
 
 /// Bodies that stop or crawl.
 #[test]
-fn ends_slow_and_truncated_bodies() {
+fn rejects_slow_bodies_and_duplicate_lengths() {
     let rows = [("slow", false, "408"), ("double length", true, "400")];
-    case(|| async {
-        let world = World::new().await;
-        let started = world.start_ready(&["--body-span", "200ms"]).await;
-        for (name, double, status) in rows {
-            let second = if double { "content-length: 7\r\n" } else { "" };
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let started = fixture.start_ready(&["--body-span", "200ms"]).await;
+        for (name, duplicate, status) in rows {
+            let second = if duplicate {
+                "content-length: 7\r\n"
+            } else {
+                ""
+            };
             let head = format!(
-                "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
+                "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {DESK_KEY}\r\n\
                  content-length: 100\r\n{second}\r\n{{\"model\":"
             );
             let entry = started.entry.addresses().callers;
@@ -180,10 +215,10 @@
                 "{name}: {text}"
             );
         }
-        let told = world.caller(&started).ask(get("/v1/models")).await;
-        assert_eq!(told.status, 200);
+        let response = fixture.caller(&started).call(get("/v1/models")).await;
+        assert_eq!(response.status, 200);
         assert_eq!(
-            told.headers.get("content-type"),
+            response.headers.get("content-type"),
             Some(&HeaderValue::from_static("application/json"))
         );
     });
--- a/crates/entry/tests/entry/keys.rs
+++ b/crates/entry/tests/entry/keys.rs
@@ -5,84 +5,95 @@
 use pumicecleat_ledger::Key;
 use pumicecleat_types::Reason;
 
-use crate::caller::{post, with};
-use crate::script::Act::{End, Head, Refuse, Whole};
+use crate::caller::{post, with_header};
+use crate::fixture::{Fixture, SERVICE_POOL, default_config, run_test};
+use crate::script::Action::{Completion, End, Head, Refuse};
 use crate::side::FakeSide;
-use crate::world::{SERVICES, World, case, usual_config};
 
 const PARTS: u32 = 16;
-const KEYS: usize = 48;
+const KEY_COUNT: usize = 48;
 
 fn config() -> String {
     let parts = format!("concurrency = 8\nparts = {PARTS}");
-    usual_config().replace("concurrency = 8", &parts)
+    default_config().replace("concurrency = 8", &parts)
 }
 
 /// Sides that saw each part, by name.
-fn seen(sides: &[FakeSide]) -> BTreeMap<u32, BTreeSet<usize>> {
-    let mut seen: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
+fn sides_by_part(sides: &[FakeSide]) -> BTreeMap<u32, BTreeSet<usize>> {
+    let mut sides_by_part: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
     for (n, side) in sides.iter().enumerate() {
-        for run in side.seen() {
+        for run in side.attempts() {
             let text = run.head.key.unwrap();
             let key = Key::parse(&run.head.caller, &text).unwrap();
-            seen.entry(key.part(PARTS)).or_default().insert(n);
+            sides_by_part.entry(key.part(PARTS)).or_default().insert(n);
         }
     }
-    seen
+    sides_by_part
 }
 
 #[test]
-fn calls_of_a_part_meet_at_one_side() {
-    case(|| async {
-        let mut world = World::bare();
-        world.apply(&config()).await;
-        let one = world.start_ready(&[]).await;
-        let other = world.start_ready(&[]).await;
-        let script = vec![Head, Whole("held"), End];
-        let sides = world.sides(&one, SERVICES, 3, &[script]).await;
+fn routes_all_calls_of_a_part_to_one_side() {
+    run_test(|| async {
+        let mut fixture = Fixture::with_empty_log();
+        fixture.apply_config(&config()).await;
+        let first_entry = fixture.start_ready(&[]).await;
+        let second_entry = fixture.start_ready(&[]).await;
+        let script = vec![Head, Completion("held"), End];
+        let sides = fixture
+            .start_sides(&first_entry, SERVICE_POOL, 3, &[script])
+            .await;
         for side in &sides {
-            let peers = other.entry.addresses().peers;
-            side.join(&world.client, peers, SERVICES).await;
+            let peers = second_entry.entry.addresses().peers;
+            side.start_reporting(&fixture.client, peers, SERVICE_POOL)
+                .await;
         }
-        let callers = [world.caller(&one), world.caller(&other)];
-        for n in 0..KEYS {
+        let callers = [fixture.caller(&first_entry), fixture.caller(&second_entry)];
+        for n in 0..KEY_COUNT {
             let key = format!("key-{n}");
             for caller in &callers {
-                let call = with(post("/seats/hold", "seat 4"), "idempotency-key", &key);
-                assert_eq!(caller.ask(call).await.status, 200);
+                let call = with_header(post("/seats/hold", "seat 4"), "idempotency-key", &key);
+                assert_eq!(caller.call(call).await.status, 200);
             }
         }
-        let seen = seen(&sides);
-        assert!(seen.values().all(|s| s.len() == 1), "{seen:?}");
-        let used: BTreeSet<&usize> = seen.values().flatten().collect();
-        assert_eq!(used.len(), 3, "{seen:?}");
+        let sides_by_part = sides_by_part(&sides);
+        assert!(
+            sides_by_part.values().all(|s| s.len() == 1),
+            "{sides_by_part:?}"
+        );
+        let used: BTreeSet<&usize> = sides_by_part.values().flatten().collect();
+        assert_eq!(used.len(), 3, "{sides_by_part:?}");
     });
 }
 
 #[test]
-fn a_refusal_leads_to_the_next_side_and_back() {
-    case(|| async {
-        let mut world = World::bare();
-        world.apply(&config()).await;
-        let one = world.start_ready(&[]).await;
-        let whole = vec![Head, Whole("held"), End];
-        let scripts = [whole.clone(), vec![Refuse(Reason::Overloaded)], whole];
-        let sides = world.sides(&one, SERVICES, 3, &scripts).await;
-        let caller = world.caller(&one);
-        let counts = || sides.iter().map(|s| s.seen().len()).collect::<Vec<_>>();
+fn a_refused_call_goes_to_the_next_side_and_later_ones_return() {
+    run_test(|| async {
+        let mut fixture = Fixture::with_empty_log();
+        fixture.apply_config(&config()).await;
+        let first_entry = fixture.start_ready(&[]).await;
+        let answer = vec![Head, Completion("held"), End];
+        let scripts = [answer.clone(), vec![Refuse(Reason::Overloaded)], answer];
+        let sides = fixture
+            .start_sides(&first_entry, SERVICE_POOL, 3, &scripts)
+            .await;
+        let caller = fixture.caller(&first_entry);
+        let counts = || sides.iter().map(|s| s.attempts().len()).collect::<Vec<_>>();
         let mut before = counts();
-        let mut steps = Vec::new();
+        let mut sides_by_call = Vec::new();
         for _ in 0..3 {
-            let call = with(post("/seats/hold", "seat 4"), "idempotency-key", "k");
-            assert_eq!(caller.ask(call).await.status, 200);
+            let call = with_header(post("/seats/hold", "seat 4"), "idempotency-key", "k");
+            assert_eq!(caller.call(call).await.status, 200);
             let after = counts();
-            let grown = (0..3).filter(|n| after[*n] > before[*n]);
-            steps.push(grown.collect::<BTreeSet<usize>>());
+            let called = (0..3).filter(|n| after[*n] > before[*n]);
+            sides_by_call.push(called.collect::<BTreeSet<usize>>());
             before = after;
         }
-        assert_eq!(steps[0].len(), 1);
-        assert_eq!(steps[1].len(), 2, "{steps:?}");
-        assert!(steps[1].is_superset(&steps[0]), "{steps:?}");
-        assert_eq!(steps[2], steps[0]);
+        assert_eq!(sides_by_call[0].len(), 1);
+        assert_eq!(sides_by_call[1].len(), 2, "{sides_by_call:?}");
+        assert!(
+            sides_by_call[1].is_superset(&sides_by_call[0]),
+            "{sides_by_call:?}"
+        );
+        assert_eq!(sides_by_call[2], sides_by_call[0]);
     });
 }
--- a/crates/entry/tests/entry/listed.rs
+++ b/crates/entry/tests/entry/listed.rs
@@ -9,42 +9,42 @@
 use pumicecleat_standin::{VmList, VmListOptions};
 use pumicecleat_types::{VmEntry, VmRole, VmState};
 
-use crate::script::whole;
-use crate::world::{POOL, World, case};
+use crate::fixture::{Fixture, MODEL_POOL, run_test};
+use crate::script::completion_script;
 
 const VM: &str = "side-1";
-const SPAN: Duration = Duration::from_secs(1);
+const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A leaving VM gets no work from then on.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_LEAVING_DELAY: Duration = Duration::from_secs(3);
 
 struct Case {
     name: &'static str,
     /// State by the list when the side joins.
-    first: VmState,
+    initial_state: VmState,
     /// The side reports on after it has joined.
-    reports: bool,
+    keeps_reporting: bool,
 }
 
 const CASES: [Case; 3] = [
     Case {
         name: "listed before it joins",
-        first: VmState::Leaving,
-        reports: true,
+        initial_state: VmState::Leaving,
+        keeps_reporting: true,
     },
     Case {
         name: "listed later",
-        first: VmState::Live,
-        reports: true,
+        initial_state: VmState::Live,
+        keeps_reporting: true,
     },
     Case {
         name: "listed later, and silent",
-        first: VmState::Live,
-        reports: false,
+        initial_state: VmState::Live,
+        keeps_reporting: false,
     },
 ];
 
-fn side(state: VmState) -> VmEntry {
+fn vm_entry(state: VmState) -> VmEntry {
     VmEntry {
         vm: VM.into(),
         role: VmRole::Upstream,
@@ -52,57 +52,61 @@
         address: "127.0.0.1:1".to_owned(),
         centre: "bp-a".into(),
         region: "hu-central".into(),
-        pool: Some(POOL.into()),
+        pool: Some(MODEL_POOL.into()),
     }
 }
 
-async fn list_as(world: &World, peer: &str, state: VmState) {
-    let body = serde_json::to_vec(&side(state)).unwrap();
+async fn set_listed_state(fixture: &Fixture, peer: &str, state: VmState) {
+    let body = serde_json::to_vec(&vm_entry(state)).unwrap();
     let request = http::Request::post(format!("/v1/vms/{VM}"));
     let request = request.body(Bytes::from(body)).unwrap();
-    let answer = world.client.send(peer, request, SPAN).await.unwrap();
-    assert_eq!(answer.status(), 200);
+    let response = fixture
+        .client
+        .send(peer, request, LIST_TIMEOUT)
+        .await
+        .unwrap();
+    assert_eq!(response.status(), 200);
 }
 
 #[test]
 fn a_side_that_the_list_calls_leaving_gets_no_work() {
     for row in CASES {
-        case(|| async {
+        run_test(|| async {
             let name = row.name;
-            let world = World::new().await;
+            let fixture = Fixture::new().await;
             let options = VmListOptions {
-                vms: vec![side(row.first)],
+                vms: vec![vm_entry(row.initial_state)],
                 ..VmListOptions::default()
             };
-            let list = VmList::start(options, &world.timer).unwrap();
+            let list = VmList::start(options, &fixture.timer).unwrap();
             let peer = list.address.to_string();
-            let vms = HttpVms::new(&world.client, Peers::parse(&peer), SPAN);
-            let parts = EntryContext {
-                log_service: world.records(),
+            let vms = HttpVms::new(&fixture.client, Peers::parse(&peer), LIST_TIMEOUT);
+            let context = EntryContext {
+                log_service: fixture.log_service(),
                 vm_list: Some(Rc::new(vms)),
             };
-            let started = world.start_with(&[], &parts);
-            world.until(|| started.entry.is_ready()).await;
-            world.timer.sleep(SPAN).await;
-            let scripts = vec![whole("Jó"); 12];
-            let sides = world.sides(&started, POOL, 1, &scripts).await;
-            let caller = world.caller(&started);
-            if row.first == VmState::Live {
+            let started = fixture.start_with_context(&[], &context);
+            fixture.wait_until(|| started.entry.is_ready()).await;
+            fixture.timer.sleep(LIST_TIMEOUT).await;
+            let scripts = vec![completion_script("Jó"); 12];
+            let sides = fixture.start_sides(&started, MODEL_POOL, 1, &scripts).await;
+            let caller = fixture.caller(&started);
+            if row.initial_state == VmState::Live {
                 assert_eq!(caller.chat(false).await.status, 200, "{name}");
-                if !row.reports {
+                if !row.keeps_reporting {
                     sides[0].stop_reports();
                 }
-                list_as(&world, &peer, VmState::Leaving).await;
+                set_listed_state(&fixture, &peer, VmState::Leaving).await;
             }
-            world.timer.sleep(LONGEST).await;
-            let before = sides[0].seen().len();
+            fixture.timer.sleep(MAX_LEAVING_DELAY).await;
+            let before = sides[0].attempts().len();
             for _ in 0..5 {
-                let told = caller.chat(false).await;
+                let response = caller.chat(false).await;
                 let refused = ("no_upstream".to_owned(), "no".to_owned());
-                assert_eq!(told.error(), refused, "{name}");
-                assert!(told.header("retry-after").is_some(), "{name}");
+                assert_eq!(response.error(), refused, "{name}");
+                assert!(response.header("retry-after").is_some(), "{name}");
             }
-            assert_eq!(sides[0].seen().len(), before, "{name}");
+            assert_eq!(sides[0].attempts().len(), before, "{name}");
         });
     }
 }
--- a/crates/entry/tests/entry/main.rs
+++ b/crates/entry/tests/entry/main.rs
@@ -1,17 +1,17 @@
 //! An entry against sides that play frames by script, and a stand-in of the log.
 
+mod affinity;
 mod caller;
 mod config;
 mod faults;
+mod fixture;
 mod input;
 mod keys;
 mod listed;
-mod meeting;
-mod part;
+mod partial_log;
 mod peers;
 mod resume;
 mod script;
 mod side;
 mod stop;
 mod truth;
-mod world;
--- a/crates/entry/tests/entry/part.rs
+++ b/crates/entry/tests/entry/partial_log.rs
@@ -6,12 +6,12 @@
 use pumicecleat_entry::EntryContext;
 use pumicecleat_infra::{AppendError, Appended, Batch, Local, Log, ReadError};
 
-use crate::world::{World, case, config_with};
+use crate::fixture::{Fixture, config_with, run_test};
 
 /// A log that gives its first record and nothing more.
-struct Broken(Rc<dyn Log>);
+struct FirstRecordOnly(Rc<dyn Log>);
 
-impl Log for Broken {
+impl Log for FirstRecordOnly {
     fn append<'a>(
         &'a self,
         stream: &'a str,
@@ -36,26 +36,26 @@
 
 /// Its older revision makes nobody ready.
 #[test]
-fn an_entry_that_has_read_a_part_tells_no_other_its_state() {
-    case(|| async {
-        let mut world = World::new().await;
-        world
-            .apply(&config_with(
+fn an_entry_behind_the_log_gives_peers_no_configuration() {
+    run_test(|| async {
+        let mut fixture = Fixture::new().await;
+        fixture
+            .apply_config(&config_with(
                 "[adapter.more]\nbase = 'magyar-7b'\nversion.v1.path = 'm'\n",
             ))
             .await;
-        let parts = EntryContext {
-            log_service: Rc::new(Broken(world.records())),
+        let context = EntryContext {
+            log_service: Rc::new(FirstRecordOnly(fixture.log_service())),
             vm_list: None,
         };
-        let behind = world.start_with(&[], &parts);
-        world.until(|| behind.entry.revision() == 1).await;
-        world.log.inject(|f| f.down = true);
+        let behind = fixture.start_with_context(&[], &context);
+        fixture.wait_until(|| behind.entry.revision() == 1).await;
+        fixture.log.inject(|f| f.down = true);
         let peer = behind.entry.addresses().peers.to_string();
-        let starter = world.start(&["--peers", &peer]);
-        world.timer.sleep(Duration::from_secs(2)).await;
+        let starting = fixture.start(&["--peers", &peer]);
+        fixture.timer.sleep(Duration::from_secs(2)).await;
         assert!(!behind.entry.is_ready());
-        assert!(!starter.entry.is_ready());
-        assert_eq!(starter.entry.revision(), 0);
+        assert!(!starting.entry.is_ready());
+        assert_eq!(starting.entry.revision(), 0);
     });
 }
--- a/crates/entry/tests/entry/script.rs
+++ b/crates/entry/tests/entry/script.rs
@@ -6,11 +6,11 @@
 
 /// One thing that a fake side does; after the last, its body ends.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     /// Start of an answer, as asked.
     Head,
     /// Start of an answer that names something else.
-    FalseHead(False),
+    MismatchedHead(Mismatch),
     /// Start of an answer with a status.
     Status(u16),
     /// Events of a stream, one for each text; with the role first.
@@ -20,9 +20,9 @@
     /// Event with a text.
     Text(&'static str),
     /// Event with a text, of another model.
-    FalseText(&'static str),
+    OtherModelText(&'static str),
     /// Event with a text and an id of another request.
-    CrossedText(&'static str),
+    OtherRequestText(&'static str),
     /// Event with the finish reason.
     Finish,
     /// Event with the usage of this attempt: prompt and answer.
@@ -30,9 +30,9 @@
     /// `[DONE]`.
     Done,
     /// Whole body of a chat answer.
-    Whole(&'static str),
+    Completion(&'static str),
     /// The same, with what it tells of its prompt's cached tokens.
-    Cached(&'static str, &'static str),
+    CompletionWithCached(&'static str, &'static str),
     /// Bytes as they are.
     Bytes(&'static str),
     /// Proper end.
@@ -42,7 +42,7 @@
     /// Can't be finished.
     Broken(Ran),
     /// Connection closes.
-    Cut,
+    Disconnect,
     /// Nothing for a while.
     Pause(Duration),
     /// Nothing, forever.
@@ -53,7 +53,7 @@
 
 /// What a false head names wrongly.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum False {
+pub(crate) enum Mismatch {
     Request,
     Attempt,
     Model,
@@ -61,14 +61,14 @@
 }
 
 /// A stream of texts, whole.
-pub(crate) fn stream(texts: &[&'static str]) -> Vec<Act> {
-    let mut acts = vec![Act::Head, Act::Role];
-    acts.extend(texts.iter().map(|t| Act::Text(t)));
-    acts.extend([Act::Finish, Act::Done, Act::End]);
-    acts
+pub(crate) fn stream_script(texts: &[&'static str]) -> Vec<Action> {
+    let mut actions = vec![Action::Head, Action::Role];
+    actions.extend(texts.iter().map(|t| Action::Text(t)));
+    actions.extend([Action::Finish, Action::Done, Action::End]);
+    actions
 }
 
 /// A whole answer.
-pub(crate) fn whole(text: &'static str) -> Vec<Act> {
-    vec![Act::Head, Act::Whole(text), Act::End]
+pub(crate) fn completion_script(text: &'static str) -> Vec<Action> {
+    vec![Action::Head, Action::Completion(text), Action::End]
 }
--- a/crates/entry/tests/entry/side.rs
+++ b/crates/entry/tests/entry/side.rs
@@ -19,13 +19,13 @@
 };
 use serde_json::{Value, json};
 
-use crate::script::{Act, False};
+use crate::script::{Action, Mismatch};
 
 /// Time between two reports.
-const PACE: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// One script an attempt, whichever side it comes to; the last is played again and again.
-pub(crate) type Scripts = Rc<RefCell<VecDeque<Vec<Act>>>>;
+pub(crate) type Scripts = Rc<RefCell<VecDeque<Vec<Action>>>>;
 
 /// A side that plays frames by script, and reports.
 pub(crate) struct FakeSide {
@@ -36,18 +36,18 @@
 struct State {
     name: &'static str,
     scripts: Scripts,
-    seen: RefCell<Vec<RunRequest>>,
-    dropped: Cell<usize>,
+    attempts: RefCell<Vec<RunRequest>>,
+    closed_early: Cell<usize>,
     revision: Cell<u64>,
     reporting: Cell<bool>,
     leaving: Cell<bool>,
     timer: Timer,
 }
 
-struct Play {
+struct Playback {
     state: Rc<State>,
     request: RunRequest,
-    acts: VecDeque<Act>,
+    actions: VecDeque<Action>,
     ended: bool,
 }
 
@@ -58,14 +58,14 @@
         let state = Rc::new(State {
             name,
             scripts: Rc::clone(scripts),
-            seen: RefCell::default(),
-            dropped: Cell::new(0),
+            attempts: RefCell::default(),
+            closed_early: Cell::new(0),
             revision: Cell::new(0),
             reporting: Cell::new(true),
             leaving: Cell::new(false),
             timer: timer.clone(),
         });
-        let handler = Rc::new(Runs(Rc::clone(&state)));
+        let handler = Rc::new(RunHandler(Rc::clone(&state)));
         let options = ServerOptions {
             protocol: Protocol::Http2,
             ..ServerOptions::default()
@@ -76,18 +76,18 @@
     }
 
     /// Attempts seen.
-    pub(crate) fn seen(&self) -> Vec<RunRequest> {
-        self.state.seen.borrow().clone()
+    pub(crate) fn attempts(&self) -> Vec<RunRequest> {
+        self.state.attempts.borrow().clone()
     }
 
     /// Body of an attempt as JSON.
-    pub(crate) fn body(&self, attempt: usize) -> Value {
-        serde_json::from_slice(&self.state.seen.borrow()[attempt].body).unwrap()
+    pub(crate) fn attempt_body(&self, attempt: usize) -> Value {
+        serde_json::from_slice(&self.state.attempts.borrow()[attempt].body).unwrap()
     }
 
     /// Attempts whose connection closed before their end.
-    pub(crate) fn dropped(&self) -> usize {
-        self.state.dropped.get()
+    pub(crate) fn closed_early(&self) -> usize {
+        self.state.closed_early.get()
     }
 
     pub(crate) fn set_revision(&self, revision: u64) {
@@ -103,23 +103,28 @@
     }
 
     /// Reports to an entry from now on; waits for the first reply.
-    pub(crate) async fn join(&self, client: &Client, entry: SocketAddr, pool: &'static str) {
+    pub(crate) async fn start_reporting(
+        &self,
+        client: &Client,
+        entry: SocketAddr,
+        pool: &'static str,
+    ) {
         let state = Rc::clone(&self.state);
         let address = self.address;
         let client = client.clone();
-        report(&state, &client, entry, address, pool, 1).await;
+        send_report(&state, &client, entry, address, pool, 1).await;
         monoio::spawn(async move {
             for seq in 2.. {
-                state.timer.sleep(PACE).await;
+                state.timer.sleep(REPORT_INTERVAL).await;
                 if state.reporting.get() {
-                    report(&state, &client, entry, address, pool, seq).await;
+                    send_report(&state, &client, entry, address, pool, seq).await;
                 }
             }
         });
     }
 }
 
-async fn report(
+async fn send_report(
     state: &State,
     client: &Client,
     entry: SocketAddr,
@@ -148,112 +153,118 @@
         loading: None,
         revision: state.revision.get(),
     };
-    let span = Duration::from_secs(1);
-    post(client, &entry.to_string(), "/peer/v1/report", &report, span)
-        .await
-        .ok()
+    let timeout = Duration::from_secs(1);
+    post(
+        client,
+        &entry.to_string(),
+        "/peer/v1/report",
+        &report,
+        timeout,
+    )
+    .await
+    .ok()
 }
 
-struct Runs(Rc<State>);
+struct RunHandler(Rc<State>);
 
-impl Handler for Runs {
+impl Handler for RunHandler {
     fn handle(&self, request: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
         let state = Rc::clone(&self.0);
-        Box::pin(async move { run(state, request).await })
+        Box::pin(async move { handle_run(state, request).await })
     }
 }
 
-async fn run(state: Rc<State>, mut request: Incoming) -> Reply {
-    let span = Duration::from_secs(5);
-    let bytes = read_all(request.body_mut(), 1 << 20, span, &state.timer).await;
+async fn handle_run(state: Rc<State>, mut request: Incoming) -> Reply {
+    let timeout = Duration::from_secs(5);
+    let bytes = read_all(request.body_mut(), 1 << 20, timeout, &state.timer).await;
     let Ok(request) = decode::<RunRequest>(&bytes.unwrap()) else {
         return plain_reply(400, "not an attempt");
     };
-    state.seen.borrow_mut().push(request.clone());
-    let acts = next_script(&state);
-    if matches!(acts.front(), Some(Act::NoHead)) {
+    state.attempts.borrow_mut().push(request.clone());
+    let actions = next_script(&state);
+    if matches!(actions.front(), Some(Action::NoHead)) {
         std::future::pending::<()>().await;
     }
-    let play = Play {
+    let playback = Playback {
         state,
         request,
-        acts,
+        actions,
         ended: false,
     };
-    Reply::new(Body::Stream(Box::pin(unfold(play, Play::next))))
+    Reply::new(Body::Stream(Box::pin(unfold(playback, Playback::next))))
 }
 
-fn next_script(state: &State) -> VecDeque<Act> {
+fn next_script(state: &State) -> VecDeque<Action> {
     let mut scripts = state.scripts.borrow_mut();
     let script = match scripts.len() {
-        0 => vec![Act::Hang],
+        0 => vec![Action::Hang],
         1 => scripts[0].clone(),
         _ => scripts.pop_front().unwrap(),
     };
     script.into()
 }
 
-impl Play {
+impl Playback {
     async fn next(mut self) -> Option<(Result<Bytes, BodyError>, Self)> {
         loop {
-            let Some(act) = self.acts.pop_front() else {
+            let Some(action) = self.actions.pop_front() else {
                 self.ended = true;
                 return None;
             };
-            match act {
-                Act::Pause(span) => self.state.timer.sleep(span).await,
-                Act::Hang | Act::NoHead => std::future::pending().await,
-                Act::Cut => {
+            match action {
+                Action::Pause(timeout) => self.state.timer.sleep(timeout).await,
+                Action::Hang | Action::NoHead => std::future::pending().await,
+                Action::Disconnect => {
                     // What was played before leaves first.
                     self.state.timer.sleep(Duration::from_millis(20)).await;
                     self.ended = true;
                     let detail = "cut by script".to_owned();
                     return Some((Err(BodyError::Broken { detail }), self));
                 }
-                act => {
-                    let frame = self.frame(&act);
+                action => {
+                    let frame = self.frame(&action);
                     return Some((Ok(frame_bytes(&frame)), self));
                 }
             }
         }
     }
 
-    fn frame(&self, act: &Act) -> Frame {
-        match act {
-            Act::Head => self.head(None, 200),
-            Act::Status(status) => self.head(None, *status),
-            Act::FalseHead(wrong) => self.head(Some(*wrong), 200),
-            Act::End => Frame::End { load: None },
-            Act::Refuse(reason) => Frame::Refused(Refusal {
+    fn frame(&self, action: &Action) -> Frame {
+        match action {
+            Action::Head => self.head(None, 200),
+            Action::Status(status) => self.head(None, *status),
+            Action::MismatchedHead(mismatch) => self.head(Some(*mismatch), 200),
+            Action::End => Frame::End { load: None },
+            Action::Refuse(reason) => Frame::Refused(Refusal {
                 reason: *reason,
                 retry_ms: 1500,
                 detail: "refused by script".to_owned(),
                 load: None,
             }),
-            Act::Broken(ran) => Frame::Broken {
+            Action::Broken(ran) => Frame::Broken {
                 ran: *ran,
                 step: "script".to_owned(),
                 detail: "broken by script".to_owned(),
             },
-            act => Frame::Data {
-                bytes: self.data(act).into_bytes(),
+            action => Frame::Data {
+                bytes: self.data(action).into_bytes(),
             },
         }
     }
 
-    fn head(&self, wrong: Option<False>, status: u16) -> Frame {
+    fn head(&self, mismatch: Option<Mismatch>, status: u16) -> Frame {
         let head = &self.request.head;
         let (mut request, mut attempt) = (head.request.clone(), head.attempt);
         let mut model = match &head.target {
             Target::Model(m) => Some(format!("{}@{}", m.adapter, m.version)),
             Target::Service(_) => None,
         };
-        match wrong {
+        match mismatch {
             None => {}
-            Some(False::Request) => request = "another".into(),
-            Some(False::Attempt) => attempt += 1,
-            Some(False::Model) => model = Some("tour@v2".to_owned()),
-            Some(False::NoModel) => model = None,
+            Some(Mismatch::Request) => request = "another".into(),
+            Some(Mismatch::Attempt) => attempt += 1,
+            Some(Mismatch::Model) => model = Some("tour@v2".to_owned()),
+            Some(Mismatch::NoModel) => model = None,
         }
         Frame::Head {
             request,
@@ -265,25 +276,25 @@
         }
     }
 
-    fn data(&self, act: &Act) -> String {
+    fn data(&self, action: &Action) -> String {
         let chunk = |delta: Value, finish: Value| self.event("tour@v1", &delta, &finish);
-        match act {
-            Act::Role => chunk(json!({"role": "assistant", "content": ""}), Value::Null),
-            Act::RoleText(text) => {
+        match action {
+            Action::Role => chunk(json!({"role": "assistant", "content": ""}), Value::Null),
+            Action::RoleText(text) => {
                 chunk(json!({"role": "assistant", "content": text}), Value::Null)
             }
-            Act::Text(text) => chunk(json!({ "content": text }), Value::Null),
-            Act::FalseText(text) => {
+            Action::Text(text) => chunk(json!({ "content": text }), Value::Null),
+            Action::OtherModelText(text) => {
                 self.event("tour@v2", &json!({ "content": text }), &Value::Null)
             }
-            Act::CrossedText(text) => chunk(json!({ "content": text }), Value::Null)
+            Action::OtherRequestText(text) => chunk(json!({ "content": text }), Value::Null)
                 .replace(self.request.head.request.as_str(), "another"),
-            Act::Finish => chunk(json!({}), json!("stop")),
-            Act::Usage(prompt, answer) => self.usage(*prompt, *answer),
-            Act::Done => "data: [DONE]\n\n".to_owned(),
-            Act::Whole(text) => self.whole(text).to_string(),
-            Act::Cached(text, cached) => {
-                let mut body = self.whole(text);
+            Action::Finish => chunk(json!({}), json!("stop")),
+            Action::Usage(prompt, answer) => self.usage(*prompt, *answer),
+            Action::Done => "data: [DONE]\n\n".to_owned(),
+            Action::Completion(text) => self.completion(text).to_string(),
+            Action::CompletionWithCached(text, cached) => {
+                let mut body = self.completion(text);
                 let cached: Value = serde_json::from_str(cached).unwrap();
                 body["usage"] = json!({
                     "prompt_tokens": 20, "completion_tokens": 1,
@@ -291,8 +302,8 @@
                 });
                 body.to_string()
             }
-            Act::Bytes(bytes) => (*bytes).to_owned(),
-            act => panic!("{act:?} has no data"),
+            Action::Bytes(bytes) => (*bytes).to_owned(),
+            action => panic!("{action:?} has no data"),
         }
     }
 
@@ -326,7 +337,7 @@
         1_700_000_000 + u64::from(self.request.head.attempt)
     }
 
-    fn whole(&self, text: &str) -> Value {
+    fn completion(&self, text: &str) -> Value {
         json!({
             "id": self.id(), "object": "chat.completion", "created": self.created(),
             "model": "tour@v1",
@@ -338,10 +349,12 @@
     }
 }
 
-impl Drop for Play {
+impl Drop for Playback {
     fn drop(&mut self) {
         if !self.ended {
-            self.state.dropped.set(self.state.dropped.get() + 1);
+            self.state
+                .closed_early
+                .set(self.state.closed_early.get() + 1);
         }
     }
 }
--- a/crates/entry/tests/entry/stop.rs
+++ b/crates/entry/tests/entry/stop.rs
@@ -10,88 +10,92 @@
 use pumicecleat_types::{VmEntry, VmRole, VmState};
 
 use crate::caller::chat;
-use crate::script::Act;
-use crate::world::{POOL, Started, World, case};
+use crate::fixture::{Fixture, MODEL_POOL, StartedEntry, run_test};
+use crate::script::Action;
 
-fn slow_stream(pause: u64) -> Vec<Act> {
-    let pause = Act::Pause(Duration::from_millis(pause));
+fn slow_stream(pause: u64) -> Vec<Action> {
+    let pause = Action::Pause(Duration::from_millis(pause));
     let head = [
-        Act::Head,
-        Act::Role,
-        Act::Text("Jó"),
+        Action::Head,
+        Action::Role,
+        Action::Text("Jó"),
         pause,
-        Act::Text(" ég"),
+        Action::Text(" ég"),
     ];
-    let tail = [Act::Finish, Act::Done, Act::End];
+    let tail = [Action::Finish, Action::Done, Action::End];
     head.into_iter().chain(tail).collect()
 }
 
 #[test]
 fn finishes_streams_and_refuses_new_requests() {
-    case(|| async {
-        let world = World::new().await;
-        let Started { entry, stop } = world.start_ready(&[]).await;
-        let started = Started { entry, stop };
-        let sides = world.sides(&started, POOL, 1, &[slow_stream(600)]).await;
-        let caller = world.caller(&started);
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let StartedEntry { entry, stop } = fixture.start_ready(&[]).await;
+        let started = StartedEntry { entry, stop };
+        let sides = fixture
+            .start_sides(&started, MODEL_POOL, 1, &[slow_stream(600)])
+            .await;
+        let caller = fixture.caller(&started);
         let admin = started.entry.addresses().admin;
-        let Started { entry, stop } = started;
-        let ends = async {
-            let open = caller.chat(true);
+        let StartedEntry { entry, stop } = started;
+        let requests = async {
+            let stream = caller.chat(true);
             let stopping = async {
-                world.until(|| sides[0].seen().len() == 1).await;
-                world.timer.sleep(Duration::from_millis(100)).await;
+                fixture.wait_until(|| sides[0].attempts().len() == 1).await;
+                fixture.timer.sleep(Duration::from_millis(100)).await;
                 stop.ask();
-                world.timer.sleep(Duration::from_millis(50)).await;
+                fixture.timer.sleep(Duration::from_millis(50)).await;
                 let refused = caller.chat(false).await;
                 assert_eq!(refused.status, 503);
                 assert_eq!(refused.error(), ("stopping".into(), "no".into()));
                 assert!(refused.header("retry-after").is_some());
                 assert_eq!(refused.header("connection"), Some("close"));
-                let ready = world.get(admin, "/readyz").await;
+                let ready = fixture.get(admin, "/readyz").await;
                 assert!(ready.contains("stopping"), "{ready}");
             };
-            join(open, stopping).await.0
+            join(stream, stopping).await.0
         };
-        let (end, told) = join(entry.run(), ends).await;
+        let (end, response) = join(entry.run(), requests).await;
         assert_eq!(end, DrainEnd::Finished);
-        assert!(told.whole);
-        assert_eq!(told.text(), "Jó ég");
-        assert_eq!(sides[0].seen().len(), 1);
+        assert!(response.complete);
+        assert_eq!(response.text(), "Jó ég");
+        assert_eq!(sides[0].attempts().len(), 1);
     });
 }
 
 /// A second signal or the limit ends the stop, and names what it cut.
 #[test]
-fn names_what_it_cuts() {
-    case(|| async {
-        for second in [true, false] {
-            let world = World::new().await;
-            let limit = if second { "60s" } else { "300ms" };
-            let started = world.start_ready(&["--drain-limit", limit]).await;
-            let sides = world.sides(&started, POOL, 1, &[vec![Act::Hang]]).await;
-            let caller = world.caller(&started);
+fn reports_requests_cut_at_the_end_of_the_drain() {
+    run_test(|| async {
+        for second_signal in [true, false] {
+            let fixture = Fixture::new().await;
+            let limit = if second_signal { "60s" } else { "300ms" };
+            let started = fixture.start_ready(&["--drain-limit", limit]).await;
+            let sides = fixture
+                .start_sides(&started, MODEL_POOL, 1, &[vec![Action::Hang]])
+                .await;
+            let caller = fixture.caller(&started);
             monoio::spawn(async move { caller.send(chat(true)).await });
-            world.until(|| sides[0].seen().len() == 1).await;
-            let request = sides[0].seen()[0].head.request.clone();
+            fixture.wait_until(|| sides[0].attempts().len() == 1).await;
+            let request = sides[0].attempts()[0].head.request.clone();
             started.stop.ask();
-            if second {
+            if second_signal {
                 started.stop.ask();
             }
             let end = started.entry.run().await;
             assert_eq!(end.cut(), [request]);
             let interrupted = matches!(end, DrainEnd::Interrupted(_));
-            assert_eq!(interrupted, second);
+            assert_eq!(interrupted, second_signal);
         }
     });
 }
 
 /// The list says that this VM leaves.
 #[test]
-fn stops_when_its_vm_leaves() {
-    case(|| async {
-        let world = World::new().await;
-        let own = VmEntry {
+fn drains_when_its_vm_is_listed_as_leaving() {
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let own_entry = VmEntry {
             vm: "entry-1".into(),
             role: VmRole::Entry,
             state: VmState::Leaving,
@@ -101,18 +105,18 @@
             pool: None,
         };
         let options = VmListOptions {
-            vms: vec![own],
+            vms: vec![own_entry],
             ..VmListOptions::default()
         };
-        let list = VmList::start(options, &world.timer).unwrap();
+        let list = VmList::start(options, &fixture.timer).unwrap();
         let peers = Peers::parse(&list.address.to_string());
-        let vms = HttpVms::new(&world.client, peers, Duration::from_secs(1));
-        let parts = EntryContext {
-            log_service: world.records(),
+        let vms = HttpVms::new(&fixture.client, peers, Duration::from_secs(1));
+        let context = EntryContext {
+            log_service: fixture.log_service(),
             vm_list: Some(std::rc::Rc::new(vms)),
         };
-        let started = world.start_with(&[], &parts);
-        world.until(|| started.stop.is_asked()).await;
+        let started = fixture.start_with_context(&[], &context);
+        fixture.wait_until(|| started.stop.is_asked()).await;
         assert_eq!(started.entry.run().await, DrainEnd::Finished);
     });
 }
--- a/crates/entry/tests/entry/truth.rs
+++ b/crates/entry/tests/entry/truth.rs
@@ -4,15 +4,17 @@
 
 use pumicecleat_types::{Ran, Reason};
 
-use crate::caller::{Caller, Told, chat, post, with};
-use crate::script::Act::{self, Broken, Bytes, Cut, Hang, Head, NoHead, Refuse, Whole};
-use crate::script::whole;
+use crate::caller::{Caller, ReceivedResponse, chat, post, with_header};
+use crate::fixture::{Fixture, MODEL_POOL, SERVICE_POOL, StartedEntry, run_test};
+use crate::script::Action::{
+    self, Broken, Bytes, Completion, Disconnect, Hang, Head, NoHead, Refuse,
+};
+use crate::script::completion_script;
 use crate::side::FakeSide;
-use crate::world::{POOL, SERVICES, Started, World, case};
 
 /// What the caller is told.
 #[derive(Clone, Copy)]
-struct Expect {
+struct ExpectedResponse {
     status: u16,
     /// Empty for an answer.
     code: &'static str,
@@ -22,89 +24,109 @@
 /// Attempts as scripted, and what comes of them.
 struct Case {
     name: &'static str,
-    scripts: Vec<Vec<Act>>,
+    scripts: Vec<Vec<Action>>,
     /// Sides that may be tried.
     sides: usize,
     /// Attempts expected.
     attempts: usize,
-    expect: Expect,
+    expected: ExpectedResponse,
 }
 
-const fn expect(status: u16, code: &'static str, ran: &'static str) -> Expect {
-    Expect { status, code, ran }
+const fn expected(status: u16, code: &'static str, ran: &'static str) -> ExpectedResponse {
+    ExpectedResponse { status, code, ran }
 }
 
-const WHOLE: Expect = expect(200, "", "");
-const LOST: Expect = expect(502, "outcome_unknown", "unknown");
-const RAN: Expect = expect(502, "outcome_unknown", "yes");
-const BUSY: Expect = expect(429, "overloaded", "no");
-const LATE: Expect = expect(504, "deadline_exceeded", "no");
-const GONE: Expect = expect(503, "upstream_unreachable", "no");
+const OK: ExpectedResponse = expected(200, "", "");
+const OUTCOME_UNKNOWN: ExpectedResponse = expected(502, "outcome_unknown", "unknown");
+const RAN_OUTCOME_UNKNOWN: ExpectedResponse = expected(502, "outcome_unknown", "yes");
+const OVERLOADED: ExpectedResponse = expected(429, "overloaded", "no");
+const DEADLINE_EXCEEDED: ExpectedResponse = expected(504, "deadline_exceeded", "no");
+const UNREACHABLE: ExpectedResponse = expected(503, "upstream_unreachable", "no");
 
-const FULL: Act = Refuse(Reason::Overloaded);
+const REFUSE_OVERLOADED: Action = Refuse(Reason::Overloaded);
 
 /// One attempt, cut at each point.
-fn cut_points() -> Vec<Case> {
-    let long = "{\"id\":\"chatcmpl-";
+fn single_attempt_cases() -> Vec<Case> {
+    let partial_body = "{\"id\":\"chatcmpl-";
     #[rustfmt::skip]
     let rows = [
-        ("refused", vec![FULL], BUSY),
-        ("queue too long", vec![Refuse(Reason::Deadline)], LATE),
-        ("broken, not run", vec![Broken(Ran::No)], GONE),
-        ("may have run", vec![Broken(Ran::Unknown)], LOST),
-        ("ran", vec![Broken(Ran::Yes)], RAN),
-        ("no head of the HTTP answer", vec![NoHead], LOST),
-        ("cut before the head", vec![Cut], LOST),
-        ("ends before the head", vec![], LOST),
-        ("cut after the head", vec![Head, Cut], LOST),
-        ("cut within", vec![Head, Bytes(long), Cut], LOST),
-        ("no end", vec![Head, Whole("Jó")], LOST),
-        ("broken at the end", vec![Head, Whole("Jó"), Broken(Ran::Yes)], RAN),
+        ("refused", vec![REFUSE_OVERLOADED], OVERLOADED),
+        ("queue too long", vec![Refuse(Reason::Deadline)], DEADLINE_EXCEEDED),
+        ("broken, not run", vec![Broken(Ran::No)], UNREACHABLE),
+        ("may have run", vec![Broken(Ran::Unknown)], OUTCOME_UNKNOWN),
+        ("ran", vec![Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
+        ("no head of the HTTP answer", vec![NoHead], OUTCOME_UNKNOWN),
+        ("cut before the head", vec![Disconnect], OUTCOME_UNKNOWN),
+        ("ends before the head", vec![], OUTCOME_UNKNOWN),
+        ("cut after the head", vec![Head, Disconnect], OUTCOME_UNKNOWN),
+        ("cut within", vec![Head, Bytes(partial_body), Disconnect], OUTCOME_UNKNOWN),
+        ("no end", vec![Head, Completion("Jó")], OUTCOME_UNKNOWN),
+        ("broken at the end", vec![Head, Completion("Jó"), Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
     ];
-    let cases = rows.into_iter().map(|(name, script, expect)| Case {
+    let cases = rows.into_iter().map(|(name, script, expected)| Case {
         name,
         scripts: vec![script],
         sides: 1,
         attempts: 1,
-        expect,
+        expected,
     });
     cases.collect()
 }
 
 /// Attempts after each other: an earlier one that may have run is not forgotten.
-fn chains() -> Vec<Case> {
-    let unsure = Expect {
+fn two_attempt_cases() -> Vec<Case> {
+    let overloaded_after_lost = ExpectedResponse {
         ran: "unknown",
-        ..BUSY
+        ..OVERLOADED
     };
     let rows = [
-        ("refused, refused", [vec![FULL], vec![FULL]], BUSY),
-        ("cut, refused", [vec![Head, Cut], vec![FULL]], unsure),
-        ("refused, cut", [vec![FULL], vec![Head, Cut]], LOST),
-        ("refused, whole", [vec![FULL], whole("Jó")], WHOLE),
-        ("cut, whole", [vec![Head, Cut], whole("Jó")], WHOLE),
+        (
+            "refused, refused",
+            [vec![REFUSE_OVERLOADED], vec![REFUSE_OVERLOADED]],
+            OVERLOADED,
+        ),
+        (
+            "cut, refused",
+            [vec![Head, Disconnect], vec![REFUSE_OVERLOADED]],
+            overloaded_after_lost,
+        ),
+        (
+            "refused, cut",
+            [vec![REFUSE_OVERLOADED], vec![Head, Disconnect]],
+            OUTCOME_UNKNOWN,
+        ),
+        (
+            "refused, whole",
+            [vec![REFUSE_OVERLOADED], completion_script("Jó")],
+            OK,
+        ),
+        (
+            "cut, whole",
+            [vec![Head, Disconnect], completion_script("Jó")],
+            OK,
+        ),
     ];
-    let cases = rows.into_iter().map(|(name, scripts, expect)| Case {
+    let cases = rows.into_iter().map(|(name, scripts, expected)| Case {
         name,
         scripts: scripts.to_vec(),
         sides: 2,
         attempts: 2,
-        expect,
+        expected,
     });
     cases.collect()
 }
 
 /// Calls with a key.
-fn keyed() -> Vec<Case> {
-    let cut = || vec![Head, Cut];
-    let busy = expect(409, "key_in_use", "unknown");
-    let reused = expect(422, "key_reused", "no");
-    let unknown = expect(409, "key_outcome_unknown", "unknown");
-    let log = expect(503, "log_unavailable", "unknown");
+fn keyed_cases() -> Vec<Case> {
+    let cut = || vec![Head, Disconnect];
+    let busy = expected(409, "key_in_use", "unknown");
+    let reused = expected(422, "key_reused", "no");
+    let unknown = expected(409, "key_outcome_unknown", "unknown");
+    let log = expected(503, "log_unavailable", "unknown");
     #[rustfmt::skip]
     let rows = [
-        ("cut, cut", vec![cut()], 2, LOST),
-        ("cut, recorded", vec![cut(), whole("Jó")], 2, WHOLE),
+        ("cut, cut", vec![cut()], 2, OUTCOME_UNKNOWN),
+        ("cut, recorded", vec![cut(), completion_script("Jó")], 2, OK),
         ("cut, busy", vec![cut(), vec![Refuse(Reason::KeyBusy)]], 2, busy),
         ("busy", vec![vec![Refuse(Reason::KeyBusy)]], 1, busy),
         ("reused", vec![vec![Refuse(Reason::KeyReused)]], 1, reused),
@@ -113,23 +135,26 @@
     ];
     let cases = rows
         .into_iter()
-        .map(|(name, scripts, attempts, expect)| Case {
+        .map(|(name, scripts, attempts, expected)| Case {
             name,
             scripts,
             sides: 4,
             attempts,
-            expect,
+            expected,
         });
     cases.collect()
 }
 
 #[test]
 fn tells_whether_a_chat_request_ran() {
-    case(|| async {
-        for case in cut_points().into_iter().chain(chains()) {
-            let stage = Stage::set(POOL, &case).await;
-            let told = stage.caller.chat(false).await;
-            stage.check(&case, &told);
+    run_test(|| async {
+        for case in single_attempt_cases()
+            .into_iter()
+            .chain(two_attempt_cases())
+        {
+            let case_run = CaseRun::start(MODEL_POOL, &case).await;
+            let response = case_run.caller.chat(false).await;
+            case_run.check(&case, &response);
         }
     });
 }
@@ -137,16 +162,19 @@
 /// Calls that may not be repeated, without a key.
 #[test]
 fn sends_a_call_without_key_once_if_it_may_have_run() {
-    case(|| async {
-        let mut cases = cut_points();
+    run_test(|| async {
+        let mut cases = single_attempt_cases();
         for case in &mut cases {
             case.sides = 2;
-            case.attempts = if case.expect.ran == "no" { 2 } else { 1 };
+            case.attempts = if case.expected.ran == "no" { 2 } else { 1 };
         }
         for case in cases {
-            let stage = Stage::set(SERVICES, &case).await;
-            let told = stage.caller.ask(post("/seats/mail", "to: school")).await;
-            stage.check(&case, &told);
+            let case_run = CaseRun::start(SERVICE_POOL, &case).await;
+            let response = case_run
+                .caller
+                .call(post("/seats/mail", "to: school"))
+                .await;
+            case_run.check(&case, &response);
         }
     });
 }
@@ -154,54 +182,60 @@
 /// Calls with a key: one more attempt, with the same key.
 #[test]
 fn sends_a_call_with_key_once_more_at_another_side() {
-    case(|| async {
-        for case in keyed() {
-            let stage = Stage::set(SERVICES, &case).await;
-            let call = with(post("/seats/hold", "seat 7"), "idempotency-key", "key-7");
-            let told = stage.caller.ask(call).await;
-            stage.check(&case, &told);
-            let mut seen = stage.sides.iter().flat_map(FakeSide::seen);
+    run_test(|| async {
+        for case in keyed_cases() {
+            let case_run = CaseRun::start(SERVICE_POOL, &case).await;
+            let call = with_header(post("/seats/hold", "seat 7"), "idempotency-key", "key-7");
+            let response = case_run.caller.call(call).await;
+            case_run.check(&case, &response);
+            let mut seen = case_run.sides.iter().flat_map(FakeSide::attempts);
             assert!(seen.all(|r| r.head.key.as_deref() == Some("key-7")));
         }
     });
 }
 
 #[test]
-fn repeats_an_idempotent_call() {
-    case(|| async {
-        let scripts = vec![vec![Head, Cut], vec![Head, Bytes("7, 8"), Act::End]];
+fn retries_an_idempotent_call() {
+    run_test(|| async {
+        let scripts = vec![
+            vec![Head, Disconnect],
+            vec![Head, Bytes("7, 8"), Action::End],
+        ];
         let case = Case {
             name: "idempotent",
             scripts,
             sides: 2,
             attempts: 2,
-            expect: WHOLE,
+            expected: OK,
         };
-        let stage = Stage::set(SERVICES, &case).await;
-        let told = stage.caller.ask(post("/seats/list?day=1", "")).await;
-        stage.check(&case, &told);
-        assert_eq!(told.body, b"7, 8");
+        let case_run = CaseRun::start(SERVICE_POOL, &case).await;
+        let response = case_run.caller.call(post("/seats/list?day=1", "")).await;
+        case_run.check(&case, &response);
+        assert_eq!(response.body, b"7, 8");
     });
 }
 
 /// A side that is gone without a word: nothing was sent.
 #[test]
-fn tells_that_nothing_was_sent() {
-    case(|| async {
-        let world = World::new().await;
-        let started = world.start_ready(&[]).await;
-        let gone = pumicecleat_net::bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let address = gone.local_addr().unwrap();
-        drop(gone);
+fn reports_not_run_when_the_connection_is_refused() {
+    run_test(|| async {
+        let fixture = Fixture::new().await;
+        let started = fixture.start_ready(&[]).await;
+        let listener = pumicecleat_net::bind("127.0.0.1:0".parse().unwrap()).unwrap();
+        let address = listener.local_addr().unwrap();
+        drop(listener);
         let scripts = crate::side::Scripts::default();
-        let mut side = FakeSide::start("side-1", &scripts, &world.timer);
+        let mut side = FakeSide::start("side-1", &scripts, &fixture.timer);
         side.address = address;
-        side.join(&world.client, started.entry.addresses().peers, POOL)
+        side.start_reporting(&fixture.client, started.entry.addresses().peers, MODEL_POOL)
             .await;
-        let told = world.caller(&started).chat(false).await;
-        assert_eq!(told.status, 503);
-        assert_eq!(told.error(), ("upstream_unreachable".into(), "no".into()));
-        assert!(told.header("retry-after").is_some());
+        let response = fixture.caller(&started).chat(false).await;
+        assert_eq!(response.status, 503);
+        assert_eq!(
+            response.error(),
+            ("upstream_unreachable".into(), "no".into())
+        );
+        assert!(response.header("retry-after").is_some());
     });
 }
 
@@ -212,44 +246,46 @@
         ("held back", vec![Hang], "unknown"),
         ("within the answer", vec![Head, Hang], "unknown"),
     ];
-    case(|| async {
+    run_test(|| async {
         for (name, script, ran) in rows {
             for stream in [false, true] {
-                let world = World::new().await;
-                let started = world.start_ready(&[]).await;
-                let sides = world
-                    .sides(&started, POOL, 1, std::slice::from_ref(&script))
+                let fixture = Fixture::new().await;
+                let started = fixture.start_ready(&[]).await;
+                let sides = fixture
+                    .start_sides(&started, MODEL_POOL, 1, std::slice::from_ref(&script))
                     .await;
-                let from = world.timer.now();
-                let request = with(chat(stream), "x-deadline-ms", "300");
-                let told = world.caller(&started).ask(request).await;
-                let took = world.timer.now().since(from);
-                assert_eq!(told.status, 504, "{name}");
+                let from = fixture.timer.now();
+                let request = with_header(chat(stream), "x-deadline-ms", "300");
+                let response = fixture.caller(&started).call(request).await;
+                let elapsed = fixture.timer.now().since(from);
+                assert_eq!(response.status, 504, "{name}");
                 assert_eq!(
-                    told.error(),
+                    response.error(),
                     ("deadline_exceeded".into(), ran.into()),
                     "{name}"
                 );
-                assert!((300..2_000).contains(&took.0), "{name}: {took:?}");
-                world.timer.sleep(Duration::from_millis(50)).await;
-                assert_eq!(sides[0].dropped(), 1, "{name}: cancelled at the side");
+                assert!((300..2_000).contains(&elapsed.0), "{name}: {elapsed:?}");
+                fixture.timer.sleep(Duration::from_millis(50)).await;
+                assert_eq!(sides[0].closed_early(), 1, "{name}: cancelled at the side");
             }
         }
     });
 }
 
-struct Stage {
-    _started: Started,
+struct CaseRun {
+    _started: StartedEntry,
     sides: Vec<FakeSide>,
     caller: Caller,
 }
 
-impl Stage {
-    async fn set(pool: &'static str, case: &Case) -> Self {
-        let world = World::new().await;
-        let started = world.start_ready(&[]).await;
-        let sides = world.sides(&started, pool, case.sides, &case.scripts).await;
-        let caller = world.caller(&started);
+impl CaseRun {
+    async fn start(pool: &'static str, case: &Case) -> Self {
+        let fixture = Fixture::new().await;
+        let started = fixture.start_ready(&[]).await;
+        let sides = fixture
+            .start_sides(&started, pool, case.sides, &case.scripts)
+            .await;
+        let caller = fixture.caller(&started);
         Self {
             _started: started,
             sides,
@@ -258,23 +294,27 @@
     }
 
     fn attempts(&self) -> usize {
-        self.sides.iter().map(|s| s.seen().len()).sum()
+        self.sides.iter().map(|s| s.attempts().len()).sum()
     }
 
-    fn check(&self, case: &Case, told: &Told) {
-        let (name, expect) = (case.name, case.expect);
-        assert!(told.whole, "{name}");
-        assert_eq!(told.status, expect.status, "{name}");
+    fn check(&self, case: &Case, response: &ReceivedResponse) {
+        let (name, expected) = (case.name, case.expected);
+        assert!(response.complete, "{name}");
+        assert_eq!(response.status, expected.status, "{name}");
         assert_eq!(self.attempts(), case.attempts, "{name}");
-        if expect.code.is_empty() {
+        if expected.code.is_empty() {
             return;
         }
         assert_eq!(
-            told.error(),
-            (expect.code.into(), expect.ran.into()),
+            response.error(),
+            (expected.code.into(), expected.ran.into()),
+            "{name}"
+        );
+        let retryable = matches!(response.status, 409 | 429 | 503 | 504);
+        assert_eq!(
+            response.header("retry-after").is_some(),
+            retryable,
             "{name}"
         );
-        let comes_back = matches!(told.status, 409 | 429 | 503 | 504);
-        assert_eq!(told.header("retry-after").is_some(), comes_back, "{name}");
     }
 }
