--- a/crates/entry/tests/entry/affinity.rs
+++ b/crates/entry/tests/entry/affinity.rs
@@ -1,5 +1,5 @@
-//! Turns of a conversation meet at one side, whatever entry they come to; answers' words on their
-//! caches change nothing but the count.
+//! All turns of a conversation go to one side, whichever entry receives them. The numbers of cached
+//! tokens that responses report affect only the metric.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use crate::script::completion_script;
 use crate::side::FakeSide;
 
-/// Conversations of each case.
+/// Number of conversations in each test.
 const CONVERSATIONS: usize = 24;
 
 fn turn(conversation: usize, second: bool) -> Value {
@@ -26,7 +26,8 @@
     json!({"model": "tour@v1", "messages": messages})
 }
 
-/// Sides that got each conversation, the first turns at one entry and the second ones at another.
+/// Indices of the sides that received each conversation, with the first turns sent to one entry and
+/// the second ones to the other.
 async fn sides_by_conversation(
     fixture: &Fixture,
     entries: [&StartedEntry; 2],
@@ -75,17 +76,17 @@
     });
 }
 
-/// Engines that tell too much, too little, nonsense or nothing of their caches.
+/// Engines that report too many, too few, malformed or no cached tokens.
 #[test]
 fn reported_cached_tokens_are_only_counted() {
     let completion = |cached| vec![Head, CompletionWithCached("Yes.", cached), End];
     let rows = [
-        ("right", completion("16"), 16),
-        ("more than there was", completion("999999"), 20),
-        ("below nothing", completion("-7"), 0),
-        ("no number", completion("\"16\""), 0),
+        ("valid", completion("16"), 16),
+        ("more than the prompt", completion("999999"), 20),
+        ("negative", completion("-7"), 0),
+        ("not a number", completion("\"16\""), 0),
         ("null", completion("null"), 0),
-        ("nothing", completion_script("Yes."), 0),
+        ("not reported", completion_script("Yes."), 0),
     ];
     for (name, script, cached) in rows {
         run_test(|| async {
--- a/crates/entry/tests/entry/caller.rs
+++ b/crates/entry/tests/entry/caller.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! Client of an entry, and the responses that it receives.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,49 +9,49 @@
 use pumicecleat_net::{Client, Response};
 use serde_json::{Value, json};
 
-/// Bearer key of the caller that may do most.
+/// Bearer key of the caller with the most permissions.
 pub(crate) const DESK_KEY: &str = "key-of-desk";
 
-/// Longest wait for an answer.
+/// Timeout for a response head.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A caller of one entry.
+/// Client that sends requests to one entry.
 #[derive(Clone)]
 pub(crate) struct Caller {
     pub(crate) client: Client,
     pub(crate) entry: SocketAddr,
 }
 
-/// An answer, read as far as it came.
+/// A response, read as far as it arrived.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedResponse {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Vec<u8>,
-    /// Its proper end came.
+    /// Whether the body ended properly.
     pub(crate) complete: bool,
 }
 
 impl Caller {
-    /// Sends a request and gives its answer's head.
+    /// Sends a request and returns the response once its head has arrived.
     pub(crate) async fn send(&self, request: http::Request<Bytes>) -> Response {
         let entry = self.entry.to_string();
         self.client.send(&entry, request, TIMEOUT).await.unwrap()
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads the response.
     pub(crate) async fn call(&self, request: http::Request<Bytes>) -> ReceivedResponse {
         let mut response = self.send(request).await;
         read(&mut response).await
     }
 
-    /// Asks for a chat answer.
+    /// Requests a chat completion.
     pub(crate) async fn chat(&self, stream: bool) -> ReceivedResponse {
         self.call(chat(stream)).await
     }
 }
 
-/// Reads an answer as far as it comes.
+/// Reads a response until it ends or breaks.
 pub(crate) async fn read(response: &mut Response) -> ReceivedResponse {
     let mut received = ReceivedResponse {
         status: response.status(),
@@ -71,7 +71,7 @@
     }
 }
 
-/// A chat request for the model of most cases.
+/// A chat request for the model that most tests use.
 pub(crate) fn chat(stream: bool) -> http::Request<Bytes> {
     chat_with_body(&json!({
         "model": "tour@v1", "stream": stream,
@@ -79,12 +79,11 @@
     }))
 }
 
-/// A chat request with a body.
 pub(crate) fn chat_with_body(body: &Value) -> http::Request<Bytes> {
     post("/v1/chat/completions", body.to_string())
 }
 
-/// A call by the caller that may do most.
+/// A POST request with [`DESK_KEY`].
 pub(crate) fn post(path: &str, body: impl Into<Bytes>) -> http::Request<Bytes> {
     let mut request = http::Request::new(body.into());
     *request.method_mut() = Method::POST;
@@ -94,7 +93,7 @@
     request
 }
 
-/// The same request with one more header.
+/// Sets a header of a request.
 pub(crate) fn with_header(
     mut request: http::Request<Bytes>,
     name: &'static str,
@@ -114,14 +113,14 @@
         serde_json::from_slice(&self.body).unwrap()
     }
 
-    /// Code and `ran` of an error.
+    /// Fields `code` and `ran` of the error in the body.
     pub(crate) fn error(&self) -> (String, String) {
         let error = &self.json()["error"];
         let text = |name: &str| error[name].as_str().unwrap_or_default().to_owned();
         (text("code"), text("ran"))
     }
 
-    /// Data of the events, in their order.
+    /// Data of the events, in order.
     pub(crate) fn events(&self) -> Vec<String> {
         let text = String::from_utf8(self.body.clone()).unwrap();
         let events = text.split("\n\n").filter(|e| !e.is_empty());
@@ -130,14 +129,14 @@
             .collect()
     }
 
-    /// Events that are JSON.
+    /// Events parsed as JSON, without `[DONE]`.
     pub(crate) fn chunks(&self) -> Vec<Value> {
         let events = self.events();
         let json = events.iter().filter(|e| *e != "[DONE]");
         json.map(|e| serde_json::from_str(e).unwrap()).collect()
     }
 
-    /// Text of a stream or a whole answer.
+    /// Text of a streamed or buffered completion.
     pub(crate) fn text(&self) -> String {
         if let Ok(complete) = serde_json::from_slice::<Value>(&self.body) {
             let content = &complete["choices"][0]["message"]["content"];
--- a/crates/entry/tests/entry/config.rs
+++ b/crates/entry/tests/entry/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: in force within seconds, through outages, and never back.
+//! Configuration: changes take effect within seconds, outages of the log are survived, and an
+//! older revision never replaces a newer one.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -30,7 +31,7 @@
     run_test(|| async {
         let mut fixture = Fixture::with_empty_log();
         let started = fixture.start(&[]);
-        // The first read has ended, which waits two seconds for a record, and the log holds nothing.
+        // By then the first read, which waits two seconds for a record, has ended on an empty log.
         fixture.timer.sleep(Duration::from_millis(2_300)).await;
         let response = fixture.caller(&started).chat(false).await;
         assert_eq!(response.error(), ("not_ready".into(), "no".into()));
@@ -57,7 +58,7 @@
         let revision = fixture.apply_config(&config_with(ADDED_ADAPTER)).await;
         fixture.append_snapshot().await;
         let mut faults = LogFaults::default();
-        // Kept are a change that can't be judged alone, and the snapshot after it.
+        // What remains is a change that cannot be applied on its own, and the snapshot after it.
         faults
             .trim_before
             .insert("config".to_owned(), fixture.next_offset() - 2);
@@ -67,7 +68,7 @@
     });
 }
 
-/// A snapshot stands in the log before what it covers is trimmed.
+/// A snapshot must be in the log before the records that it covers are trimmed.
 #[test]
 fn appends_a_snapshot_when_one_is_due() {
     run_test(|| async {
@@ -75,8 +76,8 @@
         let _started = fixture.start_ready(&["--retention", "2s"]).await;
         let from = fixture.next_offset();
         let wait = Duration::from_secs(5);
-        let records = fixture.log_service();
-        let batch = records.read("config", from, 1, wait).await.unwrap();
+        let log_service = fixture.log_service();
+        let batch = log_service.read("config", from, 1, wait).await.unwrap();
         let record = Record::from_bytes(&batch.records[0].data).unwrap();
         assert!(matches!(record, Record::Snapshot(s) if s.next == from));
     });
@@ -110,7 +111,7 @@
         fixture.timer.sleep(Duration::from_millis(500)).await;
         assert!(
             !without_peers.entry.is_ready(),
-            "without log and peers it must not guess"
+            "ready without a log or peers"
         );
 
         fixture.log.inject(|_| {});
@@ -122,7 +123,7 @@
     });
 }
 
-/// An operator whose change was made from an older revision is refused, and nothing goes back.
+/// A change that an operator made from an older revision is refused, and nothing is reverted.
 #[test]
 fn ignores_a_change_made_from_an_older_revision() {
     run_test(|| async {
@@ -136,7 +137,8 @@
     });
 }
 
-/// A log whose long polls never end: this process sees nothing by itself.
+/// A log whose long polls never end while it is stalled, so that an entry sees no new records
+/// unless it reads without waiting.
 struct StallingLog {
     log: Rc<dyn Log>,
     stalled: Cell<bool>,
@@ -179,7 +181,7 @@
     (started, log)
 }
 
-/// A side that holds a newer revision makes the entry read.
+/// A report with a newer revision than the entry's makes the entry read the log.
 #[test]
 fn reads_the_log_when_a_side_reports_a_newer_revision() {
     run_test(|| async {
@@ -200,7 +202,8 @@
     });
 }
 
-/// A process that has not read for long, as after a pause, reads before it decides.
+/// A process that has not read the log for long, as after it was suspended, reads it before it
+/// decides on a request.
 #[test]
 fn reads_before_it_decides_after_a_pause() {
     run_test(|| async {
@@ -218,7 +221,7 @@
     });
 }
 
-/// What sides and starting entries get.
+/// Sides and starting entries fetch the configuration from an entry.
 #[test]
 fn serves_records_and_snapshots_to_peers() {
     run_test(|| async {
@@ -247,7 +250,7 @@
             }
         }
         let snapshot = request_config(&fixture, &started.entry, None).await;
-        // Of a snapshot record they get the digest only, which their fold confirms.
+        // For a snapshot record, peers get only the digest, which their fold confirms.
         fixture.append_snapshot().await;
         let confirmation = loop {
             match request_config(&fixture, &started.entry, Some(next)).await {
--- a/crates/entry/tests/entry/faults.rs
+++ b/crates/entry/tests/entry/faults.rs
@@ -1,4 +1,4 @@
-//! Wrong answers, refusals and what follows them.
+//! How an entry handles mismatched responses, refusals, and sides that stop responding.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 use crate::fixture::{Fixture, MODEL_POOL, config_with, run_test};
 use crate::script::{Action, Mismatch, completion_script, stream_script};
 
-/// Whole body of another version.
+/// Complete body that names another version.
 const OTHER_VERSION_BODY: &str = r#"{"id":"chatcmpl-1","model":"tour@v2","choices":[
     {"index":0,"message":{"role":"assistant","content":"X"},"finish_reason":"stop"}]}"#;
 
-/// Whole body of another request for the same version.
+/// Complete body with the id of another request for the same version.
 const OTHER_REQUEST_BODY: &str = r#"{"id":"chatcmpl-1","model":"tour@v1","choices":[
     {"index":0,"message":{"role":"assistant","content":"X"},"finish_reason":"stop"}]}"#;
 
-/// Wrong answers of a first attempt.
+/// Mismatched responses of a first attempt: name, whether the request is streamed, script.
 fn mismatched_responses() -> Vec<(&'static str, bool, Vec<Action>)> {
     let head = |mismatch| {
         vec![
@@ -112,7 +112,8 @@
     });
 }
 
-/// Sides and entry with different configurations: the same side is asked once more.
+/// After a refusal because of different configurations, the entry reads the log and sends the
+/// request to the same side once more.
 #[test]
 fn refreshes_the_configuration_after_a_stale_refusal() {
     let stale = vec![Action::Refuse(Reason::StaleConfig)];
@@ -132,7 +133,7 @@
     });
 }
 
-/// A leaving upstream gets no new work, whichever sign comes first.
+/// A leaving side gets no new requests, whether a refusal or a report shows first that it leaves.
 #[test]
 fn sends_nothing_to_a_leaving_side() {
     run_test(|| async {
@@ -160,12 +161,13 @@
     });
 }
 
-/// Retries after refusals are a share of requests, so that they don't multiply an overload; an
-/// upstream that dies must not take that share.
+/// Retries after refusals are limited to a share of the requests, so that they do not multiply an
+/// overload. Retries after an upstream dies do not count toward that share.
 #[test]
 fn bounds_retries() {
     const REQUESTS: usize = 60;
-    // A burst of 20 and a tenth of the requests; or one attempt at each of the four sides.
+    // After refusals, a burst of 20 and a tenth of the requests are retried; after failures, each
+    // request is tried at each of the four sides.
     let rows = [
         (Action::Refuse(Reason::Overloaded), 429, REQUESTS + 26),
         (Action::Broken(Ran::Unknown), 502, 4 * REQUESTS),
@@ -190,7 +192,7 @@
     });
 }
 
-/// A side that took the request and went still is given up once its reports are overdue.
+/// An attempt at a side that stops responding is abandoned once the side's reports are overdue.
 #[test]
 fn retries_when_a_side_becomes_unresponsive() {
     run_test(|| async {
@@ -221,7 +223,7 @@
     });
 }
 
-/// An engine's word on a body is told, and not retried.
+/// An engine's error about a request body is passed on, and the request is not retried.
 #[test]
 fn passes_on_engine_errors_without_retry() {
     const ENGINE_ERROR: &str = r#"{"error":{"message":"too many tokens","code":400}}"#;
@@ -245,7 +247,7 @@
     });
 }
 
-/// An answer over the limit is not held in memory to its end, nor passed on in part.
+/// A response over the limit is neither buffered to its end nor passed on in part.
 #[test]
 fn limits_the_size_of_buffered_responses() {
     run_test(|| async {
@@ -262,7 +264,7 @@
     });
 }
 
-/// Of two pools for one base model, one without upstreams is no reason to refuse.
+/// If one of two pools for a base model has no upstreams, requests go to the other.
 #[test]
 fn chooses_a_pool_that_has_upstreams() {
     const POOL_WITHOUT_UPSTREAMS: &str = "[pool.another]
--- a/crates/entry/tests/entry/fixture.rs
+++ b/crates/entry/tests/entry/fixture.rs
@@ -1,4 +1,4 @@
-//! An entry with what surrounds it.
+//! Test fixture: entries, and the log, clients and sides that they need.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -10,7 +10,7 @@
 use pumicecleat_config::model::Config;
 use pumicecleat_config::{Change, ChangeId, Fold, Record, Source, hash_key, parse};
 use pumicecleat_entry::{Entry, EntryContext, EntrySettings};
-use pumicecleat_infra::{HttpLog, Log as Records, Peers};
+use pumicecleat_infra::{HttpLog, Log as LogService, Peers};
 use pumicecleat_net::{Client, ClientOptions, Timer, run};
 use pumicecleat_ops::{Level, Log, LogOptions, Settings, Stop};
 use pumicecleat_standin::{Log as StandinLog, LogFaults, Running};
@@ -20,39 +20,39 @@
 use crate::script::Action;
 use crate::side::FakeSide;
 
-/// Any free port of loopback.
+/// Loopback address with a port that the system chooses.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Pool of the model of most cases.
+/// Pool of the model that most tests use.
 pub(crate) const MODEL_POOL: &str = "engines";
 
 /// Pool of the plain service.
 pub(crate) const SERVICE_POOL: &str = "bookings";
 
-/// What surrounds entries.
+/// Log, client and timer of a test, with an author of the configuration.
 pub(crate) struct Fixture {
     pub(crate) timer: Timer,
     pub(crate) client: Client,
     pub(crate) log: Running<LogFaults>,
-    /// What the author of the configuration holds.
+    /// Configuration that the author has appended so far.
     fold: Fold,
     change_count: u32,
 }
 
-/// An author of the configuration that races another.
+/// A second author, who changes the configuration concurrently.
 pub(crate) struct ConcurrentAuthor {
-    records: Rc<dyn Records>,
+    log_service: Rc<dyn LogService>,
     fold: Fold,
 }
 
 impl ConcurrentAuthor {
-    /// Appends a change from what it holds.
+    /// Appends a change based on the revision that this author holds.
     pub(crate) async fn apply_config(&mut self, config: &str) {
         let id = ChangeId::try_from("change-of-rival".to_owned()).unwrap();
         let (revision, from) = (self.fold.revision(), self.fold.config());
         let change = Change::new(id, revision, from, &parse_config(config), "vithu");
         let data = Record::Change(Box::new(change)).to_bytes();
-        self.records.append("config", vec![data]).await.unwrap();
+        self.log_service.append("config", vec![data]).await.unwrap();
     }
 }
 
@@ -62,19 +62,19 @@
     parse(&[Source { name, bytes }]).unwrap()
 }
 
-/// An entry, with the handle that stops it.
+/// An entry and the handle that stops it.
 pub(crate) struct StartedEntry {
     pub(crate) entry: Entry,
     pub(crate) stop: Stop,
 }
 
-/// Runs a case on a loop of its own.
+/// Runs a test on its own event loop.
 pub(crate) fn run_test<F: Future>(test: impl FnOnce() -> F) -> F::Output {
     run(async { test().await }).unwrap()
 }
 
 impl Fixture {
-    /// Surroundings with the usual configuration in the log.
+    /// Creates a fixture whose log holds the default configuration.
     pub(crate) async fn new() -> Self {
         let mut fixture = Self::with_empty_log();
         let config = default_config();
@@ -82,7 +82,6 @@
         fixture
     }
 
-    /// Surroundings with an empty log.
     pub(crate) fn with_empty_log() -> Self {
         let timer = Timer::start();
         let options = pumicecleat_standin::LogOptions::default();
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Appends a change to `config` and gives its revision.
+    /// Appends a change to `config` and returns its revision.
     pub(crate) async fn apply_config(&mut self, config: &str) -> u64 {
         let config = parse_config(config);
         self.change_count += 1;
@@ -112,38 +111,41 @@
         self.fold.revision()
     }
 
-    /// Appends the state so far as a snapshot.
+    /// Appends a snapshot of the current state.
     pub(crate) async fn append_snapshot(&mut self) {
         let snapshot = Record::Snapshot(Box::new(self.fold.snapshot()));
         self.append(snapshot.to_bytes()).await;
     }
 
     async fn append(&mut self, data: Vec<u8>) {
-        let records = self.log_service();
-        let appended = records.append("config", vec![data.clone()]).await.unwrap();
+        let log_service = self.log_service();
+        let appended = log_service
+            .append("config", vec![data.clone()])
+            .await
+            .unwrap();
         let (offset, at) = (appended.first, appended.at);
         self.fold.apply(&LogRecord { offset, at, data }).unwrap();
     }
 
-    /// Offset of the next record.
+    /// Offset that the next record gets.
     pub(crate) fn next_offset(&self) -> u64 {
         self.fold.next()
     }
 
-    pub(crate) fn log_service(&self) -> Rc<dyn Records> {
+    pub(crate) fn log_service(&self) -> Rc<dyn LogService> {
         let peers = Peers::parse(&self.log.address.to_string());
         Rc::new(HttpLog::new(&self.client, peers, Duration::from_secs(1)))
     }
 
-    /// Another author, who holds what this one holds now.
+    /// A second author, who holds the current revision.
     pub(crate) fn concurrent_author(&self) -> ConcurrentAuthor {
         ConcurrentAuthor {
-            records: self.log_service(),
+            log_service: self.log_service(),
             fold: self.fold.clone(),
         }
     }
 
-    /// Starts an entry under further settings.
+    /// Starts an entry with additional command-line arguments.
     pub(crate) fn start(&self, args: &[&str]) -> StartedEntry {
         let context = EntryContext {
             log_service: self.log_service(),
@@ -152,7 +154,7 @@
         self.start_with_context(args, &context)
     }
 
-    /// Starts an entry on parts of the case's own.
+    /// Starts an entry with the test's own context.
     pub(crate) fn start_with_context(&self, args: &[&str], context: &EntryContext) -> StartedEntry {
         let settings = self.settings(args);
         let stop = Stop::by_hand();
@@ -172,14 +174,14 @@
         EntrySettings::read("entry", &all, &std::collections::BTreeMap::new()).unwrap()
     }
 
-    /// Starts an entry that is ready.
+    /// Starts an entry and waits until it is ready.
     pub(crate) async fn start_ready(&self, args: &[&str]) -> StartedEntry {
         let started = self.start(args);
         self.wait_until(|| started.entry.is_ready()).await;
         started
     }
 
-    /// Starts sides that play one script an attempt, and lets them report to the entry.
+    /// Starts sides that share `scripts`, one per attempt, and report to the entry.
     pub(crate) async fn start_sides(
         &self,
         started: &StartedEntry,
@@ -206,12 +208,12 @@
         }
     }
 
-    /// Text that an entry's admin listener gives.
+    /// Gets a path from an entry's admin listener as text.
     pub(crate) async fn get_admin(&self, started: &StartedEntry, path: &str) -> String {
         self.get(started.entry.addresses().admin, path).await
     }
 
-    /// Text at a path.
+    /// Gets a path as text.
     pub(crate) async fn get(&self, address: SocketAddr, path: &str) -> String {
         let mut request = http::Request::new(Bytes::new());
         *request.uri_mut() = path.parse().unwrap();
@@ -222,11 +224,14 @@
         String::from_utf8(body.unwrap()).unwrap()
     }
 
-    /// Waits until something holds, for ten seconds at most.
+    /// Waits until `condition` holds, for at most ten seconds.
     pub(crate) async fn wait_until(&self, condition: impl Fn() -> bool) {
         let end = self.timer.now().0 + 10_000;
         while !condition() {
-            assert!(self.timer.now().0 < end, "not within ten seconds");
+            assert!(
+                self.timer.now().0 < end,
+                "condition not met within ten seconds"
+            );
             self.timer.sleep(Duration::from_millis(5)).await;
         }
     }
@@ -244,12 +249,12 @@
     })
 }
 
-/// Configuration of most cases.
+/// Configuration of most tests.
 pub(crate) fn default_config() -> String {
     config_with("")
 }
 
-/// Configuration of most cases with further tables.
+/// Configuration of most tests with additional TOML tables.
 pub(crate) fn config_with(extra_tables: &str) -> String {
     let desk_hash = hash_key(DESK_KEY);
     let guest_hash = hash_key("key-of-guest");
--- a/crates/entry/tests/entry/input.rs
+++ b/crates/entry/tests/entry/input.rs
@@ -1,4 +1,4 @@
-//! Bad input: each a clear error, and nothing reaches a side.
+//! Invalid requests: each gets a specific error, and none reaches a side.
 
 use bytes::Bytes;
 use http::{HeaderValue, Method};
@@ -12,7 +12,7 @@
 
 const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// The same request by another caller.
+/// The same request with another caller's key.
 fn with_key(key: &str, request: http::Request<Bytes>) -> http::Request<Bytes> {
     with_header(request, "authorization", &format!("Bearer {key}"))
 }
@@ -28,10 +28,10 @@
     chat_with_body(&json!({"model": name, "messages": messages}))
 }
 
-/// A request, and what it is told.
+/// Name, request, and the expected status and error code.
 type Case = (&'static str, http::Request<Bytes>, u16, &'static str);
 
-/// Callers and targets.
+/// Requests with a wrong key, or for a target that is unknown or forbidden.
 fn access_cases() -> Vec<Case> {
     let mut unauthenticated = chat(false);
     unauthenticated.headers_mut().remove("authorization");
@@ -65,24 +65,24 @@
             model_not_found,
         ),
         (
-            "closed adapter",
+            "forbidden adapter",
             with_key(guest_key, chat(false)),
             404,
             model_not_found,
         ),
         (
-            "closed service",
+            "forbidden service",
             with_key(guest_key, get("/seats/list")),
             403,
             "forbidden",
         ),
         ("unknown path", get("/seats/map"), 404, route),
-        ("path in two readings", dotted_path, 404, route),
+        ("ambiguous path", dotted_path, 404, route),
         ("other method", get(CHAT_PATH), 405, "method_not_allowed"),
     ]
 }
 
-/// Bodies and headers.
+/// Requests with an invalid body or header.
 fn malformed_cases() -> Vec<Case> {
     let priority = |text| with_header(chat(false), "x-priority", text);
     let deadline = |text| with_header(chat(false), "x-deadline-ms", text);
@@ -95,10 +95,20 @@
         ("not UTF-8", bytes, 400, "body_not_utf8"),
         ("no messages", no_messages, 400, "bad_field"),
         ("too long", too_long, 413, "body_too_long"),
-        ("no key", post("/seats/hold", "seat"), 400, "key_required"),
+        (
+            "no idempotency key",
+            post("/seats/hold", "seat"),
+            400,
+            "key_required",
+        ),
         ("priority too high", priority("4"), 403, "priority_too_high"),
-        ("priority no number", priority("-1"), 400, "bad_priority"),
-        ("deadline no number", deadline("soon"), 400, "bad_deadline"),
+        ("priority not a number", priority("-1"), 400, "bad_priority"),
+        (
+            "deadline not a number",
+            deadline("soon"),
+            400,
+            "bad_deadline",
+        ),
         ("deadline zero", deadline("0"), 400, "bad_deadline"),
     ]
 }
@@ -124,7 +134,7 @@
     });
 }
 
-/// What a caller may not reach looks like what does not exist.
+/// The error for an adapter that the caller may not use is the one for an unknown adapter.
 #[test]
 fn hides_forbidden_adapters() {
     run_test(|| async {
@@ -164,7 +174,8 @@
     });
 }
 
-/// What a head says reaches the side.
+/// The version, the priority and the deadline of a request reach the side, with the default version
+/// filled in and the deadline limited to the configured maximum.
 #[test]
 fn forwards_version_priority_and_deadline() {
     run_test(|| async {
@@ -188,7 +199,7 @@
     });
 }
 
-/// Bodies that stop or crawl.
+/// A body that stops arriving, and a request with two different content lengths.
 #[test]
 fn rejects_slow_bodies_and_duplicate_lengths() {
     let rows = [("slow", false, "408"), ("double length", true, "400")];
@@ -202,8 +213,9 @@
                 ""
             };
             let head = format!(
-                "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {DESK_KEY}\r\n\
-                 content-length: 100\r\n{second}\r\n{{\"model\":"
+                "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n\
+                 authorization: Bearer {DESK_KEY}\r\ncontent-length: 100\r\n{second}\r\n\
+                 {{\"model\":"
             );
             let entry = started.entry.addresses().callers;
             let mut stream = TcpStream::connect_addr(entry).await.unwrap();
--- a/crates/entry/tests/entry/keys.rs
+++ b/crates/entry/tests/entry/keys.rs
@@ -1,4 +1,5 @@
-//! Calls with keys in parts: one side for a part, whichever entry they come through.
+//! Calls to a service whose keys are split into parts: one side gets all calls of a part, whichever
+//! entry receives them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +19,7 @@
     default_config().replace("concurrency = 8", &parts)
 }
 
-/// Sides that saw each part, by name.
+/// Indices of the sides that received calls of each part.
 fn sides_by_part(sides: &[FakeSide]) -> BTreeMap<u32, BTreeSet<usize>> {
     let mut sides_by_part: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
     for (n, side) in sides.iter().enumerate() {
@@ -71,8 +72,8 @@
         let mut fixture = Fixture::with_empty_log();
         fixture.apply_config(&config()).await;
         let first_entry = fixture.start_ready(&[]).await;
-        let answer = vec![Head, Completion("held"), End];
-        let scripts = [answer.clone(), vec![Refuse(Reason::Overloaded)], answer];
+        let response = vec![Head, Completion("held"), End];
+        let scripts = [response.clone(), vec![Refuse(Reason::Overloaded)], response];
         let sides = fixture
             .start_sides(&first_entry, SERVICE_POOL, 3, &scripts)
             .await;
@@ -84,8 +85,8 @@
             let call = with_header(post("/seats/hold", "seat 4"), "idempotency-key", "k");
             assert_eq!(caller.call(call).await.status, 200);
             let after = counts();
-            let called = (0..3).filter(|n| after[*n] > before[*n]);
-            sides_by_call.push(called.collect::<BTreeSet<usize>>());
+            let with_new_attempt = (0..3).filter(|n| after[*n] > before[*n]);
+            sides_by_call.push(with_new_attempt.collect::<BTreeSet<usize>>());
             before = after;
         }
         assert_eq!(sides_by_call[0].len(), 1);
--- a/crates/entry/tests/entry/listed.rs
+++ b/crates/entry/tests/entry/listed.rs
@@ -1,4 +1,4 @@
-//! What the VM list says of a side holds, whatever the side itself says of it.
+//! The VM list takes precedence over what a side reports of itself.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,20 +15,20 @@
 const VM: &str = "side-1";
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A leaving VM gets no work from then on.
+/// Time after which a VM that is listed as leaving gets no more work.
 const MAX_LEAVING_DELAY: Duration = Duration::from_secs(3);
 
 struct Case {
     name: &'static str,
-    /// State by the list when the side joins.
+    /// State in the VM list when the side first reports.
     initial_state: VmState,
-    /// The side reports on after it has joined.
+    /// Whether the side reports on after its first report.
     keeps_reporting: bool,
 }
 
 const CASES: [Case; 3] = [
     Case {
-        name: "listed before it joins",
+        name: "listed before its first report",
         initial_state: VmState::Leaving,
         keeps_reporting: true,
     },
--- a/crates/entry/tests/entry/main.rs
+++ b/crates/entry/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! An entry against sides that play frames by script, and a stand-in of the log.
+//! Integration tests of an entry with scripted fake sides and a stand-in of the log.
 
 mod affinity;
 mod caller;
--- a/crates/entry/tests/entry/partial_log.rs
+++ b/crates/entry/tests/entry/partial_log.rs
@@ -1,4 +1,4 @@
-//! An entry that has read a part of the log only.
+//! An entry that has read only a part of the log.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::fixture::{Fixture, config_with, run_test};
 
-/// A log that gives its first record and nothing more.
+/// A log that returns its first record and then never answers.
 struct FirstRecordOnly(Rc<dyn Log>);
 
 impl Log for FirstRecordOnly {
@@ -34,7 +34,8 @@
     }
 }
 
-/// Its older revision makes nobody ready.
+/// A starting entry must not become ready with the older revision of an entry that is itself behind
+/// the log.
 #[test]
 fn an_entry_behind_the_log_gives_peers_no_configuration() {
     run_test(|| async {
--- a/crates/entry/tests/entry/peers.rs
+++ b/crates/entry/tests/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Reports, the order of loads, the VM list, and the dump that shows them.
+//! Reports, load turns, the VM list, and the dump that shows their state.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -51,7 +51,7 @@
         let started = fixture.start_ready(&[]).await;
         let first = report("side-1", 7, 5);
         let reply = send_report(&fixture, &started, &first).await;
-        assert!(reply.whole, "nothing is known of what is resident");
+        assert!(reply.whole, "resident adapters are not known yet");
         assert_eq!(reply.revision, started.entry.revision());
         assert!((500..=7_000).contains(&reply.next_ms));
 
@@ -85,7 +85,7 @@
     });
 }
 
-/// All reports together stay under a rate.
+/// Report intervals keep all reports together under the configured rate.
 #[test]
 fn paces_reports() {
     run_test(|| async {
@@ -118,7 +118,7 @@
         let rows = [
             ("first", bid("side-1", Some("tour@v1")), true),
             ("second", bid("side-2", Some("brief@v1")), false),
-            ("given back", bid("side-1", None), false),
+            ("released", bid("side-1", None), false),
             ("second again", bid("side-2", Some("brief@v1")), true),
         ];
         let peer = started.entry.addresses().peers.to_string();
@@ -132,7 +132,7 @@
     });
 }
 
-/// A list that the test changes.
+/// VM list that a test edits.
 #[derive(Default)]
 struct EditableVmList(RefCell<Vec<VmEntry>>);
 
@@ -155,7 +155,8 @@
     }
 }
 
-/// A VM that leaves by the list gets no work within seconds; one that is gone is forgotten.
+/// A VM that is listed as leaving gets no work within seconds. One that is no longer listed is
+/// removed.
 #[test]
 fn follows_the_vm_list() {
     run_test(|| async {
@@ -174,7 +175,7 @@
         let caller = fixture.caller(&started);
         assert_eq!(caller.chat(false).await.status, 200);
 
-        // The list's word alone must do.
+        // The list alone must be enough, without reports.
         sides[0].stop_reports();
         list.0.borrow_mut()[0].state = VmState::Leaving;
         fixture.timer.sleep(Duration::from_millis(1_500)).await;
--- a/crates/entry/tests/entry/resume.rs
+++ b/crates/entry/tests/entry/resume.rs
@@ -1,4 +1,4 @@
-//! Streams: whole, gone on with at another side without loss or doubling, or visibly broken.
+//! Streams: complete, resumed at another side without lost or repeated text, or ended by an error.
 
 use std::time::Duration;
 
@@ -40,11 +40,11 @@
     });
 }
 
-/// How a first attempt ends after its text "Jó", and how many attempts follow.
+/// How a first attempt ends after its text "Jó", and the scripts of the attempts after it.
 struct Interruption {
     name: &'static str,
     end: Vec<Action>,
-    /// Text that the last attempt must go on from.
+    /// Text that the last attempt must continue.
     text_so_far: &'static str,
     next_scripts: Vec<Vec<Action>>,
 }
@@ -149,7 +149,7 @@
     });
 }
 
-/// Streams that can't be gone on with end visibly broken.
+/// A stream that cannot be resumed ends with an error event, and its body without the last chunk.
 #[test]
 fn reports_an_error_when_a_stream_cannot_be_resumed() {
     let plain = json!({
@@ -208,17 +208,17 @@
     });
 }
 
-/// A caller that goes away cancels its attempt.
+/// An attempt is cancelled when its caller disconnects.
 #[test]
 fn cancels_the_attempt_when_the_caller_disconnects() {
     let rows = [
-        ("before the answer", true, vec![Hang]),
+        ("before the response", true, vec![Hang]),
         (
             "within the stream",
             true,
             vec![Head, Role, Text("Jó"), Hang],
         ),
-        ("within the whole answer", false, vec![Head, Hang]),
+        ("within the buffered response", false, vec![Head, Hang]),
     ];
     run_test(|| async {
         for (name, stream, script) in rows {
@@ -236,7 +236,7 @@
     });
 }
 
-/// One answer with one id, one creation time, one role, and its end.
+/// Checks that a stream is complete, with one id, creation time, model, role and finish reason.
 fn check_complete_stream(response: &ReceivedResponse, text: &str) {
     assert!(response.complete);
     assert_eq!(response.status, 200);
--- a/crates/entry/tests/entry/script.rs
+++ b/crates/entry/tests/entry/script.rs
@@ -1,57 +1,57 @@
-//! What a fake side does with an attempt.
+//! Scripts of fake sides: the frames and faults that answer an attempt.
 
 use std::time::Duration;
 
 use pumicecleat_types::{Ran, Reason};
 
-/// One thing that a fake side does; after the last, its body ends.
+/// Step of a script. After the last one, the response body ends.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
-    /// Start of an answer, as asked.
+    /// Response head that matches the attempt.
     Head,
-    /// Start of an answer that names something else.
+    /// Response head with one wrong value.
     MismatchedHead(Mismatch),
-    /// Start of an answer with a status.
+    /// Response head with a status.
     Status(u16),
-    /// Events of a stream, one for each text; with the role first.
+    /// Event with the role and no text.
     Role,
     /// Event with the role and a text.
     RoleText(&'static str),
     /// Event with a text.
     Text(&'static str),
-    /// Event with a text, of another model.
+    /// Event with a text that names another model.
     OtherModelText(&'static str),
-    /// Event with a text and an id of another request.
+    /// Event with a text and the id of another request.
     OtherRequestText(&'static str),
     /// Event with the finish reason.
     Finish,
-    /// Event with the usage of this attempt: prompt and answer.
+    /// Event with the usage of this attempt: prompt and completion tokens.
     Usage(u64, u64),
-    /// `[DONE]`.
+    /// `[DONE]` event.
     Done,
-    /// Whole body of a chat answer.
+    /// Complete body of a chat completion with this text.
     Completion(&'static str),
-    /// The same, with what it tells of its prompt's cached tokens.
+    /// The same with a usage whose number of cached tokens is this JSON value.
     CompletionWithCached(&'static str, &'static str),
-    /// Bytes as they are.
+    /// Raw bytes.
     Bytes(&'static str),
-    /// Proper end.
+    /// Frame that marks the proper end of the response.
     End,
-    /// Not run.
+    /// Refusal, which means that the attempt did not run.
     Refuse(Reason),
-    /// Can't be finished.
+    /// Frame that says that the response cannot be completed.
     Broken(Ran),
-    /// Connection closes.
+    /// Closes the connection.
     Disconnect,
-    /// Nothing for a while.
+    /// Sends nothing for this time.
     Pause(Duration),
-    /// Nothing, forever.
+    /// Sends nothing more and keeps the connection open.
     Hang,
-    /// Not even the head of the HTTP answer.
+    /// Never sends the head of the HTTP response.
     NoHead,
 }
 
-/// What a false head names wrongly.
+/// The wrong value of a mismatched head.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Mismatch {
     Request,
@@ -60,7 +60,7 @@
     NoModel,
 }
 
-/// A stream of texts, whole.
+/// Script of a complete stream with an event for each text.
 pub(crate) fn stream_script(texts: &[&'static str]) -> Vec<Action> {
     let mut actions = vec![Action::Head, Action::Role];
     actions.extend(texts.iter().map(|t| Action::Text(t)));
@@ -68,7 +68,7 @@
     actions
 }
 
-/// A whole answer.
+/// Script of a complete response that is not streamed.
 pub(crate) fn completion_script(text: &'static str) -> Vec<Action> {
     vec![Action::Head, Action::Completion(text), Action::End]
 }
--- a/crates/entry/tests/entry/side.rs
+++ b/crates/entry/tests/entry/side.rs
@@ -1,4 +1,4 @@
-//! A side that plays frames by script.
+//! Fake side that answers attempts from scripts.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -21,13 +21,12 @@
 
 use crate::script::{Action, Mismatch};
 
-/// Time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// One script an attempt, whichever side it comes to; the last is played again and again.
+/// Scripts, one for each attempt, whichever side receives it. The last one is repeated.
 pub(crate) type Scripts = Rc<RefCell<VecDeque<Vec<Action>>>>;
 
-/// A side that plays frames by script, and reports.
+/// Side that answers attempts from scripts and reports to entries.
 pub(crate) struct FakeSide {
     pub(crate) address: SocketAddr,
     state: Rc<State>,
@@ -75,17 +74,17 @@
         Self { address, state }
     }
 
-    /// Attempts seen.
+    /// Attempts received so far.
     pub(crate) fn attempts(&self) -> Vec<RunRequest> {
         self.state.attempts.borrow().clone()
     }
 
-    /// Body of an attempt as JSON.
+    /// Body of the attempt with this index, as JSON.
     pub(crate) fn attempt_body(&self, attempt: usize) -> Value {
         serde_json::from_slice(&self.state.attempts.borrow()[attempt].body).unwrap()
     }
 
-    /// Attempts whose connection closed before their end.
+    /// Number of attempts whose connection closed before their script ended.
     pub(crate) fn closed_early(&self) -> usize {
         self.state.closed_early.get()
     }
@@ -102,7 +101,7 @@
         self.state.reporting.set(false);
     }
 
-    /// Reports to an entry from now on; waits for the first reply.
+    /// Starts to report to an entry, and waits for the first reply.
     pub(crate) async fn start_reporting(
         &self,
         client: &Client,
@@ -215,7 +214,7 @@
                 Action::Pause(timeout) => self.state.timer.sleep(timeout).await,
                 Action::Hang | Action::NoHead => std::future::pending().await,
                 Action::Disconnect => {
-                    // What was played before leaves first.
+                    // Lets the frames before it leave first.
                     self.state.timer.sleep(Duration::from_millis(20)).await;
                     self.ended = true;
                     let detail = "cut by script".to_owned();
@@ -290,7 +289,9 @@
             Action::OtherRequestText(text) => chunk(json!({ "content": text }), Value::Null)
                 .replace(self.request.head.request.as_str(), "another"),
             Action::Finish => chunk(json!({}), json!("stop")),
-            Action::Usage(prompt, answer) => self.usage(*prompt, *answer),
+            Action::Usage(prompt_tokens, completion_tokens) => {
+                self.usage(*prompt_tokens, *completion_tokens)
+            }
             Action::Done => "data: [DONE]\n\n".to_owned(),
             Action::Completion(text) => self.completion(text).to_string(),
             Action::CompletionWithCached(text, cached) => {
@@ -320,19 +321,19 @@
         format!("data: {event}\n\n")
     }
 
-    fn usage(&self, prompt: u64, answer: u64) -> String {
+    fn usage(&self, prompt_tokens: u64, completion_tokens: u64) -> String {
         let event = json!({
             "id": self.id(), "object": "chat.completion.chunk", "created": self.created(),
             "model": "tour@v1", "choices": [],
             "usage": {
-                "prompt_tokens": prompt, "completion_tokens": answer,
-                "total_tokens": prompt + answer,
+                "prompt_tokens": prompt_tokens, "completion_tokens": completion_tokens,
+                "total_tokens": prompt_tokens + completion_tokens,
             },
         });
         format!("data: {event}\n\n")
     }
 
-    /// Another time in each attempt.
+    /// Creation time, which differs between attempts.
     fn created(&self) -> u64 {
         1_700_000_000 + u64::from(self.request.head.attempt)
     }
--- a/crates/entry/tests/entry/stop.rs
+++ b/crates/entry/tests/entry/stop.rs
@@ -1,4 +1,4 @@
-//! Graceful stop: no request is cut, and new ones are refused as not run.
+//! Drain: requests in flight are completed, and new ones are refused as not run.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     });
 }
 
-/// A second signal or the limit ends the stop, and names what it cut.
+/// A second signal or the limit ends the drain, and the result names the requests that were cut.
 #[test]
 fn reports_requests_cut_at_the_end_of_the_drain() {
     run_test(|| async {
@@ -90,7 +90,7 @@
     });
 }
 
-/// The list says that this VM leaves.
+/// An entry drains when the VM list shows its own VM as leaving.
 #[test]
 fn drains_when_its_vm_is_listed_as_leaving() {
     run_test(|| async {
--- a/crates/entry/tests/entry/truth.rs
+++ b/crates/entry/tests/entry/truth.rs
@@ -1,4 +1,4 @@
-//! Whether a request ran, told truthfully at every point at which an attempt may fail.
+//! Errors say correctly whether a request ran, wherever an attempt fails.
 
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 use crate::script::completion_script;
 use crate::side::FakeSide;
 
-/// What the caller is told.
+/// Response that the caller must get.
 #[derive(Clone, Copy)]
 struct ExpectedResponse {
     status: u16,
-    /// Empty for an answer.
+    /// Empty if the response is no error.
     code: &'static str,
     ran: &'static str,
 }
 
-/// Attempts as scripted, and what comes of them.
+/// Scripts of the attempts, and the expected outcome.
 struct Case {
     name: &'static str,
     scripts: Vec<Vec<Action>>,
-    /// Sides that may be tried.
+    /// Number of sides that may be tried.
     sides: usize,
-    /// Attempts expected.
+    /// Expected number of attempts.
     attempts: usize,
     expected: ExpectedResponse,
 }
@@ -45,7 +45,7 @@
 
 const REFUSE_OVERLOADED: Action = Refuse(Reason::Overloaded);
 
-/// One attempt, cut at each point.
+/// One attempt that fails at each possible point.
 fn single_attempt_cases() -> Vec<Case> {
     let partial_body = "{\"id\":\"chatcmpl-";
     #[rustfmt::skip]
@@ -55,12 +55,12 @@
         ("broken, not run", vec![Broken(Ran::No)], UNREACHABLE),
         ("may have run", vec![Broken(Ran::Unknown)], OUTCOME_UNKNOWN),
         ("ran", vec![Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
-        ("no head of the HTTP answer", vec![NoHead], OUTCOME_UNKNOWN),
+        ("no head of the HTTP response", vec![NoHead], OUTCOME_UNKNOWN),
         ("cut before the head", vec![Disconnect], OUTCOME_UNKNOWN),
         ("ends before the head", vec![], OUTCOME_UNKNOWN),
         ("cut after the head", vec![Head, Disconnect], OUTCOME_UNKNOWN),
-        ("cut within", vec![Head, Bytes(partial_body), Disconnect], OUTCOME_UNKNOWN),
-        ("no end", vec![Head, Completion("Jó")], OUTCOME_UNKNOWN),
+        ("cut within the body", vec![Head, Bytes(partial_body), Disconnect], OUTCOME_UNKNOWN),
+        ("no End frame", vec![Head, Completion("Jó")], OUTCOME_UNKNOWN),
         ("broken at the end", vec![Head, Completion("Jó"), Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
     ];
     let cases = rows.into_iter().map(|(name, script, expected)| Case {
@@ -73,7 +73,7 @@
     cases.collect()
 }
 
-/// Attempts after each other: an earlier one that may have run is not forgotten.
+/// Two successive attempts: the error takes into account that an earlier one may have run.
 fn two_attempt_cases() -> Vec<Case> {
     let overloaded_after_lost = ExpectedResponse {
         ran: "unknown",
@@ -96,12 +96,12 @@
             OUTCOME_UNKNOWN,
         ),
         (
-            "refused, whole",
+            "refused, complete",
             [vec![REFUSE_OVERLOADED], completion_script("Jó")],
             OK,
         ),
         (
-            "cut, whole",
+            "cut, complete",
             [vec![Head, Disconnect], completion_script("Jó")],
             OK,
         ),
@@ -116,7 +116,7 @@
     cases.collect()
 }
 
-/// Calls with a key.
+/// Calls with an idempotency key.
 fn keyed_cases() -> Vec<Case> {
     let cut = || vec![Head, Disconnect];
     let busy = expected(409, "key_in_use", "unknown");
@@ -159,7 +159,7 @@
     });
 }
 
-/// Calls that may not be repeated, without a key.
+/// Calls that are not idempotent and have no key.
 #[test]
 fn sends_a_call_without_key_once_if_it_may_have_run() {
     run_test(|| async {
@@ -179,7 +179,7 @@
     });
 }
 
-/// Calls with a key: one more attempt, with the same key.
+/// A call with a key that may have run is sent once more, with the same key.
 #[test]
 fn sends_a_call_with_key_once_more_at_another_side() {
     run_test(|| async {
@@ -215,7 +215,7 @@
     });
 }
 
-/// A side that is gone without a word: nothing was sent.
+/// A side that no longer listens: the connection fails, so nothing was sent.
 #[test]
 fn reports_not_run_when_the_connection_is_refused() {
     run_test(|| async {
@@ -239,12 +239,12 @@
     });
 }
 
-/// The entry's own limit: the deadline with a small grace.
+/// The entry's own time limit is the deadline with a short grace period.
 #[test]
 fn gives_up_at_the_deadline() {
     let rows = [
-        ("held back", vec![Hang], "unknown"),
-        ("within the answer", vec![Head, Hang], "unknown"),
+        ("before the response", vec![Hang], "unknown"),
+        ("within the response", vec![Head, Hang], "unknown"),
     ];
     run_test(|| async {
         for (name, script, ran) in rows {
