--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -89,7 +89,7 @@
         self.shared
             .scheduler
             .borrow_mut()
-            .set_peer_traits(&call.peers);
+            .set_peer_traits(&call.peer_traits);
         let news = call.suspects.as_ref();
         let suspects = news.map(|news| self.shared.suspects.exchange_news(news, now));
         self.apply_run_news(&call, now);
@@ -141,8 +141,8 @@
     /// a slot, because another engine may accept it immediately.
     async fn admit(&self, mut ask: TurnAsk, instance: &str) -> Turn {
         let now = self.shared.timer.now();
-        let max_wait = if ask.stays {
-            Millis(ask.due_ms.min(ask.patience_ms))
+        let max_wait = if ask.waits_for_slot {
+            Millis(ask.objective_left_ms.min(ask.patience_ms))
         } else {
             Millis(0)
         };
@@ -176,7 +176,7 @@
             .timer
             .sleep(Duration::from_millis(slot.wait.0))
             .await;
-        ask.due_ms = ask.due_ms.saturating_sub(slot.wait.0);
+        ask.objective_left_ms = ask.objective_left_ms.saturating_sub(slot.wait.0);
         ask.patience_ms = ask.patience_ms.saturating_sub(slot.wait.0);
         let turn = self.wait_for_turn(ask).await;
         if matches!(turn, Turn::Granted { .. }) {
@@ -199,13 +199,13 @@
             TurnRequest {
                 request_id: ask.request,
                 adapter: ask.adapter.clone(),
-                min_version: ask.version,
-                prompt_tokens: ask.tokens,
+                min_version: ask.min_version,
+                prompt_tokens: ask.prompt_tokens,
                 priority: ask.priority,
                 objective: Millis(ask.objective_ms),
-                objective_left: Millis(ask.due_ms),
+                objective_left: Millis(ask.objective_left_ms),
                 patience: Millis(ask.patience_ms),
-                waits_for_slot: ask.stays,
+                waits_for_slot: ask.waits_for_slot,
             },
             asked_at,
         );
@@ -245,7 +245,7 @@
             {
                 return true;
             }
-            if !ask.stays || now >= deadline {
+            if !ask.waits_for_slot || now >= deadline {
                 return false;
             }
             timer.sleep(TRIAL_CHECK_INTERVAL).await;
@@ -256,7 +256,7 @@
     fn adapter_state(&self, ask: &TurnAsk) -> &'static str {
         let scheduler = self.shared.scheduler.borrow();
         let adapter = ask.adapter.as_deref();
-        adapter.map_or("", |a| scheduler.adapter_state(a, ask.version).as_str())
+        adapter.map_or("", |a| scheduler.adapter_state(a, ask.min_version).as_str())
     }
 
     fn log_turn(&self, asked: &LoggedAsk, turn: Turn, asked_at: Millis) {
--- a/crates/entry/src/peer/load.rs
+++ b/crates/entry/src/peer/load.rs
@@ -58,7 +58,7 @@
     let policy_bid = bid.lora.as_deref().map(|name| Bid {
         lora: lora_index(shared, name),
         waiting: bid.waiting,
-        left: Millis(bid.left_ms),
+        left: Millis(bid.time_left_ms),
         waited: Millis(bid.waited_ms),
     });
     let previous = shared.load_order.borrow().holder();
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -120,7 +120,7 @@
         base: lora.base.clone(),
         adapter: AdapterId::clone(&lora.adapter),
         version: lora.version.clone(),
-        stamp: config.stamp(lora)?,
+        declaration_digest: config.stamp(lora)?,
     })
 }
 
--- a/crates/entry/tests/entry/input.rs
+++ b/crates/entry/tests/entry/input.rs
@@ -149,10 +149,10 @@
         caller.ask(request).await;
         let seen = sides[0].seen();
         assert_eq!(sides[0].body(0)["model"], json!("tour@v1"));
-        assert!((4_900..=5_000).contains(&seen[0].head.left_ms));
+        assert!((4_900..=5_000).contains(&seen[0].head.time_left_ms));
         assert_eq!(seen[0].head.priority, 0);
         assert_eq!(seen[1].head.priority, 3);
-        assert!((19_900..=20_000).contains(&seen[1].head.left_ms));
+        assert!((19_900..=20_000).contains(&seen[1].head.time_left_ms));
         assert_eq!(sides[0].body(1)["priority"], json!(-3));
     });
 }
--- a/crates/entry/tests/entry/keys.rs
+++ b/crates/entry/tests/entry/keys.rs
@@ -23,7 +23,7 @@
     let mut seen: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
     for (n, side) in sides.iter().enumerate() {
         for run in side.seen() {
-            let text = run.head.key.unwrap();
+            let text = run.head.idempotency_key.unwrap();
             let key = Key::parse(&run.head.caller, &text).unwrap();
             seen.entry(key.part(PARTS)).or_default().insert(n);
         }
--- a/crates/entry/tests/entry/peers.rs
+++ b/crates/entry/tests/entry/peers.rs
@@ -113,7 +113,7 @@
             vm: vm.into(),
             lora: lora.map(str::to_owned),
             waiting: 3,
-            left_ms: 1_000,
+            time_left_ms: 1_000,
             waited_ms: 10,
         };
         let rows = [
--- a/crates/entry/tests/entry/truth.rs
+++ b/crates/entry/tests/entry/truth.rs
@@ -161,7 +161,7 @@
             let told = stage.caller.ask(call).await;
             stage.check(&case, &told);
             let mut seen = stage.sides.iter().flat_map(FakeSide::seen);
-            assert!(seen.all(|r| r.head.key.as_deref() == Some("key-7")));
+            assert!(seen.all(|r| r.head.idempotency_key.as_deref() == Some("key-7")));
         }
     });
 }
--- a/crates/fuzz/src/targets/message.rs
+++ b/crates/fuzz/src/targets/message.rs
@@ -88,11 +88,11 @@
             revision: 7,
             caller: "front-desk".into(),
             target,
-            left_ms: 5_000,
+            time_left_ms: 5_000,
             priority: 3,
             stream: true,
-            tokens: 120,
-            key: Some("seat-41".to_owned()),
+            max_tokens: 120,
+            idempotency_key: Some("seat-41".to_owned()),
         },
         body: b"{\"seat\":41}".to_vec(),
     }
@@ -103,7 +103,7 @@
         base: "malayalam-7b".into(),
         adapter: "sowing".into(),
         version: "v3".into(),
-        stamp: 0x0123_4567_89ab_cdef,
+        declaration_digest: 0x0123_4567_89ab_cdef,
     })
 }
 
@@ -172,7 +172,7 @@
         vm: "engine-0".into(),
         lora: Some("sowing@v3".to_owned()),
         waiting: 2,
-        left_ms: 900,
+        time_left_ms: 900,
         waited_ms: 40,
     }
 }
--- a/crates/gateway/src/agents.rs
+++ b/crates/gateway/src/agents.rs
@@ -115,7 +115,7 @@
         news: news.clone(),
         marks: shared.marks.to_message(shared.timer.now()),
         cached_digest: kept_digest(shared, upstream),
-        peers: service_traits(shared, &upstream.service),
+        peer_traits: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
         ask: None,
@@ -156,7 +156,7 @@
     let now = shared.timer.now();
     let unreported_ask = UnreportedAsk {
         sent_at: now,
-        tokens: ask.tokens,
+        tokens: ask.prompt_tokens,
         needs_slot,
     };
     let news: Vec<RunNews> = shared.table.with(&upstream.instance, |r| {
@@ -171,7 +171,7 @@
         news,
         marks: shared.marks.to_message(now),
         cached_digest: kept_digest(shared, upstream),
-        peers: service_traits(shared, &upstream.service),
+        peer_traits: service_traits(shared, &upstream.service),
         suspects: None,
         limit: limit_news(shared, upstream),
         ask: Some(ask),
--- a/crates/measure/src/slopes/order.rs
+++ b/crates/measure/src/slopes/order.rs
@@ -122,7 +122,7 @@
         vm: vm(1_234).as_str().into(),
         lora: Some("adapter-01234@v0".to_owned()),
         waiting: 3,
-        left_ms: 20_000,
+        time_left_ms: 20_000,
         waited_ms: 1_500,
     };
     let mut series = Series::new(Figure {
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -54,7 +54,7 @@
             vm: self.state.vm().clone(),
             lora: Some(self.dispatcher.name_of(bid.lora)),
             waiting: bid.waiting,
-            left_ms: bid.left.0,
+            time_left_ms: bid.left.0,
             waited_ms: bid.waited.0,
         };
         let turn = self.request_turn(&message).await;
@@ -67,7 +67,7 @@
             vm: self.state.vm().clone(),
             lora: None,
             waiting: 0,
-            left_ms: 0,
+            time_left_ms: 0,
             waited_ms: 0,
         };
         // A turn that is not released expires by itself.
--- a/crates/side/src/run/admission.rs
+++ b/crates/side/src/run/admission.rs
@@ -23,7 +23,7 @@
                 "this side serves another pool",
             ));
         }
-        if head.left_ms == 0 {
+        if head.time_left_ms == 0 {
             return Err(refusal(Reason::Deadline, DEFAULT_RETRY_MS, "no time left"));
         }
         self.await_revision(head).await;
@@ -76,7 +76,7 @@
 
     fn is_declared(&self, model: &ModelTarget) -> bool {
         let lora = lora_of(model);
-        self.config.with(|c| c.stamp(&lora)) == Some(model.stamp)
+        self.config.with(|c| c.stamp(&lora)) == Some(model.declaration_digest)
     }
 
     /// Claim of the caller, its weight in the fair shares; 1 if none is declared.
--- a/crates/side/src/run/model/mod.rs
+++ b/crates/side/src/run/model/mod.rs
@@ -33,7 +33,7 @@
 ) -> Frames {
     // Boxed, as otherwise each frame would move it twice.
     let run = Box::new(ModelRun {
-        deadline: state.timer.now() + Millis(request.head.left_ms),
+        deadline: state.timer.now() + Millis(request.head.time_left_ms),
         guard: state.drain.enter(&request.head.request),
         engine_name: lora.engine_name(),
         state,
@@ -121,8 +121,8 @@
             caller: head.caller.as_str(),
             claim: self.state.caller_claim(head),
             priority: head.priority,
-            time_left: Millis(head.left_ms),
-            tokens: self.state.answer_lengths.expected_tokens(head.tokens),
+            time_left: Millis(head.time_left_ms),
+            tokens: self.state.answer_lengths.expected_tokens(head.max_tokens),
         };
         let queued_at = self.state.timer.now();
         let submitted = self.work.dispatcher.submit(&spec);
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -40,7 +40,7 @@
 ) -> Frames {
     let idempotent = target.idempotent;
     let run = ServiceRun {
-        deadline: state.timer.now() + Millis(request.head.left_ms),
+        deadline: state.timer.now() + Millis(request.head.time_left_ms),
         state,
         work,
         destination,
@@ -120,7 +120,10 @@
     /// key.
     async fn acquire_key(&self) -> Result<Option<CallKey>, Refusal> {
         let head = &self.request.head;
-        let text = head.key.as_deref().filter(|_| !self.target.idempotent);
+        let text = head
+            .idempotency_key
+            .as_deref()
+            .filter(|_| !self.target.idempotent);
         let Some(text) = text else {
             return Ok(None);
         };
@@ -132,7 +135,7 @@
             let detail = "this side deals the keys out by another declaration";
             return Err(refusal(Reason::StaleConfig, DEFAULT_RETRY_MS, detail));
         }
-        let part = keys.acquire_part(&key, Millis(head.left_ms)).await;
+        let part = keys.acquire_part(&key, Millis(head.time_left_ms)).await;
         let detail = "its part of the keys is not open here";
         let part = part.map_err(|reason| refusal(reason, DEFAULT_RETRY_MS, detail))?;
         Ok(Some(CallKey { key, part }))
@@ -276,7 +279,7 @@
             path: self.target.path.clone(),
             headers: self.target.headers.clone(),
             body: Bytes::copy_from_slice(&self.request.body),
-            key: head.key.clone(),
+            key: head.idempotency_key.clone(),
         };
         self.destination.service.call(&call, self.time_left()).await
     }
--- a/crates/side/tests/bench/mod.rs
+++ b/crates/side/tests/bench/mod.rs
@@ -323,10 +323,10 @@
             base: lora.base.clone(),
             adapter: lora.adapter.clone(),
             version: lora.version.clone(),
-            stamp: self.fold.borrow().config().stamp(&lora).unwrap_or_default(),
+            declaration_digest: self.fold.borrow().config().stamp(&lora).unwrap_or_default(),
         });
         let mut run = self.run(request, "lm", target, serde_json::to_vec(&body).unwrap());
-        run.head.tokens = tokens;
+        run.head.max_tokens = tokens;
         run.head.stream = stream;
         run
     }
@@ -341,7 +341,7 @@
             idempotent: path.starts_with("/list"),
         });
         let mut run = self.run(request, "booking", target, body.as_bytes().to_vec());
-        run.head.key = key.map(str::to_owned);
+        run.head.idempotency_key = key.map(str::to_owned);
         run
     }
 
@@ -354,11 +354,11 @@
                 revision: self.fold.borrow().revision(),
                 caller: "school".into(),
                 target,
-                left_ms: 5_000,
+                time_left_ms: 5_000,
                 priority: 0,
                 stream: false,
-                tokens: 1,
-                key: None,
+                max_tokens: 1,
+                idempotency_key: None,
             },
             body,
         }
--- a/crates/side/tests/keys.rs
+++ b/crates/side/tests/keys.rs
@@ -197,7 +197,7 @@
             pair.bench.log.set_faults(log);
             pair.bench.service.set_faults(service);
             let mut run = pair.bench.call("r", "/holds", Some("k"), "x");
-            run.head.left_ms = 1_500;
+            run.head.time_left_ms = 1_500;
             let first = result_of(&pair.bench.frames(&pair.sides[0], &run).await);
             assert!((fault.allowed)(&first), "{}: {first:?}", fault.name);
             pair.bench.log.inject(|_| {});
@@ -335,7 +335,7 @@
         let pair = pair_of(|bench| bench.logging_side("vm-1", &log)).await;
         armed.store(true, Ordering::Relaxed);
         let mut run = pair.bench.call("r", "/holds", Some("k"), "x");
-        run.head.left_ms = u64::try_from(TIME_LEFT.as_millis()).unwrap();
+        run.head.time_left_ms = u64::try_from(TIME_LEFT.as_millis()).unwrap();
         let first = result_of(&pair.bench.frames(&pair.sides[0], &run).await);
         assert!(
             !armed.load(Ordering::Relaxed),
--- a/crates/side/tests/model.rs
+++ b/crates/side/tests/model.rs
@@ -118,7 +118,7 @@
                 .await;
             bench.engine.inject(fault.faults);
             let mut run = bench.chat("r", "a", 8, fault.stream);
-            run.head.left_ms = 2_000;
+            run.head.time_left_ms = 2_000;
             let frames = bench.frames(&side, &run).await;
             assert!(
                 frames.last().is_some_and(fault.may_end),
@@ -141,7 +141,7 @@
             name: "other stamp",
             change: |r| {
                 if let pumicecleat_types::Target::Model(m) = &mut r.head.target {
-                    m.stamp ^= 1;
+                    m.declaration_digest ^= 1;
                 }
             },
             reason: Reason::StaleConfig,
@@ -162,7 +162,7 @@
         },
         Case {
             name: "no time",
-            change: |r| r.head.left_ms = 0,
+            change: |r| r.head.time_left_ms = 0,
             reason: Reason::Deadline,
         },
     ];
--- a/crates/side/tests/parts.rs
+++ b/crates/side/tests/parts.rs
@@ -57,7 +57,7 @@
 impl World {
     async fn call(&self, side: usize, key: &str) -> CallResult {
         let mut run = self.bench.call("r", "/holds", Some(key), "x");
-        run.head.left_ms = LEFT_MS;
+        run.head.time_left_ms = LEFT_MS;
         match self.bench.frames(&self.sides[side], &run).await.as_slice() {
             [Frame::Head { replayed, .. }, .., Frame::End { .. }] => Ok(*replayed),
             [Frame::Refused(refusal)] => Err(Some(refusal.reason)),
@@ -168,7 +168,7 @@
             world.bench.log.set_faults(faults);
             for (side, key) in [(0, "k"), (0, "new")] {
                 let mut run = world.bench.call("r", "/holds", Some(key), "x");
-                run.head.left_ms = 1_000;
+                run.head.time_left_ms = 1_000;
                 let frames = world.bench.frames(&world.sides[side], &run).await;
                 let [Frame::Refused(refusal)] = frames.as_slice() else {
                     panic!("{}: {frames:?}", outage.name);
--- a/crates/types/src/message/load.rs
+++ b/crates/types/src/message/load.rs
@@ -16,7 +16,8 @@
     /// Number of requests at this side that wait for the adapter.
     pub waiting: u32,
     /// Shortest time left until a deadline among them, milliseconds.
-    pub left_ms: u64,
+    #[serde(rename = "left_ms")]
+    pub time_left_ms: u64,
     /// Longest time that one of them has waited, milliseconds.
     pub waited_ms: u64,
 }
@@ -62,7 +63,7 @@
             &self.vm,
             &self.lora,
             self.waiting,
-            self.left_ms,
+            self.time_left_ms,
             self.waited_ms,
         );
         row.serialize(serializer)
--- a/crates/types/src/message/run.rs
+++ b/crates/types/src/message/run.rs
@@ -19,7 +19,8 @@
     pub version: VersionId,
     /// Digest of the version's declaration, to detect that entry and side have different
     /// configurations.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub declaration_digest: u64,
 }
 
 /// Target of a request to a plain HTTP service.
@@ -71,15 +72,18 @@
     /// Target.
     pub target: Target,
     /// Time left until the caller's deadline, milliseconds.
-    pub left_ms: u64,
+    #[serde(rename = "left_ms")]
+    pub time_left_ms: u64,
     /// Priority; requests with a higher one are served first.
     pub priority: u8,
     /// Whether to stream the response token by token.
     pub stream: bool,
     /// Maximum number of output tokens; 1 for a plain HTTP service.
-    pub tokens: u32,
+    #[serde(rename = "tokens")]
+    pub max_tokens: u32,
     /// Idempotency key, if the caller sent one.
-    pub key: Option<String>,
+    #[serde(rename = "key")]
+    pub idempotency_key: Option<String>,
 }
 
 /// An attempt of a request.
--- a/crates/types/src/message/turn.rs
+++ b/crates/types/src/message/turn.rs
@@ -21,7 +21,8 @@
     #[serde(rename = "kept")]
     pub cached_digest: u64,
     /// Median traits of the engines of the same service, as far as the entry knows them.
-    pub peers: EngineTraits,
+    #[serde(rename = "peers")]
+    pub peer_traits: EngineTraits,
     /// Changes of the suspects; if absent, the reply has none either.
     pub suspects: Option<SuspectNews>,
     /// Rate limit of the engine; `None` if the entry has no recent information on one.
@@ -40,21 +41,25 @@
     /// Adapter, if the request uses one.
     pub adapter: Option<String>,
     /// Minimum version of the adapter.
-    pub version: u64,
+    #[serde(rename = "version")]
+    pub min_version: u64,
     /// Number of prompt tokens that the engine probably has to process.
-    pub tokens: u32,
+    #[serde(rename = "tokens")]
+    pub prompt_tokens: u32,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Objective for the time from the arrival at the entry to the first event, ms.
     pub objective_ms: u64,
     /// Time left of the objective, ms.
-    pub due_ms: u64,
+    #[serde(rename = "due_ms")]
+    pub objective_left_ms: u64,
     /// Time for which the caller still waits for the first event, ms.
     pub patience_ms: u64,
     /// Kind of the trial in which the request is sent, if it is a suspect.
     pub trial: Option<Trial>,
     /// Whether the request waits for an adapter slot; if not, it is refused at once when none is free.
-    pub stays: bool,
+    #[serde(rename = "stays")]
+    pub waits_for_slot: bool,
 }
 
 /// Rate limit of an engine, from the latest response that the entry received.
--- a/crates/types/tests/rows.rs
+++ b/crates/types/tests/rows.rs
@@ -63,7 +63,7 @@
         vm: "v".into(),
         lora: None,
         waiting: 1,
-        left_ms: 2,
+        time_left_ms: 2,
         waited_ms: 3,
     };
     let named = json!({"vm": "v", "lora": null, "waiting": 1, "left_ms": 2, "waited_ms": 3});
