--- a/crates/types/src/message/run.rs
+++ b/crates/types/src/message/run.rs
@@ -135,7 +135,7 @@
     KeyUnknown,
     /// The idempotency key was used with another body.
     KeyReused,
-    /// The idempotency key is older than the retention window.
+    /// The idempotency key is older than the configured window.
     KeyExpired,
     /// The idempotency key is missing or malformed.
     KeyInvalid,
@@ -150,7 +150,7 @@
     pub reason: Reason,
     /// Time after which to retry, milliseconds.
     pub retry_ms: u64,
-    /// Details for people who read it.
+    /// Details, for human readers.
     pub detail: String,
     /// Load of the upstream, if the side knows it.
     pub load: Option<LoadFigures>,
@@ -194,7 +194,7 @@
         ran: Ran,
         /// Step that failed.
         step: String,
-        /// Details for people who read it.
+        /// Details, for human readers.
         detail: String,
     },
 }
