--- a/crates/entry/tests/entry/input.rs
+++ b/crates/entry/tests/entry/input.rs
@@ -191,10 +191,10 @@
         caller.call(request).await;
         let seen = sides[0].attempts();
         assert_eq!(sides[0].attempt_body(0)["model"], json!("tour@v1"));
-        assert!((4_900..=5_000).contains(&seen[0].head.left_ms));
+        assert!((4_900..=5_000).contains(&seen[0].head.time_left_ms));
         assert_eq!(seen[0].head.priority, 0);
         assert_eq!(seen[1].head.priority, 3);
-        assert!((19_900..=20_000).contains(&seen[1].head.left_ms));
+        assert!((19_900..=20_000).contains(&seen[1].head.time_left_ms));
         assert_eq!(sides[0].attempt_body(1)["priority"], json!(-3));
     });
 }
--- a/crates/entry/tests/entry/keys.rs
+++ b/crates/entry/tests/entry/keys.rs
@@ -24,7 +24,7 @@
     let mut sides_by_part: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
     for (n, side) in sides.iter().enumerate() {
         for run in side.attempts() {
-            let text = run.head.key.unwrap();
+            let text = run.head.idempotency_key.unwrap();
             let key = Key::parse(&run.head.caller, &text).unwrap();
             sides_by_part
                 .entry(key.partition(PARTS))
--- a/crates/entry/tests/entry/truth.rs
+++ b/crates/entry/tests/entry/truth.rs
@@ -49,20 +49,20 @@
 fn single_attempt_cases() -> Vec<Case> {
     let partial_body = "{\"id\":\"chatcmpl-";
     #[rustfmt::skip]
-    let rows = [
-        ("refused", vec![REFUSE_OVERLOADED], OVERLOADED),
-        ("queue too long", vec![Refuse(Reason::Deadline)], DEADLINE_EXCEEDED),
-        ("broken, not run", vec![Broken(Ran::No)], UNREACHABLE),
-        ("may have run", vec![Broken(Ran::Unknown)], OUTCOME_UNKNOWN),
-        ("ran", vec![Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
-        ("no head of the HTTP response", vec![NoHead], OUTCOME_UNKNOWN),
-        ("cut before the head", vec![Disconnect], OUTCOME_UNKNOWN),
-        ("ends before the head", vec![], OUTCOME_UNKNOWN),
-        ("cut after the head", vec![Head, Disconnect], OUTCOME_UNKNOWN),
-        ("cut within the body", vec![Head, Bytes(partial_body), Disconnect], OUTCOME_UNKNOWN),
-        ("no End frame", vec![Head, Completion("Jó")], OUTCOME_UNKNOWN),
-        ("broken at the end", vec![Head, Completion("Jó"), Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
-    ];
+let rows = [
+("refused", vec![REFUSE_OVERLOADED], OVERLOADED),
+("queue too long", vec![Refuse(Reason::Deadline)], DEADLINE_EXCEEDED),
+("broken, not run", vec![Broken(Ran::No)], UNREACHABLE),
+("may have run", vec![Broken(Ran::Unknown)], OUTCOME_UNKNOWN),
+("ran", vec![Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
+("no head of the HTTP response", vec![NoHead], OUTCOME_UNKNOWN),
+("cut before the head", vec![Disconnect], OUTCOME_UNKNOWN),
+("ends before the head", vec![], OUTCOME_UNKNOWN),
+("cut after the head", vec![Head, Disconnect], OUTCOME_UNKNOWN),
+("cut within the body", vec![Head, Bytes(partial_body), Disconnect], OUTCOME_UNKNOWN),
+("no End frame", vec![Head, Completion("Jó")], OUTCOME_UNKNOWN),
+("broken at the end", vec![Head, Completion("Jó"), Broken(Ran::Yes)], RAN_OUTCOME_UNKNOWN),
+];
     let cases = rows.into_iter().map(|(name, script, expected)| Case {
         name,
         scripts: vec![script],
@@ -124,15 +124,15 @@
     let unknown = expected(409, "key_outcome_unknown", "unknown");
     let log = expected(503, "log_unavailable", "unknown");
     #[rustfmt::skip]
-    let rows = [
-        ("cut, cut", vec![cut()], 2, OUTCOME_UNKNOWN),
-        ("cut, recorded", vec![cut(), completion_script("Jó")], 2, OK),
-        ("cut, busy", vec![cut(), vec![Refuse(Reason::KeyBusy)]], 2, busy),
-        ("busy", vec![vec![Refuse(Reason::KeyBusy)]], 1, busy),
-        ("reused", vec![vec![Refuse(Reason::KeyReused)]], 1, reused),
-        ("unknown", vec![vec![Refuse(Reason::KeyUnknown)]], 1, unknown),
-        ("cut, log down", vec![cut(), vec![Refuse(Reason::LogDown)]], 4, log),
-    ];
+let rows = [
+("cut, cut", vec![cut()], 2, OUTCOME_UNKNOWN),
+("cut, recorded", vec![cut(), completion_script("Jó")], 2, OK),
+("cut, busy", vec![cut(), vec![Refuse(Reason::KeyBusy)]], 2, busy),
+("busy", vec![vec![Refuse(Reason::KeyBusy)]], 1, busy),
+("reused", vec![vec![Refuse(Reason::KeyReused)]], 1, reused),
+("unknown", vec![vec![Refuse(Reason::KeyUnknown)]], 1, unknown),
+("cut, log down", vec![cut(), vec![Refuse(Reason::LogDown)]], 4, log),
+];
     let cases = rows
         .into_iter()
         .map(|(name, scripts, attempts, expected)| Case {
@@ -189,7 +189,7 @@
             let response = case_run.caller.call(call).await;
             case_run.check(&case, &response);
             let mut seen = case_run.sides.iter().flat_map(FakeSide::attempts);
-            assert!(seen.all(|r| r.head.key.as_deref() == Some("key-7")));
+            assert!(seen.all(|r| r.head.idempotency_key.as_deref() == Some("key-7")));
         }
     });
 }
