--- a/crates/ops/src/admin.rs
+++ b/crates/ops/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener's handler: metrics, health, readiness and the dump of state.
+//! HTTP handler of the admin listener: metrics, health, readiness and a state dump.
 
 use std::future::{Future, ready};
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 
 use crate::{Metrics, Readiness, UnmetCondition};
 
-/// Media type of the metrics' text.
+/// Media type of the metrics response.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// State that can be shown whole.
+/// Process state that `/dump` returns.
 pub trait Dump {
-    /// State as JSON, without secrets.
+    /// Returns the state as JSON, without secrets.
     fn dump(&self) -> serde_json::Value;
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Admin {
-    /// Handler over a process's metrics, readiness and state.
+    /// Creates a handler for the metrics, readiness and state of a process.
     #[must_use]
     pub fn new(metrics: &Metrics, readiness: &Readiness, state: Rc<dyn Dump>) -> Self {
         Self {
@@ -63,8 +63,8 @@
 
     fn metrics_reply(&self) -> Reply {
         let mut reply = plain_reply(200, &self.metrics.text());
-        let kind = HeaderValue::from_static(OPEN_METRICS);
-        reply.headers_mut().insert(CONTENT_TYPE, kind);
+        let media_type = HeaderValue::from_static(OPEN_METRICS);
+        reply.headers_mut().insert(CONTENT_TYPE, media_type);
         reply
     }
 
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -1,16 +1,16 @@
-//! Settings, numbered log events, metrics, the admin listener and graceful stop.
+//! Settings, numbered log events, metrics, the admin listener and graceful shutdown.
 //!
-//! A daemon declares its settings with [`settings!`], logs rows of the catalogue in [`events`],
-//! serves [`Admin`] beside its own listeners, and ends by [`Stop`] and [`Drain`].
+//! A daemon declares its settings with [`settings!`], logs the events defined in [`events`],
+//! serves [`Admin`] beside its own listeners, and shuts down with [`Stop`] and [`Drain`].
 //!
 //! ```
 //! use pumicecleat_ops::{Log, LogOptions, Settings, events, field, settings};
 //! use std::collections::BTreeMap;
 //!
 //! settings! {
-//!     /// Says hello.
+//!     /// Prints greetings.
 //!     pub struct HelloSettings {
-//!         /// greetings a second
+//!         /// greetings per second
 //!         rate: u32 = "10", "1/s";
 //!     }
 //! }
--- a/crates/ops/src/listen.rs
+++ b/crates/ops/src/listen.rs
@@ -1,4 +1,4 @@
-//! A listener with its server, and the lines about it.
+//! Binding a listener, starting its server and logging the result.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,22 +9,22 @@
 
 use crate::{Log, events, field};
 
-/// A listener can't be bound.
+/// A listener could not be bound.
 #[derive(Debug, Snafu)]
 #[snafu(display("step bind, listener {purpose}, address {address}: {source}"))]
 pub struct ListenError {
-    /// Use of the listener.
+    /// What the listener is for, as logged.
     purpose: &'static str,
-    /// Address.
+    /// Address to bind.
     address: SocketAddr,
-    /// Cause.
+    /// Error of the operating system.
     source: io::Error,
 }
 
-/// Serves `handler` at `address` from now on.
+/// Binds `address` and starts to serve `handler` there, on a task of its own.
 ///
 /// # Errors
-/// [`ListenError`] if the address can't be bound; it has been logged.
+/// [`ListenError`] if the address can't be bound; the failure is already logged.
 pub fn listen(
     purpose: &'static str,
     address: SocketAddr,
@@ -33,8 +33,8 @@
     timer: &Timer,
     log: &Log,
 ) -> Result<Server, ListenError> {
-    let bound = bind(address);
-    match &bound {
+    let bind_result = bind(address);
+    match &bind_result {
         Ok(_) => {
             let fields = [field("purpose", purpose), field("address", &address)];
             log.emit(&events::LISTENING, &fields);
@@ -48,9 +48,9 @@
             log.emit_and_flush(&events::BIND_FAILED, &fields);
         }
     }
-    let listener = bound.context(ListenSnafu { purpose, address })?;
+    let listener = bind_result.context(ListenSnafu { purpose, address })?;
     let server = Server::new_ext(options, handler, timer);
-    let accepting = server.clone();
-    monoio::spawn(async move { accepting.serve(listener).await });
+    let acceptor = server.clone();
+    monoio::spawn(async move { acceptor.serve(listener).await });
     Ok(server)
 }
--- a/crates/ops/src/log/event.rs
+++ b/crates/ops/src/log/event.rs
@@ -1,22 +1,22 @@
-//! A row of the catalogue.
+//! The definition of a log event.
 
 use crate::Level;
 
-/// Kind of event, with its number.
+/// Kind of log event, with its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Number, such as `E1001`; never used again for another kind.
+    /// Number, such as `E1001`. The number of a removed event is never reused.
     pub code: &'static str,
-    /// Name, in words joined by underscores.
+    /// Name in snake case.
     pub name: &'static str,
-    /// Level.
+    /// Level at which the event is logged.
     pub level: Level,
-    /// Names of the fields it may carry.
+    /// Names of the fields that the event may have.
     pub fields: &'static [&'static str],
 }
 
-/// Declares the rows of one range and the list of them.
-macro_rules! rows {
+/// Declares the events of one range of numbers, and a list of them.
+macro_rules! events {
     ($($(#[$doc:meta])* $id:ident = $code:literal $name:literal $level:ident [$($field:literal),*];)*) => {
         $(
             $(#[$doc])*
@@ -28,8 +28,8 @@
             };
         )*
 
-        pub(super) static ROWS: &[&Event] = &[$(&$id),*];
+        pub(super) static EVENTS: &[&Event] = &[$(&$id),*];
     };
 }
 
-pub(super) use rows;
+pub(super) use events;
--- a/crates/ops/src/log/events/command.rs
+++ b/crates/ops/src/log/events/command.rs
@@ -1,21 +1,21 @@
-//! E5000 on: the operators' command line.
+//! Events from E5000: the operators' command-line tool.
 
-use super::super::event::{Event, rows};
+use super::super::event::{Event, events};
 use crate::Level;
 
-rows! {
-    /// File of the configuration is wrong.
+events! {
+    /// A configuration file has an error.
     FILE_FAULT = "E5001" "file_fault" Error ["file", "line", "field", "fault"];
-    /// Change was appended; its verdict is awaited.
+    /// A change was appended to the log; the tool waits for the verdict.
     CHANGE_APPENDED = "E5002" "change_appended" Info ["change", "offset", "base"];
-    /// Change is accepted.
+    /// A change was accepted.
     CHANGE_ACCEPTED = "E5003" "change_accepted" Info ["change", "revision"];
-    /// Change is refused.
+    /// A change was rejected.
     CHANGE_REFUSED = "E5004" "change_refused" Error ["change", "base", "revision", "reason"];
-    /// Verdict did not come in time.
+    /// No verdict on a change arrived before the timeout.
     VERDICT_LATE = "E5005" "verdict_late" Error ["change", "waited_ms"];
-    /// Process could not be asked.
+    /// A process could not be queried.
     PROCESS_SILENT = "E5006" "process_silent" Warn ["address", "error"];
-    /// Demonstration is up.
+    /// The demo deployment is running.
     DEMO_UP = "E5010" "demo_up" Info ["address"];
 }
--- a/crates/ops/src/log/events/mod.rs
+++ b/crates/ops/src/log/events/mod.rs
@@ -1,6 +1,6 @@
-//! The catalogue: every event of every program, one file per range of numbers.
+//! Log events of all programs, one file for each range of numbers.
 //!
-//! `docs/EVENTS.md` explains each row to operators; a test keeps both equal.
+//! `docs/EVENTS.md` describes each event to operators; a test checks that both list the same events.
 
 mod command;
 mod common;
@@ -20,16 +20,16 @@
 
 use super::Event;
 
-/// Every row, by number.
+/// All events, in order of their numbers.
 pub fn all() -> impl Iterator<Item = &'static Event> {
     let ranges = [
-        common::ROWS,
-        entry::ROWS,
-        side::ROWS,
-        standin::ROWS,
-        command::ROWS,
-        platform::ROWS,
-        deployment::ROWS,
+        common::EVENTS,
+        entry::EVENTS,
+        side::EVENTS,
+        standin::EVENTS,
+        command::EVENTS,
+        platform::EVENTS,
+        deployment::EVENTS,
     ];
     ranges.into_iter().flatten().copied()
 }
--- a/crates/ops/src/log/field.rs
+++ b/crates/ops/src/log/field.rs
@@ -1,32 +1,32 @@
-//! Fields of an event.
+//! Fields of a log event.
 
 use std::fmt::Display;
 
-/// Named value.
+/// Named value in a log line.
 #[derive(Clone, Copy)]
 pub struct Field<'a> {
     pub(crate) name: &'static str,
     pub(crate) value: FieldValue<'a>,
 }
 
-/// Value, rendered only if the event is logged.
+/// Value of a field, formatted only if the event is logged.
 #[derive(Clone, Copy)]
 pub enum FieldValue<'a> {
-    /// Number from 0.
+    /// Unsigned integer.
     Unsigned(u64),
-    /// Number.
+    /// Signed integer.
     Signed(i64),
-    /// Number with a fraction.
+    /// Floating-point number; JSON has `null` for one that is not finite.
     Float(f64),
-    /// Truth value.
+    /// Boolean.
     Bool(bool),
     /// Text.
     Text(&'a str),
-    /// Whatever shows itself.
+    /// Any value that implements `Display`.
     Display(&'a dyn Display),
 }
 
-/// Field of the given name and value.
+/// Creates a field.
 pub fn field<'a>(name: &'static str, value: impl Into<FieldValue<'a>>) -> Field<'a> {
     Field {
         name,
--- a/crates/ops/src/log/format.rs
+++ b/crates/ops/src/log/format.rs
@@ -1,4 +1,4 @@
-//! The two forms of a line: text for people, JSON for programs.
+//! The two formats of a log line: text for people, JSON for programs.
 
 use std::fmt::{self, Write};
 
@@ -8,20 +8,20 @@
 
 use super::{Event, Field, FieldValue};
 
-/// Longest value in a line, bytes; what is longer is cut there.
-const VALUE_LIMIT: usize = 1024;
+/// Longest text value in a line; a longer one is truncated.
+const MAX_VALUE_BYTES: usize = 1024;
 
-/// Form of a line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Time, level, origin, code, name, then `name=value`.
+    /// Time, level, origin, code and name, then the fields as `name=value`.
     #[default]
     Text,
-    /// One object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Puts the time before a rendered event, on the writing thread.
+/// Adds the time to a rendered event, on the writer thread.
 #[derive(Clone)]
 pub(super) struct LineFormatter {
     pub(super) format: LogFormat,
@@ -37,15 +37,15 @@
         let time =
             DateTime::<Utc>::from(record.time()).to_rfc3339_opts(SecondsFormat::Millis, true);
         let event = record.payload();
-        let written = match self.format {
+        let result = match self.format {
             LogFormat::Text => writeln!(line, "{time} {event}"),
             LogFormat::Json => writeln!(line, "{{\"time\":\"{time}\",{event}}}"),
         };
-        written.map_err(spdlog::Error::FormatRecord)
+        result.map_err(spdlog::Error::FormatRecord)
     }
 }
 
-/// Renders all of a line but its time.
+/// Renders a line without its time.
 pub(super) fn render(
     format: LogFormat,
     origin: &str,
@@ -53,7 +53,7 @@
     fields: &[Field<'_>],
 ) -> String {
     let mut line = String::with_capacity(160);
-    // Writing to a string can't fail; a value whose `Display` fails is left as far as it got.
+    // Writing to a string can't fail. If the `Display` of a value fails, the line ends there.
     let _ = match format {
         LogFormat::Text => render_text(&mut line, origin, event, fields),
         LogFormat::Json => render_json(&mut line, origin, event, fields),
@@ -73,7 +73,7 @@
         write!(line, " {}=", field.name)?;
         match field.value {
             FieldValue::Text(text) => write_text(line, text)?,
-            FieldValue::Display(value) => write_text(line, &shown(value)?)?,
+            FieldValue::Display(value) => write_text(line, &to_text(value)?)?,
             FieldValue::Unsigned(n) => write!(line, "{n}")?,
             FieldValue::Signed(n) => write!(line, "{n}")?,
             FieldValue::Float(n) => write!(line, "{n}")?,
@@ -83,14 +83,14 @@
     Ok(())
 }
 
-/// Writes a value bare if it is one plain word, else quoted and escaped.
+/// Writes a value as it is if it is a single plain word, otherwise quoted and escaped.
 fn write_text(line: &mut String, text: &str) -> fmt::Result {
-    let text = cut(text);
+    let text = truncate(text);
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=' | '\\');
     if !text.is_empty() && text.chars().all(plain) {
         line.write_str(text)
     } else {
-        line.write_str(&quoted(text))
+        line.write_str(&quote(text))
     }
 }
 
@@ -100,7 +100,7 @@
     event: &Event,
     fields: &[Field<'_>],
 ) -> fmt::Result {
-    let origin = quoted(origin);
+    let origin = quote(origin);
     let Event {
         code, name, level, ..
     } = event;
@@ -110,10 +110,10 @@
     )?;
     for (i, field) in fields.iter().enumerate() {
         let comma = if i == 0 { "" } else { "," };
-        write!(line, "{comma}{}:", quoted(field.name))?;
+        write!(line, "{comma}{}:", quote(field.name))?;
         match field.value {
-            FieldValue::Text(text) => line.write_str(&quoted(cut(text)))?,
-            FieldValue::Display(value) => line.write_str(&quoted(cut(&shown(value)?)))?,
+            FieldValue::Text(text) => line.write_str(&quote(truncate(text)))?,
+            FieldValue::Display(value) => line.write_str(&quote(truncate(&to_text(value)?)))?,
             FieldValue::Unsigned(n) => write!(line, "{n}")?,
             FieldValue::Signed(n) => write!(line, "{n}")?,
             FieldValue::Float(n) if n.is_finite() => write!(line, "{n}")?,
@@ -124,16 +124,16 @@
     line.write_str("}")
 }
 
-fn shown(value: &dyn fmt::Display) -> Result<String, fmt::Error> {
+fn to_text(value: &dyn fmt::Display) -> Result<String, fmt::Error> {
     let mut text = String::new();
     write!(text, "{value}")?;
     Ok(text)
 }
 
-fn quoted(text: &str) -> String {
+fn quote(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
 
-fn cut(text: &str) -> &str {
-    &text[..text.floor_char_boundary(VALUE_LIMIT)]
+fn truncate(text: &str) -> &str {
+    &text[..text.floor_char_boundary(MAX_VALUE_BYTES)]
 }
--- a/crates/ops/src/log/level.rs
+++ b/crates/ops/src/log/level.rs
@@ -1,28 +1,28 @@
-//! Levels of events.
+//! Log levels.
 
 use std::fmt;
 
-/// Level of an event, or the highest that is logged.
+/// Level of an event, or the most verbose level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
     /// Nothing is logged.
     Off,
-    /// Needs an operator.
+    /// Needs action by an operator.
     Error,
-    /// May need an operator.
+    /// May need action by an operator.
     Warn,
-    /// Changes of state.
+    /// State changes.
     #[default]
     Info,
-    /// Each request.
+    /// Events of each request.
     Debug,
 }
 
 impl Level {
-    /// Every level, by name.
+    /// All levels, from the least verbose.
     pub const ALL: [Self; 5] = [Self::Off, Self::Error, Self::Warn, Self::Info, Self::Debug];
 
-    /// Name in settings and lines.
+    /// Name in settings and log lines.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/ops/src/log/logger.rs
+++ b/crates/ops/src/log/logger.rs
@@ -1,4 +1,4 @@
-//! The logger: level check, rendering, and the thread that writes.
+//! The logger: level check, rate limit, rendering, and the writer thread.
 
 use std::fmt;
 use std::io::Write;
@@ -13,27 +13,27 @@
 use super::format::{LineFormatter, render};
 use super::{Event, Field, Level, LogFormat};
 
-/// Lines that may wait for the writer.
-const QUEUE_LINES: usize = 4096;
+/// Longest queue of lines that wait for the writer.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// Longest wait for the writer at the end.
-const FLUSH_SPAN: Duration = Duration::from_secs(1);
+/// Longest wait for the writer when the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is logged, and how.
+/// Options of a log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogOptions {
-    /// Highest level logged.
+    /// Most verbose level that is logged.
     pub level: Level,
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Program and VM, on every line.
+    /// Program and VM, written on every line.
     pub origin: String,
-    /// Lines a second at most, 0 for no bound. Warnings and errors may take as many again, so that
-    /// failures are kept where successes are left out.
+    /// Most lines per second, 0 for no limit. With warnings and errors there may be twice as many, so
+    /// that failures are logged where successes are omitted.
     pub rate: u32,
 }
 
-/// Logger of numbered events. Clones share one writer.
+/// Logger of numbered events. Clones share a writer.
 #[derive(Clone)]
 pub struct Log {
     options: LogOptions,
@@ -43,42 +43,45 @@
 struct Writer {
     logger: Option<Logger>,
     counts: Arc<Counts>,
-    bound: Bound,
+    rate_limit: RateLimit,
 }
 
-/// Lines of the present second.
-struct Bound {
+/// Counts of the lines written and omitted in the current second.
+struct RateLimit {
     start: Instant,
     second: AtomicU64,
     lines: AtomicU64,
-    left_out: AtomicU64,
+    omitted: AtomicU64,
 }
 
 #[derive(Default)]
 struct Counts {
-    taken: AtomicU64,
+    queued: AtomicU64,
     written: AtomicU64,
     dropped: AtomicU64,
 }
 
 impl Log {
-    /// Log to stderr.
+    /// Creates a log that writes to stderr.
     #[must_use]
     pub fn new_ext(options: &LogOptions) -> Self {
         Self::to_writer(options, std::io::stderr())
     }
 
-    /// Log to `target`.
+    /// Creates a log that writes to `target`.
     #[must_use]
     pub fn to_writer(options: &LogOptions, target: impl Write + Send + 'static) -> Self {
         let counts = Arc::default();
         let lines = write_sink(options.format, target, &counts);
-        let logger = lines.and_then(queue).and_then(|q| build_logger(q, &counts));
+        let logger = lines
+            .and_then(queue_sink)
+            .and_then(|q| build_logger(q, &counts));
         Self::with_logger(options, logger.ok(), counts)
     }
 
-    /// Log whose lines are written to `target` before [`emit`](Self::emit) returns, by the thread that
-    /// logs: for tests that act between two steps of a program. A daemon must never wait for its log.
+    /// Creates a log that writes each line to `target` on the calling thread, before
+    /// [`emit`](Self::emit) returns. This is for tests that act between two steps of a program; a daemon
+    /// must never wait for its log.
     #[must_use]
     pub fn to_writer_sync(options: &LogOptions, target: impl Write + Send + 'static) -> Self {
         let counts = Arc::default();
@@ -93,12 +96,12 @@
             writer: Arc::new(Writer {
                 logger,
                 counts,
-                bound: Bound::default(),
+                rate_limit: RateLimit::default(),
             }),
         }
     }
 
-    /// The same log for another part, named on its lines.
+    /// The same log with another origin on its lines.
     #[must_use]
     pub fn with_origin(&self, origin: &str) -> Self {
         let mut log = self.clone();
@@ -106,42 +109,42 @@
         log
     }
 
-    /// Whether `event` is logged at this level.
+    /// Whether the level of this log includes `event`.
     #[must_use]
     pub fn is_enabled(&self, event: &Event) -> bool {
         event.level <= self.options.level
     }
 
-    /// Logs `event` if its level is on. Never waits.
+    /// Logs `event` if its level is enabled and the rate limit allows it. Never blocks.
     pub fn emit(&self, event: &Event, fields: &[Field<'_>]) {
         debug_assert!(
             fields.iter().all(|f| event.fields.contains(&f.name)),
-            "a field of {} is not in the catalogue",
+            "a field of {} is not in its definition",
             event.code
         );
-        if !self.is_enabled(event) || !self.is_within(event) {
+        if !self.is_enabled(event) || !self.is_within_rate(event) {
             return;
         }
         self.write(event, fields);
     }
 
-    /// Whether the bound leaves room for a line; tells what was left out once a second is over.
-    fn is_within(&self, event: &Event) -> bool {
+    /// Whether the rate limit allows a line. Logs the number of lines omitted when a second is over.
+    fn is_within_rate(&self, event: &Event) -> bool {
         if self.options.rate == 0 {
             return true;
         }
-        let left_out = self.writer.bound.turn();
-        if left_out > 0 {
-            let lines = super::field("lines", left_out);
+        let omitted = self.writer.rate_limit.start_second();
+        if omitted > 0 {
+            let lines = super::field("lines", omitted);
             self.write(&super::events::LINES_LEFT_OUT, &[lines]);
         }
         let rate = u64::from(self.options.rate);
-        let most = if event.level <= Level::Warn {
+        let max_lines = if event.level <= Level::Warn {
             2 * rate
         } else {
             rate
         };
-        self.writer.bound.take(most)
+        self.writer.rate_limit.try_take(max_lines)
     }
 
     fn write(&self, event: &Event, fields: &[Field<'_>]) {
@@ -149,28 +152,29 @@
             return;
         };
         let line = render(self.options.format, &self.options.origin, event, fields);
-        self.writer.counts.taken.fetch_add(1, Ordering::Relaxed);
+        self.writer.counts.queued.fetch_add(1, Ordering::Relaxed);
         spdlog::log!(logger: logger, event.level.to_spdlog(), "{}", line);
     }
 
-    /// Logs the last event of the process and waits, for a second at most, until it is written.
+    /// Logs the last event of the process and waits, for at most 1 s, until it is written.
     ///
-    /// Tasks left on the loop may still hold clones when `main` returns, so that no drop does it.
+    /// Dropping the log is not enough: tasks that are left on the event loop may still hold clones
+    /// when `main` returns, so that the writer is never dropped.
     pub fn emit_and_flush(&self, event: &Event, fields: &[Field<'_>]) {
         self.emit(event, fields);
-        self.writer.flush(FLUSH_SPAN);
+        self.writer.flush(FLUSH_TIMEOUT);
     }
 
-    /// Lines dropped because the writer was behind.
+    /// Number of lines dropped because the writer was too slow.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.writer.counts.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all lines are written, at most for `span`; blocks the thread. True if they are.
+    /// Blocks the thread until all lines are written, for at most `timeout`. Returns whether they are.
     #[must_use]
-    pub fn flush(&self, span: Duration) -> bool {
-        self.writer.flush(span)
+    pub fn flush(&self, timeout: Duration) -> bool {
+        self.writer.flush(timeout)
     }
 }
 
@@ -183,44 +187,44 @@
     }
 }
 
-impl Bound {
-    /// Begins a new second if one is over; gives the lines left out in the last one.
-    fn turn(&self) -> u64 {
+impl RateLimit {
+    /// Starts a new second if the last one is over. Returns the number of lines omitted since.
+    fn start_second(&self) -> u64 {
         let now = self.start.elapsed().as_secs();
         if self.second.swap(now, Ordering::Relaxed) == now {
             return 0;
         }
         self.lines.store(0, Ordering::Relaxed);
-        self.left_out.swap(0, Ordering::Relaxed)
+        self.omitted.swap(0, Ordering::Relaxed)
     }
 
-    /// Takes a line from the present second, if fewer than `most` were taken.
-    fn take(&self, most: u64) -> bool {
-        if self.lines.fetch_add(1, Ordering::Relaxed) < most {
+    /// Counts a line of the current second, unless `max_lines` are counted already.
+    fn try_take(&self, max_lines: u64) -> bool {
+        if self.lines.fetch_add(1, Ordering::Relaxed) < max_lines {
             return true;
         }
         self.lines.fetch_sub(1, Ordering::Relaxed);
-        self.left_out.fetch_add(1, Ordering::Relaxed);
+        self.omitted.fetch_add(1, Ordering::Relaxed);
         false
     }
 }
 
-impl Default for Bound {
+impl Default for RateLimit {
     fn default() -> Self {
         Self {
             start: Instant::now(),
             second: AtomicU64::new(0),
             lines: AtomicU64::new(0),
-            left_out: AtomicU64::new(0),
+            omitted: AtomicU64::new(0),
         }
     }
 }
 
 impl Writer {
-    fn flush(&self, span: Duration) -> bool {
-        let end = Instant::now() + span;
+    fn flush(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         while !self.counts.is_flushed() {
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return false;
             }
             std::thread::sleep(Duration::from_millis(1));
@@ -231,8 +235,8 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        if !self.flush(FLUSH_SPAN) {
-            // Dropping the logger would wait for a stderr that nobody reads.
+        if !self.flush(FLUSH_TIMEOUT) {
+            // Dropping the logger would block while nobody reads stderr.
             std::mem::forget(self.logger.take());
         }
     }
@@ -241,11 +245,11 @@
 impl Counts {
     fn is_flushed(&self) -> bool {
         let done = self.written.load(Ordering::Acquire) + self.dropped.load(Ordering::Acquire);
-        done >= self.taken.load(Ordering::Acquire)
+        done >= self.queued.load(Ordering::Acquire)
     }
 }
 
-/// Counts each line that `target` has taken or refused.
+/// Counts each line written to `target`, also if the write failed.
 struct CountedWrite<W> {
     target: W,
     counts: Arc<Counts>,
@@ -284,10 +288,10 @@
     Ok(lines)
 }
 
-/// Sink that hands lines to another thread and drops them while that is behind.
-fn queue(lines: Arc<dyn Sink>) -> spdlog::Result<Arc<dyn Sink>> {
-    let length = NonZeroUsize::new(QUEUE_LINES).unwrap_or(NonZeroUsize::MIN);
-    let pool = ThreadPool::builder().capacity(length).build_arc()?;
+/// Sink that passes lines to another thread, and drops them while its queue is full.
+fn queue_sink(lines: Arc<dyn Sink>) -> spdlog::Result<Arc<dyn Sink>> {
+    let capacity = NonZeroUsize::new(MAX_QUEUED_LINES).unwrap_or(NonZeroUsize::MIN);
+    let pool = ThreadPool::builder().capacity(capacity).build_arc()?;
     let queued = AsyncPoolSink::builder()
         .sink(lines)
         .thread_pool(pool)
--- a/crates/ops/src/log/mod.rs
+++ b/crates/ops/src/log/mod.rs
@@ -1,8 +1,8 @@
 //! Numbered log events with fields, in text or JSON, to stderr.
 //!
-//! The loop's thread renders an event only if its level is on, and hands the line to one more
-//! thread, which holds nothing of the program and only writes. Where stderr is slower than the
-//! events, lines are dropped and counted; the loop never waits for them.
+//! The event loop renders an event only if its level is enabled, and passes the line to a writer
+//! thread that shares no other state with the program. If the output is too slow, lines are dropped
+//! and counted; the event loop never waits for it.
 
 mod event;
 pub mod events;
--- a/crates/ops/src/metrics/mod.rs
+++ b/crates/ops/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Metrics in `OpenMetrics` text, by `prometheus-client`.
+//! Metrics in the `OpenMetrics` text format, with `prometheus-client`.
 //!
-//! A part creates its counters, gauges and histograms once from the shared [`Metrics`] and keeps
-//! the handles; reading the text takes nothing from them.
+//! A component creates its counters, gauges and histograms once from the shared [`Metrics`] and keeps
+//! the handles. Encoding the metrics does not reset them.
 
 mod process;
 
@@ -22,18 +22,18 @@
 
 use process::ProcessMetrics;
 
-/// Start of every metric's name.
+/// Prefix of all metric names.
 const PREFIX: &str = "pumicecleat";
 
-/// Labels of a family, as derived by `prometheus_client`'s `EncodeLabelSet`.
+/// Labels of a metric family, as derived with `EncodeLabelSet` of `prometheus_client`.
 pub trait LabelSet: EncodeLabelSet + Clone + Hash + Eq + Debug + Send + Sync + 'static {}
 
 impl<T: EncodeLabelSet + Clone + Hash + Eq + Debug + Send + Sync + 'static> LabelSet for T {}
 
-/// Histograms by label.
+/// Family of histograms with labels.
 pub type Histograms<L> = Family<L, Histogram, Buckets>;
 
-/// Upper bounds of the buckets of a family's histograms.
+/// Upper bounds of the buckets in a family of histograms.
 #[derive(Clone, Copy, Debug)]
 pub struct Buckets(&'static [f64]);
 
@@ -43,14 +43,15 @@
     }
 }
 
-/// Registry of a process's metrics.
+/// Registry of the metrics of a process.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Rc<RefCell<Registry>>,
 }
 
 impl Metrics {
-    /// Registry that holds the process's own metrics: memory, processor time, descriptors, uptime.
+    /// Creates a registry with the metrics of the process itself: memory, CPU time, file descriptors
+    /// and uptime.
     #[must_use]
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix(PREFIX);
@@ -60,38 +61,38 @@
         }
     }
 
-    /// Counter without labels; the text adds `_total` to its name.
+    /// Registers a counter without labels. Its name gets the suffix `_total` when encoded.
     #[must_use]
     pub fn counter(&self, name: &str, help: &str) -> Counter {
         self.register(name, help, Counter::default())
     }
 
-    /// Gauge without labels.
+    /// Registers a gauge without labels.
     #[must_use]
     pub fn gauge(&self, name: &str, help: &str) -> Gauge {
         self.register(name, help, Gauge::default())
     }
 
-    /// Histogram without labels; `buckets` are upper bounds.
+    /// Registers a histogram without labels; `buckets` are upper bounds.
     #[must_use]
     pub fn histogram(&self, name: &str, help: &str, buckets: &[f64]) -> Histogram {
         let histogram = Histogram::new(buckets.iter().copied());
         self.register(name, help, histogram)
     }
 
-    /// Counters by label; the text adds `_total` to their name.
+    /// Registers a family of counters. Its name gets the suffix `_total` when encoded.
     #[must_use]
     pub fn counters<L: LabelSet>(&self, name: &str, help: &str) -> Family<L, Counter> {
         self.register(name, help, Family::default())
     }
 
-    /// Gauges by label.
+    /// Registers a family of gauges.
     #[must_use]
     pub fn gauges<L: LabelSet>(&self, name: &str, help: &str) -> Family<L, Gauge> {
         self.register(name, help, Family::default())
     }
 
-    /// Histograms by label; `buckets` are upper bounds.
+    /// Registers a family of histograms; `buckets` are upper bounds.
     #[must_use]
     pub fn histograms<L: LabelSet>(
         &self,
@@ -103,7 +104,7 @@
         self.register(name, help, family)
     }
 
-    /// All metrics as `OpenMetrics` text.
+    /// Encodes all metrics as `OpenMetrics` text.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
--- a/crates/ops/src/metrics/process.rs
+++ b/crates/ops/src/metrics/process.rs
@@ -1,4 +1,4 @@
-//! Metrics of the process itself, read from `/proc/self` at each scrape.
+//! Metrics of the process itself, read from `/proc/self` on each scrape.
 
 use std::fmt;
 use std::time::Instant;
@@ -9,13 +9,13 @@
 use prometheus_client::metrics::counter::ConstCounter;
 use prometheus_client::metrics::gauge::ConstGauge;
 
-/// Ticks a second in `/proc/self/stat`, fixed on Linux.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc/self/stat`, a constant on Linux.
+const TICKS_PER_S: f64 = 100.0;
 
-/// Place of user time among the fields after the command name in `/proc/self/stat`.
-const USER_TIME: usize = 11;
+/// Index of the user time among the fields after the command name in `/proc/self/stat`.
+const USER_TIME_FIELD: usize = 11;
 
-/// Collector of the process's own metrics. What can't be read is left out.
+/// Collector of the metrics of the process. A metric that can't be read is omitted.
 #[derive(Debug)]
 pub(super) struct ProcessMetrics {
     start: Instant,
@@ -80,16 +80,16 @@
 
 fn open_descriptors() -> Option<f64> {
     let count = std::fs::read_dir("/proc/self/fd").ok()?.count();
-    // The listing itself holds one.
+    // Reading the directory opens one descriptor.
     u32::try_from(count.saturating_sub(1)).ok().map(f64::from)
 }
 
 fn cpu_seconds() -> Option<f64> {
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
-    // The command name before may hold spaces, so the fields are counted from its bracket.
+    // The command name may contain spaces, so the fields are counted from its closing parenthesis.
     let (_, fields) = stat.rsplit_once(')')?;
-    let mut fields = fields.split_whitespace().skip(USER_TIME);
+    let mut fields = fields.split_whitespace().skip(USER_TIME_FIELD);
     let user: f64 = fields.next()?.parse().ok()?;
     let system: f64 = fields.next()?.parse().ok()?;
-    Some((user + system) / TICKS)
+    Some((user + system) / TICKS_PER_S)
 }
--- a/crates/ops/src/ready.rs
+++ b/crates/ops/src/ready.rs
@@ -1,4 +1,4 @@
-//! Readiness: named conditions that must all hold.
+//! Readiness: named conditions that must all be met.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,27 +9,27 @@
 
 use crate::{Log, events, field};
 
-/// Whether the process may take work. Logs each change of it; clones share the conditions.
+/// Whether the process may receive requests. Logs each change; clones share the conditions.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     conditions: Rc<RefCell<Conditions>>,
     log: Log,
 }
 
-/// Reason by condition, `None` where it holds.
+/// Reason why each condition is not met, or `None` if it is.
 type Conditions = BTreeMap<&'static str, Option<String>>;
 
-/// A condition that does not hold.
+/// A condition that is not met.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnmetCondition {
-    /// Condition.
+    /// Name of the condition.
     pub condition: &'static str,
-    /// Why it does not hold.
+    /// Why it is not met.
     pub reason: String,
 }
 
 impl Readiness {
-    /// Readiness under `conditions`, none of which holds yet.
+    /// Creates a readiness with `conditions`, none of which is met yet.
     #[must_use]
     pub fn new(conditions: &[&'static str], log: &Log) -> Self {
         let unmet = |name: &&'static str| (*name, Some("not met yet".to_owned()));
@@ -40,23 +40,23 @@
         }
     }
 
-    /// Notes that `condition` holds.
+    /// Marks `condition` as met.
     pub fn set_met(&self, condition: &'static str) {
         self.set(condition, None);
     }
 
-    /// Notes that `condition` does not hold.
+    /// Marks `condition` as not met.
     pub fn set_unmet(&self, condition: &'static str, reason: &str) {
         self.set(condition, Some(reason.to_owned()));
     }
 
-    /// Whether every condition holds.
+    /// Whether all conditions are met.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.conditions.borrow().values().all(Option::is_none)
     }
 
-    /// Conditions that don't hold.
+    /// Conditions that are not met.
     #[must_use]
     pub fn unmet(&self) -> Vec<UnmetCondition> {
         let conditions = self.conditions.borrow();
@@ -74,9 +74,9 @@
 
 impl Readiness {
     fn set(&self, condition: &'static str, reason: Option<String>) {
-        let before = self.is_ready();
+        let was_ready = self.is_ready();
         self.conditions.borrow_mut().insert(condition, reason);
-        match (before, self.is_ready()) {
+        match (was_ready, self.is_ready()) {
             (false, true) => self.log.emit(&events::READY, &[]),
             (true, false) => self.log_unmet(),
             _ => {}
--- a/crates/ops/src/settings/common.rs
+++ b/crates/ops/src/settings/common.rs
@@ -1,4 +1,4 @@
-//! Settings that every daemon has.
+//! Settings common to all daemons.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use super::{HumanDuration, Resolver, SettingSpec};
 use crate::{Level, LogFormat, LogOptions};
 
-/// Settings that every daemon has.
+/// Settings common to all daemons.
 #[derive(Clone, Debug)]
 pub struct CommonSettings {
-    /// This VM.
+    /// Name of this VM.
     pub vm: VmId,
     /// Data centre of this VM.
     pub centre: DataCentre,
     /// Region of this VM.
     pub region: RegionId,
-    /// Highest level logged.
+    /// Most verbose level that is logged.
     pub log_level: Level,
-    /// Form of a log line.
+    /// Format of a log line.
     pub log_format: LogFormat,
     /// Address of the admin listener.
     pub admin: SocketAddr,
-    /// Longest wait for open requests after the first signal.
+    /// Longest wait for requests in flight after the first stop signal.
     pub drain_limit: Duration,
 }
 
 impl CommonSettings {
-    /// Options of the log of `program`.
+    /// Log options for `program`.
     #[must_use]
     pub fn log_options(&self, program: &str) -> LogOptions {
         LogOptions {
--- a/crates/ops/src/settings/declare.rs
+++ b/crates/ops/src/settings/declare.rs
@@ -1,10 +1,10 @@
-//! The macro that declares a daemon's settings.
+//! The macro that declares the settings of a daemon.
 
-/// Declares a daemon's settings, one row each: help, name, type, default and unit.
+/// Declares the settings of a daemon, each with its help text, name, type, default and unit.
 ///
-/// A struct of the given name comes out, with the rows as fields beside `common`; read it by
-/// [`Settings`](crate::Settings). A row whose type can't be empty and whose default is `""` has to
-/// be given. The calling crate needs `argh` among its dependencies.
+/// Generates a struct of the given name with a field for each setting and the field `common`. Use the
+/// trait [`Settings`](crate::Settings) to read it. A setting with the default `""` is required, unless
+/// its type accepts an empty text. The calling crate must depend on `argh`.
 #[macro_export]
 macro_rules! settings {
     (
@@ -16,7 +16,7 @@
         $(#[doc = $about])+
         #[derive(Clone, Debug)]
         $vis struct $name {
-            /// Settings that every daemon has.
+            /// Settings common to all daemons.
             pub common: $crate::CommonSettings,
             $($(#[doc = $help])+ pub $field: $kind,)*
         }
@@ -51,16 +51,16 @@
                     /// region of this VM
                     #[argh(option)]
                     region: Option<String>,
-                    /// highest level logged
+                    /// most verbose level that is logged
                     #[argh(option)]
                     log_level: Option<String>,
-                    /// form of a log line
+                    /// format of a log line
                     #[argh(option)]
                     log_format: Option<String>,
                     /// address of the admin listener
                     #[argh(option)]
                     admin: Option<String>,
-                    /// longest wait for open requests after the first signal
+                    /// longest wait for requests in flight after the first stop signal
                     #[argh(option)]
                     drain_limit: Option<String>,
                     $($(#[doc = $help])+ #[argh(option)] $field: Option<String>,)*
--- a/crates/ops/src/settings/exit.rs
+++ b/crates/ops/src/settings/exit.rs
@@ -1,4 +1,4 @@
-//! Reading a daemon's settings, and the ways in which that ends the process.
+//! Reading the settings of a daemon, and the reasons to exit instead.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,20 +11,20 @@
 use super::{Resolver, SettingFault, SettingSpec, process_environment};
 use crate::{Log, LogOptions, events, field};
 
-/// Exit status after wrong settings.
+/// Exit status if a setting is invalid.
 const FAULT_STATUS: u8 = 2;
 
-/// Why a process ends before it starts.
+/// Reason why a process exits instead of starting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsExit {
-    /// Help was asked for.
+    /// Help was requested.
     Help(String),
-    /// Settings are wrong.
+    /// Settings are invalid.
     Faults(Vec<SettingFault>),
 }
 
 impl SettingsExit {
-    /// Prints help, or logs every fault, and gives the exit status.
+    /// Prints the help or logs all faults, and returns the exit status.
     #[must_use]
     pub fn report(&self, program: &str) -> ExitCode {
         match self {
@@ -51,27 +51,27 @@
     }
 }
 
-/// Settings of a daemon, as made by [`settings!`](crate::settings!).
+/// Settings of a daemon, as declared with [`settings!`](crate::settings!).
 pub trait Settings: Sized {
     /// Declared settings.
     fn specs() -> Vec<SettingSpec>;
 
-    /// Texts that `args` give, by name of the field.
+    /// Parses `args` into texts by field name.
     ///
     /// # Errors
-    /// `argh`'s, for help or a bad flag.
+    /// `EarlyExit` of `argh`, if help was requested or a flag is invalid.
     fn parse_flag(
         program: &str,
         args: &[&str],
     ) -> Result<BTreeMap<&'static str, String>, EarlyExit>;
 
-    /// Settings, if none has a fault.
+    /// Builds the settings, or returns `None` if one has a fault.
     fn resolve(resolver: &mut Resolver<'_>) -> Option<Self>;
 
-    /// Settings from `args` (without the program's name) over `environment` over defaults.
+    /// Reads the settings from `args` (without the program name), then `environment`, then the defaults.
     ///
     /// # Errors
-    /// [`SettingsExit`], with the help or with every fault.
+    /// [`SettingsExit`], with the help or with all faults.
     fn read(
         program: &str,
         args: &[&str],
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Settings of this process.
+    /// Reads the settings of this process.
     ///
     /// # Errors
-    /// [`SettingsExit`], with the help or with every fault.
+    /// [`SettingsExit`], with the help or with all faults.
     fn from_process(program: &str) -> Result<Self, SettingsExit> {
         let args: Vec<String> = std::env::args_os()
             .skip(1)
@@ -106,10 +106,10 @@
     }
 }
 
-/// Help with a table of units, environment names and defaults.
+/// Adds a table of units, environment variables and defaults to the help.
 fn with_environment(help: &str, specs: &[SettingSpec]) -> String {
     let mut text = format!(
-        "{}\n\nUnits, environment names and defaults; a flag goes before the environment:\n",
+        "{}\n\nUnits, environment variables and defaults; a flag overrides the environment:\n",
         help.trim_end()
     );
     for spec in specs {
--- a/crates/ops/src/settings/fault.rs
+++ b/crates/ops/src/settings/fault.rs
@@ -1,59 +1,59 @@
-//! What is wrong with a setting.
+//! Faults in settings.
 
 use snafu::Snafu;
 
-/// Where a setting came from.
+/// Where the value of a setting comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum SettingOrigin {
-    /// Its flag.
+    /// The flag.
     #[snafu(display("flag"))]
     Flag,
-    /// Its name in the environment.
+    /// The environment variable.
     #[snafu(display("environment"))]
     Environment,
-    /// Its default.
+    /// The default.
     #[snafu(display("default"))]
     Default,
 }
 
-/// A wrong setting.
+/// A fault in a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{flag} ({variable}): {kind}"))]
 pub struct SettingFault {
-    /// Flag.
+    /// Flag of the setting.
     pub flag: String,
-    /// Name in the environment.
+    /// Environment variable of the setting.
     pub variable: String,
-    /// What is wrong.
+    /// Kind of fault.
     pub kind: SettingFaultKind,
 }
 
-/// What is wrong with a setting.
+/// Kind of fault in a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SettingFaultKind {
-    /// Has no default and is not given.
+    /// The setting has no default and is not set.
     #[snafu(display("not set; expected {expected}"))]
     Missing {
-        /// Form wanted.
+        /// Expected format.
         expected: String,
     },
-    /// Given, but not in the form wanted.
+    /// The value does not have the expected format.
     #[snafu(display("{text:?} from the {origin} is not {expected}"))]
     Malformed {
-        /// Text given.
+        /// Text of the value.
         text: String,
-        /// Where from.
+        /// Where the value comes from.
         origin: SettingOrigin,
-        /// Form wanted.
+        /// Expected format.
         expected: String,
     },
-    /// Flag given twice.
+    /// The flag was given twice.
     #[snafu(display("flag given twice"))]
     Twice,
-    /// Not a flag of this program, or without its value.
+    /// The flag is unknown or has no value.
     #[snafu(display("{detail}"))]
     BadFlag {
-        /// Message of the flags' library.
+        /// Message of `argh`.
         detail: String,
     },
 }
--- a/crates/ops/src/settings/flags.rs
+++ b/crates/ops/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! Flags, scanned one by one, so that one bad flag hides no other.
+//! Command-line flags, parsed one at a time so that all invalid flags are reported.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use super::fault::{SettingFault, SettingFaultKind};
 use super::resolver::{flag_name, variable_name};
 
-/// Scanner of one flag with its value.
+/// Function that parses one flag with its value.
 pub(super) type ParseFlag = fn(&str, &[&str]) -> Result<BTreeMap<&'static str, String>, EarlyExit>;
 
-/// What the flags gave.
+/// Result of parsing all flags.
 #[derive(Default)]
 pub(super) struct ParsedFlags {
     pub(super) given: BTreeMap<&'static str, String>,
     pub(super) faults: Vec<SettingFault>,
-    /// Help text, if asked for.
+    /// Help text, if it was requested.
     pub(super) help: Option<String>,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Length of the first flag with its value, or `None` at the end.
+/// Number of arguments in the first flag with its value, or `None` if none are left.
 fn flag_length(args: &[&str]) -> Option<usize> {
     let first = args.first()?;
     let standalone = !first.starts_with("--") || first.contains('=') || *first == "--help";
@@ -60,7 +60,7 @@
     let detail = output.lines().next().unwrap_or("malformed").trim();
     SettingFault {
         flag: flag.into(),
-        variable: "no environment name".into(),
+        variable: "no environment variable".into(),
         kind: SettingFaultKind::BadFlag {
             detail: detail.into(),
         },
--- a/crates/ops/src/settings/mod.rs
+++ b/crates/ops/src/settings/mod.rs
@@ -1,8 +1,9 @@
-//! Settings: flag over environment over default, checked whole, every fault at once.
+//! Settings from flags, the environment and defaults, in this order of precedence. All faults are
+//! reported at once.
 //!
-//! [`settings!`](crate::settings!) takes one row a setting and makes a typed struct and its `argh`
-//! flags. `argh` knows no environment: the name there follows from the flag, `--drain-limit` being
-//! `PUMICECLEAT_DRAIN_LIMIT`, and [`Resolver`] chooses between the two and the default.
+//! [`settings!`](crate::settings!) generates a typed struct and its `argh` flags from a list of
+//! settings. `argh` does not read the environment, so [`Resolver`] does: the variable is derived from
+//! the flag, such as `PUMICECLEAT_DRAIN_LIMIT` from `--drain-limit`.
 
 mod common;
 mod declare;
--- a/crates/ops/src/settings/resolver.rs
+++ b/crates/ops/src/settings/resolver.rs
@@ -1,24 +1,24 @@
-//! The choice between flag, environment and default.
+//! Resolves each setting from its flag, environment variable or default.
 
 use std::collections::BTreeMap;
 
 use super::{SettingFault, SettingFaultKind, SettingOrigin, SettingValue};
 
-/// Start of every name in the environment.
+/// Prefix of all environment variables.
 const PREFIX: &str = "PUMICECLEAT_";
 
-/// A declared setting.
+/// Declaration of a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingSpec {
     /// Name of the field.
     pub name: &'static str,
-    /// Default, empty for none.
+    /// Default, or empty if there is none.
     pub default: &'static str,
-    /// Unit or form, for the help.
+    /// Unit or format, for the help.
     pub unit: &'static str,
 }
 
-/// Chooses and checks values, and collects every fault.
+/// Selects and parses the values of settings, and collects all faults.
 #[derive(Debug)]
 pub struct Resolver<'a> {
     specs: &'a [SettingSpec],
@@ -28,7 +28,7 @@
 }
 
 impl<'a> Resolver<'a> {
-    /// Resolver of `rows` over the flags given and the environment.
+    /// Creates a resolver of `specs` with the flags `given` and the environment.
     #[must_use]
     pub fn new(
         specs: &'a [SettingSpec],
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Value of the row `name`, or `None` once its fault is noted.
+    /// Parses the value of the setting `name`. Records a fault and returns `None` if it is invalid.
     pub fn value<T: SettingValue>(&mut self, name: &str) -> Option<T> {
         let (text, origin) = self.choose(name);
         let value = T::parse(text);
@@ -58,7 +58,7 @@
         value
     }
 
-    /// Faults so far.
+    /// Faults found so far.
     #[must_use]
     pub fn into_faults(self) -> Vec<SettingFault> {
         self.faults
@@ -96,17 +96,17 @@
     format!("{PREFIX}{}", name.to_uppercase())
 }
 
-/// Names of the process's environment that concern settings.
+/// Environment variables of this process that have the prefix of settings.
 ///
-/// A value that is not UTF-8 is kept with replacement characters, so that it shows up as a fault.
+/// A value that is not UTF-8 is kept with replacement characters, so that it is reported as a fault.
 #[must_use]
 pub fn process_environment() -> BTreeMap<String, String> {
     std::env::vars_os()
-        .map(|(name, text)| (lossy(&name), lossy(&text)))
+        .map(|(name, text)| (to_lossy_string(&name), to_lossy_string(&text)))
         .filter(|(name, _)| name.starts_with(PREFIX))
         .collect()
 }
 
-fn lossy(text: &std::ffi::OsStr) -> String {
+fn to_lossy_string(text: &std::ffi::OsStr) -> String {
     text.to_string_lossy().into_owned()
 }
--- a/crates/ops/src/settings/value.rs
+++ b/crates/ops/src/settings/value.rs
@@ -1,4 +1,4 @@
-//! Types of settings, and how each reads its text.
+//! Types of settings, and how they are parsed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 
 use crate::{Level, LogFormat};
 
-/// Type of a setting.
+/// Type that a setting can have.
 pub trait SettingValue: Sized {
-    /// Form wanted, for messages.
+    /// Description of the expected format, for messages.
     fn expected() -> String;
 
-    /// Value of `text`, or `None` if it is malformed.
+    /// Parses `text`; returns `None` if it is malformed.
     fn parse(text: &str) -> Option<Self>;
 }
 
-/// Span of time, such as `250ms`, `3s`, `1.5s`, `5m` or `1h`, in whole milliseconds.
+/// Duration such as `250ms`, `3s`, `1.5s`, `5m` or `1h`, in whole milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HumanDuration(pub Duration);
 
@@ -24,10 +24,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ByteSize(pub u64);
 
-/// Units of a span, milliseconds.
-const SPAN_UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1000), ("m", 60_000), ("h", 3_600_000)];
+/// Units of a duration, in milliseconds.
+const DURATION_UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1000), ("m", 60_000), ("h", 3_600_000)];
 
-/// Units of a size, bytes.
+/// Units of a size, in bytes.
 const SIZE_UNITS: [(&str, u64); 5] = [
     ("", 1),
     ("B", 1),
@@ -38,18 +38,18 @@
 
 impl SettingValue for HumanDuration {
     fn expected() -> String {
-        "a span like 250ms, 3s, 1.5s, 5m or 1h".into()
+        "a duration like 250ms, 3s, 1.5s, 5m or 1h".into()
     }
 
     fn parse(text: &str) -> Option<Self> {
-        if let Some(ms) = parse_unit(text, &SPAN_UNITS) {
+        if let Some(ms) = parse_unit(text, &DURATION_UNITS) {
             return Some(Self(Duration::from_millis(ms)));
         }
         let unit = text.find(|c: char| c.is_ascii_alphabetic())?;
         let (number, name) = text.split_at(unit);
-        let (_, ms) = SPAN_UNITS.iter().find(|(unit, _)| *unit == name)?;
-        let span = Duration::from_millis(*ms).as_secs_f64() * parse_decimal(number)?;
-        let ms = Duration::try_from_secs_f64(span).ok()?.as_secs_f64() * 1_000.0;
+        let (_, ms) = DURATION_UNITS.iter().find(|(unit, _)| *unit == name)?;
+        let seconds = Duration::from_millis(*ms).as_secs_f64() * parse_decimal(number)?;
+        let ms = Duration::try_from_secs_f64(seconds).ok()?.as_secs_f64() * 1_000.0;
         Duration::try_from_secs_f64(ms.round() / 1_000.0)
             .ok()
             .map(Self)
@@ -110,7 +110,7 @@
     }
 }
 
-/// A value that may be left empty.
+/// An optional value; an empty text is `None`.
 impl<T: SettingValue> SettingValue for Option<T> {
     fn expected() -> String {
         format!("{}, or empty", T::expected())
@@ -124,10 +124,10 @@
     }
 }
 
-/// Values parted by commas.
+/// Values separated by commas.
 impl<T: SettingValue> SettingValue for Vec<T> {
     fn expected() -> String {
-        format!("any number, parted by commas, of: {}", T::expected())
+        format!("any number, separated by commas, of: {}", T::expected())
     }
 
     fn parse(text: &str) -> Option<Self> {
@@ -156,7 +156,7 @@
 
 impl SettingValue for f64 {
     fn expected() -> String {
-        "a number from 0 on like 54 or 38.25".into()
+        "a non-negative number like 54 or 38.25".into()
     }
 
     fn parse(text: &str) -> Option<Self> {
@@ -186,16 +186,16 @@
     !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c.is_control())
 }
 
-/// Number from 0 on, written in digits with at most one point between them.
+/// Parses a non-negative number: digits, with at most one decimal point between them.
 fn parse_decimal(text: &str) -> Option<f64> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-    let digits = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_digit());
-    (digits(whole) && digits(part)).then(|| text.parse().ok())?
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    let is_digits = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_digit());
+    (is_digits(integer) && is_digits(fraction)).then(|| text.parse().ok())?
 }
 
 fn parse_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
-    let digits = text.find(|c: char| !c.is_ascii_digit());
-    let (number, name) = text.split_at(digits.unwrap_or(text.len()));
+    let unit_start = text.find(|c: char| !c.is_ascii_digit());
+    let (number, name) = text.split_at(unit_start.unwrap_or(text.len()));
     let (_, factor) = units.iter().find(|(unit, _)| *unit == name)?;
     number.parse::<u64>().ok()?.checked_mul(*factor)
 }
--- a/crates/ops/src/stop/drain.rs
+++ b/crates/ops/src/stop/drain.rs
@@ -1,4 +1,4 @@
-//! Requests under way, and the wait for their end.
+//! Tracking requests in flight, and waiting until they have ended.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use super::Stop;
 use crate::{Log, events, field};
 
-/// Requests under way. Clones share them.
+/// Tracks requests in flight. Clones share the state.
 #[derive(Clone, Debug, Default)]
 pub struct Drain {
     state: Rc<RefCell<State>>,
@@ -23,71 +23,71 @@
 
 #[derive(Debug, Default)]
 struct State {
-    next: u64,
+    next_id: u64,
     open: BTreeMap<u64, RequestId>,
 }
 
-/// Keeps its request under way until dropped.
+/// Tracks its request as in flight until dropped.
 #[derive(Debug)]
 pub struct DrainGuard {
     state: Rc<RefCell<State>>,
-    number: u64,
-    // Dropped after the request is taken out, so that who waits for zero sees none open.
+    id: u64,
+    // Dropped after `drop` has removed the request, so that no request is listed once the count is 0.
     _count: TallyGuard,
 }
 
 /// How a drain ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DrainOutcome {
-    /// Every request has ended.
+    /// All requests have ended.
     Finished,
-    /// A second signal ended it with these requests open.
+    /// A second signal ended it with these requests in flight.
     Interrupted(Vec<RequestId>),
-    /// The limit ended it with these requests open.
+    /// The time limit ended it with these requests in flight.
     TimedOut(Vec<RequestId>),
 }
 
 impl Drain {
-    /// No request under way.
+    /// Creates a drain without requests.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts `request` as under way until the guard is dropped.
+    /// Tracks `request` as in flight until the guard is dropped.
     #[must_use]
     pub fn track(&self, request: &RequestId) -> DrainGuard {
         let mut state = self.state.borrow_mut();
-        let number = state.next;
-        state.next += 1;
-        state.open.insert(number, request.clone());
+        let id = state.next_id;
+        state.next_id += 1;
+        state.open.insert(id, request.clone());
         drop(state);
         DrainGuard {
             state: Rc::clone(&self.state),
-            number,
+            id,
             _count: self.tally.enter(),
         }
     }
 
-    /// Requests under way.
+    /// Requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> Vec<RequestId> {
         self.state.borrow().open.values().cloned().collect()
     }
 
-    /// Number of requests under way.
+    /// Number of requests in flight.
     #[must_use]
     pub fn count(&self) -> usize {
         self.tally.count()
     }
 
-    /// Waits until no request is under way.
+    /// Waits until no request is in flight.
     pub async fn wait_idle(&self) {
         self.tally.zero().await;
     }
 
-    /// Waits until no request is under way, a second signal comes or `limit` passes, and logs how
-    /// it went, with each request cut.
+    /// Waits until no request is in flight, a second signal arrives or `limit` has passed. Logs the
+    /// outcome, and each request that is aborted.
     pub async fn finish(
         &self,
         stop: &Stop,
@@ -95,25 +95,25 @@
         timer: &Timer,
         log: &Log,
     ) -> DrainOutcome {
-        let from = timer.now();
+        let started_at = timer.now();
         let fields = [
             field("open", self.count()),
-            field("limit_ms", saturating_ms(limit)),
+            field("limit_ms", to_millis(limit)),
         ];
         log.emit(&events::DRAIN_STARTED, &fields);
-        let end = self.wait(stop, timer.sleep(limit)).await;
-        match &end {
+        let outcome = self.wait(stop, timer.sleep(limit)).await;
+        match &outcome {
             DrainOutcome::Finished => {
-                let took = timer.now().since(from).0;
-                log.emit(&events::DRAIN_FINISHED, &[field("took_ms", took)]);
+                let took_ms = timer.now().since(started_at).0;
+                log.emit(&events::DRAIN_FINISHED, &[field("took_ms", took_ms)]);
             }
-            DrainOutcome::Interrupted(cut) => {
-                log.emit(&events::SECOND_SIGNAL, &[field("open", cut.len())]);
-                log_cut(log, cut, "second signal");
+            DrainOutcome::Interrupted(aborted) => {
+                log.emit(&events::SECOND_SIGNAL, &[field("open", aborted.len())]);
+                log_aborted(log, aborted, "second signal");
             }
-            DrainOutcome::TimedOut(cut) => log_cut(log, cut, "drain limit"),
+            DrainOutcome::TimedOut(aborted) => log_aborted(log, aborted, "drain limit"),
         }
-        end
+        outcome
     }
 
     async fn wait(&self, stop: &Stop, limit: impl Future<Output = ()>) -> DrainOutcome {
@@ -129,29 +129,29 @@
 }
 
 impl DrainOutcome {
-    /// Requests that the end cut.
+    /// Requests still in flight when the drain ended.
     #[must_use]
     pub fn aborted(&self) -> &[RequestId] {
         match self {
             Self::Finished => &[],
-            Self::Interrupted(cut) | Self::TimedOut(cut) => cut,
+            Self::Interrupted(aborted) | Self::TimedOut(aborted) => aborted,
         }
     }
 }
 
 impl Drop for DrainGuard {
     fn drop(&mut self) {
-        self.state.borrow_mut().open.remove(&self.number);
+        self.state.borrow_mut().open.remove(&self.id);
     }
 }
 
-fn log_cut(log: &Log, cut: &[RequestId], cause: &str) {
-    for request in cut {
+fn log_aborted(log: &Log, aborted: &[RequestId], cause: &str) {
+    for request in aborted {
         let fields = [field("request", request), field("cause", cause)];
         log.emit(&events::DRAIN_CUT, &fields);
     }
 }
 
-fn saturating_ms(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn to_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/ops/src/stop/mod.rs
+++ b/crates/ops/src/stop/mod.rs
@@ -1,7 +1,7 @@
-//! Graceful stop: a first signal asks for it, a second or a limit ends it.
+//! Graceful shutdown, requested by a signal, and cut short by a second signal or a time limit.
 //!
-//! On the first signal a daemon becomes not ready, refuses new work as not run, stops its
-//! listeners, and waits by [`Drain::finish`] until the requests under way have ended.
+//! On the first signal a daemon becomes not ready, rejects new requests without running them, stops
+//! its listeners, and waits with [`Drain::finish`] until the requests in flight have ended.
 
 mod drain;
 mod reload;
--- a/crates/ops/src/stop/reload.rs
+++ b/crates/ops/src/stop/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP, by which a process hears that its settings changed.
+//! SIGHUP, which tells a process that its settings changed.
 
 use std::os::unix::net::UnixStream as StdStream;
 
@@ -11,19 +11,19 @@
 use super::StopError;
 use super::signal::StopSnafu;
 
-/// Signals read at a time; more say nothing new.
+/// Most signals read at once. Several pending signals mean the same as one.
 const READ_BYTES: usize = 16;
 
-/// Hears of changed settings. Without it the signal would end the process.
+/// Receives SIGHUP, which would end the process if it were not handled.
 pub struct Reload {
     pipe: UnixStream,
 }
 
 impl Reload {
-    /// Starts to listen; must be called on the loop.
+    /// Starts to listen; must be called on the event loop.
     ///
     /// # Errors
-    /// [`StopError`] if the system gives no pipe or refuses a handler.
+    /// [`StopError`] if the pipe can't be created or the handler can't be registered.
     pub fn listen() -> Result<Self, StopError> {
         let (read, write) = StdStream::pair().context(StopSnafu)?;
         pipe::register(SIGHUP, write).context(StopSnafu)?;
@@ -32,7 +32,7 @@
         Ok(Self { pipe })
     }
 
-    /// Waits for the next signal; `false` if there will be none.
+    /// Waits for the next signal. Returns `false` if none can arrive any more.
     pub async fn next(&mut self) -> bool {
         let (read, _) = self.pipe.read(vec![0; READ_BYTES]).await;
         matches!(read, Ok(1..))
--- a/crates/ops/src/stop/signal.rs
+++ b/crates/ops/src/stop/signal.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGINT, read from a pipe in the loop.
+//! SIGTERM and SIGINT, read from a pipe on the event loop.
 
 use std::convert::Infallible;
 use std::io;
@@ -11,98 +11,98 @@
 use signal_hook::low_level::pipe;
 use snafu::{ResultExt, Snafu};
 
-/// Bytes read from the pipe at a time; each signal writes one.
+/// Most bytes read from the pipe at once; each signal writes one.
 const READ_BYTES: usize = 16;
 
-/// Signals can't be listened for.
+/// Signal handlers could not be set up.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)), display("step listen for signals: {source}"))]
 pub struct StopError {
     source: io::Error,
 }
 
-/// Requests to stop, by signal or by a part of the program. Clones see the same.
+/// Stop requests, by signal or by the program itself. Clones share the state.
 #[derive(Clone, Debug)]
 pub struct Stop {
-    first: Gate,
-    second: Gate,
+    first: OneShotEvent,
+    second: OneShotEvent,
 }
 
-/// Opens once, for all who wait.
+/// Event that happens once and wakes all waiters.
 #[derive(Clone, Debug)]
-struct Gate {
+struct OneShotEvent {
     sender: Sender<Infallible>,
     receiver: Receiver<Infallible>,
 }
 
 impl Stop {
-    /// Stop that signals reach; must be called on the loop.
+    /// Creates a stop that signals request; must be called on the event loop.
     ///
     /// # Errors
-    /// [`StopError`] if the system gives no pipe or refuses a handler.
+    /// [`StopError`] if the pipe can't be created or a handler can't be registered.
     pub fn listen() -> Result<Self, StopError> {
         let stop = Self::without_signals();
         let pipe = signal_pipe().context(StopSnafu)?;
-        monoio::spawn(watch(stop.clone(), pipe));
+        monoio::spawn(read_signals(stop.clone(), pipe));
         Ok(stop)
     }
 
-    /// Stop that no signal reaches, only [`request`](Self::request).
+    /// Creates a stop that signals don't request, only [`request`](Self::request).
     #[must_use]
     pub fn without_signals() -> Self {
         Self {
-            first: Gate::new(),
-            second: Gate::new(),
+            first: OneShotEvent::new(),
+            second: OneShotEvent::new(),
         }
     }
 
-    /// Counts as a signal: the first asks for a stop, the second ends it.
+    /// Acts like a signal: the first requests a stop, the second interrupts it.
     pub fn request(&self) {
-        if self.first.is_open() {
-            self.second.open();
+        if self.first.is_set() {
+            self.second.set();
         } else {
-            self.first.open();
+            self.first.set();
         }
     }
 
-    /// Asks for a stop once: does nothing if one is under way.
+    /// Requests a stop; does nothing if one was already requested.
     pub fn request_once(&self) {
-        self.first.open();
+        self.first.set();
     }
 
-    /// Whether a stop was asked for.
+    /// Whether a stop was requested.
     #[must_use]
     pub fn is_requested(&self) -> bool {
-        self.first.is_open()
+        self.first.is_set()
     }
 
-    /// Waits until a stop is asked for.
+    /// Waits until a stop is requested.
     pub async fn requested(&self) {
         self.first.wait().await;
     }
 
-    /// Waits until a stop is asked for again.
+    /// Waits until a stop is requested a second time.
     pub async fn requested_again(&self) {
         self.second.wait().await;
     }
 }
 
-impl Gate {
+impl OneShotEvent {
     fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
         Self { sender, receiver }
     }
 
-    fn open(&self) {
+    fn set(&self) {
         self.sender.close();
     }
 
-    fn is_open(&self) -> bool {
+    fn is_set(&self) -> bool {
         self.sender.is_closed()
     }
 
     async fn wait(&self) {
-        // Nothing is ever sent, so that it ends by the close only.
+        // Nothing is ever sent, so this returns only once the channel is closed.
         let _ = self.receiver.recv().await;
     }
 }
@@ -115,11 +115,11 @@
     UnixStream::from_std(read)
 }
 
-async fn watch(stop: Stop, mut pipe: UnixStream) {
+async fn read_signals(stop: Stop, mut pipe: UnixStream) {
     let mut buffer = vec![0; READ_BYTES];
     loop {
-        let (read, back) = pipe.read(buffer).await;
-        buffer = back;
+        let (read, returned) = pipe.read(buffer).await;
+        buffer = returned;
         let Ok(signals @ 1..) = read else {
             return;
         };
