--- a/crates/ops/examples/daemon.rs
+++ b/crates/ops/examples/daemon.rs
@@ -1,4 +1,5 @@
-//! A daemon with every part of this crate: it streams `ticks` pieces to each request.
+//! A daemon that uses all parts of this crate. It answers each request with a stream of `ticks`
+//! chunks.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,52 +21,52 @@
 use serde_json::{Value, json};
 
 settings! {
-    /// Streams pieces to each request.
+    /// Answers each request with a stream of chunks.
     pub struct TickSettings {
         /// address for callers
         listen: SocketAddr = "127.0.0.1:0", "ip:port";
-        /// pieces of an answer
+        /// chunks in a response
         ticks: u32 = "10", "pieces";
-        /// time between pieces
+        /// time between chunks
         pace: HumanDuration = "20ms", "span";
     }
 }
 
 const PROGRAM: &str = "ticker";
 
-/// Longest wait for the last bytes of answers to leave.
-const CLOSE_SPAN: Duration = Duration::from_secs(1);
+/// Longest wait until the last bytes of the responses are sent.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Ticker {
     settings: TickSettings,
     timer: Timer,
     drain: Drain,
     stop: Stop,
-    number: Cell<u64>,
+    last_request: Cell<u64>,
     requests: Counter,
 }
 
 impl Handler for Ticker {
     fn handle(&self, _: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
         if self.stop.is_requested() {
-            let refused = json_reply(503, &json!({ "code": "leaving", "ran": "no" }));
-            return Box::pin(std::future::ready(refused));
+            let rejection = json_reply(503, &json!({ "code": "leaving", "ran": "no" }));
+            return Box::pin(std::future::ready(rejection));
         }
         self.requests.inc();
-        self.number.set(self.number.get() + 1);
-        let request = format!("request-{}", self.number.get()).into();
+        self.last_request.set(self.last_request.get() + 1);
+        let request = format!("request-{}", self.last_request.get()).into();
         let guard = self.drain.track(&request);
         let timer = self.timer.clone();
         let TickSettings { ticks, pace, .. } = self.settings;
-        let pieces = stream::unfold((0, guard), move |(n, guard)| {
+        let chunks = stream::unfold((0, guard), move |(n, guard)| {
             let timer = timer.clone();
             async move {
                 timer.sleep(pace.0).await;
-                let piece = Bytes::from(format!("{n};"));
-                (n < ticks).then_some((Ok(piece), (n + 1, guard)))
+                let chunk = Bytes::from(format!("{n};"));
+                (n < ticks).then_some((Ok(chunk), (n + 1, guard)))
             }
         });
-        let reply = Reply::new(Body::Stream(Box::pin(pieces)));
+        let reply = Reply::new(Body::Stream(Box::pin(chunks)));
         Box::pin(std::future::ready(reply))
     }
 }
@@ -104,14 +105,14 @@
         timer: timer.clone(),
         drain: drain.clone(),
         stop: stop.clone(),
-        number: Cell::new(0),
+        last_request: Cell::new(0),
         requests: metrics.counter("ticker_requests", "Requests"),
     });
     let admin_handler = Rc::new(Admin::new(&metrics, &readiness, ticker.clone()));
-    let Some(_admin) = start("admin", admin, admin_handler, &timer, &log) else {
+    let Some(_admin) = start_server("admin", admin, admin_handler, &timer, &log) else {
         return ExitCode::FAILURE;
     };
-    let Some(callers) = start("callers", listen, ticker, &timer, &log) else {
+    let Some(callers) = start_server("callers", listen, ticker, &timer, &log) else {
         return ExitCode::FAILURE;
     };
     readiness.set_met("listening");
@@ -119,18 +120,18 @@
     stop.requested().await;
     log.emit(&events::STOP_ASKED, &[field("source", "signal")]);
     readiness.set_unmet("listening", "stopping");
-    let end = drain.finish(&stop, limit, &timer, &log).await;
+    let outcome = drain.finish(&stop, limit, &timer, &log).await;
     callers.stop();
-    // The last bytes of what has ended are still on their way to the sockets.
-    let _ = timer.within(CLOSE_SPAN, callers.closed()).await;
-    log.emit_and_flush(&events::STOPPED, &[field("cut", end.aborted().len())]);
-    match end {
+    // The last bytes of finished responses may not be written to the sockets yet.
+    let _ = timer.within(CLOSE_TIMEOUT, callers.closed()).await;
+    log.emit_and_flush(&events::STOPPED, &[field("cut", outcome.aborted().len())]);
+    match outcome {
         DrainOutcome::Finished => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
 
-fn start(
+fn start_server(
     purpose: &str,
     address: SocketAddr,
     handler: Rc<dyn Handler>,
@@ -146,11 +147,11 @@
             return None;
         }
     };
-    let bound = listener.local_addr().unwrap_or(address);
-    let fields = [field("purpose", purpose), field("address", &bound)];
+    let bound_address = listener.local_addr().unwrap_or(address);
+    let fields = [field("purpose", purpose), field("address", &bound_address)];
     log.emit(&events::LISTENING, &fields);
     let server = Server::new_ext(ServerOptions::default(), handler, timer);
-    let accepting = server.clone();
-    monoio::spawn(async move { accepting.serve(listener).await });
+    let acceptor = server.clone();
+    monoio::spawn(async move { acceptor.serve(listener).await });
     Some(server)
 }
--- a/crates/ops/src/log/field.rs
+++ b/crates/ops/src/log/field.rs
@@ -13,17 +13,17 @@
 #[derive(Clone, Copy)]
 pub enum FieldValue<'a> {
     /// Unsigned integer.
-    Unsigned(u64),
+    Count(u64),
     /// Signed integer.
     Signed(i64),
     /// Floating-point number; JSON has `null` for one that is not finite.
-    Float(f64),
+    Real(f64),
     /// Boolean.
-    Bool(bool),
+    Flag(bool),
     /// Text.
     Text(&'a str),
     /// Any value that implements `Display`.
-    Display(&'a dyn Display),
+    Shown(&'a dyn Display),
 }
 
 /// Creates a field.
@@ -45,19 +45,19 @@
 }
 
 from_number! {
-    u8 => Unsigned,
-    u16 => Unsigned,
-    u32 => Unsigned,
-    u64 => Unsigned,
+    u8 => Count,
+    u16 => Count,
+    u32 => Count,
+    u64 => Count,
     i32 => Signed,
     i64 => Signed,
-    f64 => Float,
-    bool => Bool,
+    f64 => Real,
+    bool => Flag,
 }
 
 impl From<usize> for FieldValue<'_> {
     fn from(n: usize) -> Self {
-        Self::Unsigned(n as u64)
+        Self::Count(n as u64)
     }
 }
 
@@ -69,6 +69,6 @@
 
 impl<'a, T: Display> From<&'a T> for FieldValue<'a> {
     fn from(value: &'a T) -> Self {
-        Self::Display(value)
+        Self::Shown(value)
     }
 }
--- a/crates/ops/src/log/format.rs
+++ b/crates/ops/src/log/format.rs
@@ -73,11 +73,11 @@
         write!(line, " {}=", field.name)?;
         match field.value {
             FieldValue::Text(text) => write_text(line, text)?,
-            FieldValue::Display(value) => write_text(line, &to_text(value)?)?,
-            FieldValue::Unsigned(n) => write!(line, "{n}")?,
+            FieldValue::Shown(value) => write_text(line, &to_text(value)?)?,
+            FieldValue::Count(n) => write!(line, "{n}")?,
             FieldValue::Signed(n) => write!(line, "{n}")?,
-            FieldValue::Float(n) => write!(line, "{n}")?,
-            FieldValue::Bool(b) => write!(line, "{b}")?,
+            FieldValue::Real(n) => write!(line, "{n}")?,
+            FieldValue::Flag(b) => write!(line, "{b}")?,
         }
     }
     Ok(())
@@ -113,12 +113,12 @@
         write!(line, "{comma}{}:", quote(field.name))?;
         match field.value {
             FieldValue::Text(text) => line.write_str(&quote(truncate(text)))?,
-            FieldValue::Display(value) => line.write_str(&quote(truncate(&to_text(value)?)))?,
-            FieldValue::Unsigned(n) => write!(line, "{n}")?,
+            FieldValue::Shown(value) => line.write_str(&quote(truncate(&to_text(value)?)))?,
+            FieldValue::Count(n) => write!(line, "{n}")?,
             FieldValue::Signed(n) => write!(line, "{n}")?,
-            FieldValue::Float(n) if n.is_finite() => write!(line, "{n}")?,
-            FieldValue::Float(_) => line.write_str("null")?,
-            FieldValue::Bool(b) => write!(line, "{b}")?,
+            FieldValue::Real(n) if n.is_finite() => write!(line, "{n}")?,
+            FieldValue::Real(_) => line.write_str("null")?,
+            FieldValue::Flag(b) => write!(line, "{b}")?,
         }
     }
     line.write_str("}")
--- a/crates/ops/src/settings/declare.rs
+++ b/crates/ops/src/settings/declare.rs
@@ -66,7 +66,7 @@
                     $($(#[doc = $help])+ #[argh(option)] $field: Option<String>,)*
                 }
                 let flags = <Flags as $crate::argh::FromArgs>::from_args(&[program], args)?;
-                let given = [
+                let values = [
                     ("vm", flags.vm),
                     ("data_centre", flags.data_centre),
                     ("region", flags.region),
@@ -76,8 +76,8 @@
                     ("drain_limit", flags.drain_limit),
                     $((stringify!($field), flags.$field),)*
                 ];
-                let given = given.into_iter().filter_map(|(name, text)| Some((name, text?)));
-                Ok(given.collect())
+                let values = values.into_iter().filter_map(|(name, text)| Some((name, text?)));
+                Ok(values.collect())
             }
 
             fn resolve(resolver: &mut $crate::Resolver<'_>) -> ::std::option::Option<Self> {
--- a/crates/ops/src/settings/exit.rs
+++ b/crates/ops/src/settings/exit.rs
@@ -83,7 +83,7 @@
             return Err(SettingsExit::Help(with_environment(&help, &specs)));
         }
         let mut faults = parsed.faults;
-        let mut resolver = Resolver::new(&specs, &parsed.given, environment);
+        let mut resolver = Resolver::new(&specs, &parsed.values, environment);
         let settings = Self::resolve(&mut resolver);
         faults.extend(resolver.into_faults());
         match settings {
--- a/crates/ops/src/settings/flags.rs
+++ b/crates/ops/src/settings/flags.rs
@@ -13,7 +13,7 @@
 /// Result of parsing all flags.
 #[derive(Default)]
 pub(super) struct ParsedFlags {
-    pub(super) given: BTreeMap<&'static str, String>,
+    pub(super) values: BTreeMap<&'static str, String>,
     pub(super) faults: Vec<SettingFault>,
     /// Help text, if it was requested.
     pub(super) help: Option<String>,
@@ -26,7 +26,7 @@
         let (flag, remaining) = unparsed.split_at(length);
         unparsed = remaining;
         match parse_flag(program, flag) {
-            Ok(given) => parsed.add(given),
+            Ok(values) => parsed.add(values),
             Err(exit) if exit.status.is_ok() => parsed.help = Some(exit.output),
             Err(exit) => parsed.faults.push(bad_flag(flag[0], &exit.output)),
         }
@@ -35,9 +35,9 @@
 }
 
 impl ParsedFlags {
-    fn add(&mut self, given: BTreeMap<&'static str, String>) {
-        for (name, text) in given {
-            if self.given.insert(name, text).is_some() {
+    fn add(&mut self, values: BTreeMap<&'static str, String>) {
+        for (name, text) in values {
+            if self.values.insert(name, text).is_some() {
                 self.faults.push(SettingFault {
                     flag: flag_name(name),
                     variable: variable_name(name),
--- a/crates/ops/src/settings/resolver.rs
+++ b/crates/ops/src/settings/resolver.rs
@@ -22,22 +22,22 @@
 #[derive(Debug)]
 pub struct Resolver<'a> {
     specs: &'a [SettingSpec],
-    given: &'a BTreeMap<&'static str, String>,
+    flag_values: &'a BTreeMap<&'static str, String>,
     environment: &'a BTreeMap<String, String>,
     faults: Vec<SettingFault>,
 }
 
 impl<'a> Resolver<'a> {
-    /// Creates a resolver of `specs` with the flags `given` and the environment.
+    /// Creates a resolver of `specs` with the values from flags and the environment.
     #[must_use]
     pub fn new(
         specs: &'a [SettingSpec],
-        given: &'a BTreeMap<&'static str, String>,
+        flag_values: &'a BTreeMap<&'static str, String>,
         environment: &'a BTreeMap<String, String>,
     ) -> Self {
         Self {
             specs,
-            given,
+            flag_values,
             environment,
             faults: Vec::new(),
         }
@@ -65,7 +65,7 @@
     }
 
     fn choose(&self, name: &str) -> (&'a str, SettingOrigin) {
-        if let Some(text) = self.given.get(name) {
+        if let Some(text) = self.flag_values.get(name) {
             return (text, SettingOrigin::Flag);
         }
         if let Some(text) = self.environment.get(&variable_name(name)) {
--- a/crates/ops/tests/admin.rs
+++ b/crates/ops/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener over HTTP.
+//! Tests of the admin listener over HTTP.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use pumicecleat_ops::{Admin, Dump, Log, LogOptions, Metrics, Readiness};
 use serde_json::{Value, json};
 
-const SPAN: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 struct State;
 
@@ -22,7 +22,7 @@
     method: &'static str,
     path: &'static str,
     status: u16,
-    /// Parts of the body.
+    /// Texts that the body must contain.
     parts: &'static [&'static str],
 }
 
@@ -70,7 +70,7 @@
     case("DELETE", "/healthz", 405, &["only GET"]),
 ];
 
-fn metrics() -> Metrics {
+fn build_metrics() -> Metrics {
     let metrics = Metrics::new();
     metrics.counter("loads", "Loads").inc_by(3);
     let labels = vec![("kind", "stream")];
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn each_path_answers_as_documented() {
+fn each_path_responds_as_documented() {
     run(async {
         let timer = Timer::start();
         let log = Log::to_writer(&LogOptions::default(), std::io::sink());
@@ -90,7 +90,7 @@
         readiness.set_met("listening");
         assert!(readiness.is_ready());
         readiness.set_unmet("config", "log is down");
-        let admin = Rc::new(Admin::new(&metrics(), &readiness, Rc::new(State)));
+        let admin = Rc::new(Admin::new(&build_metrics(), &readiness, Rc::new(State)));
         let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let server = Server::new_ext(ServerOptions::default(), admin, &timer);
@@ -102,9 +102,9 @@
                 .uri(case.path)
                 .body(Bytes::new())
                 .unwrap();
-            let mut response = client.send(&address, request, SPAN).await.unwrap();
+            let mut response = client.send(&address, request, TIMEOUT).await.unwrap();
             assert_eq!(response.status(), case.status, "{}", case.path);
-            let body = response.read(1 << 20, SPAN).await.unwrap();
+            let body = response.read(1 << 20, TIMEOUT).await.unwrap();
             let body = String::from_utf8(body).unwrap();
             for part in case.parts {
                 assert!(body.contains(part), "{}: {part} not in {body}", case.path);
--- a/crates/ops/tests/events.rs
+++ b/crates/ops/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue in code against the page for operators.
+//! Checks that the event definitions match the page for operators.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 
 const PAGE: &str = include_str!("../../../docs/EVENTS.md");
 
-/// Cells of the page's rows, by number of the event.
+/// Cells of the table rows in the page, by event number.
 fn page_rows() -> BTreeMap<&'static str, Vec<&'static str>> {
     let rows: Vec<Vec<&str>> = PAGE
         .lines()
@@ -15,12 +15,16 @@
         .collect();
     let count = rows.len();
     let rows: BTreeMap<_, _> = rows.into_iter().map(|cells| (cells[0], cells)).collect();
-    assert_eq!(rows.len(), count, "a number stands twice in the page");
+    assert_eq!(
+        rows.len(),
+        count,
+        "an event number occurs twice in the page"
+    );
     rows
 }
 
 #[test]
-fn page_and_catalogue_hold_the_same_rows() {
+fn page_and_code_list_the_same_events() {
     let mut page = page_rows();
     for event in events::all() {
         let cells = page.remove(event.code);
@@ -31,16 +35,21 @@
             fields => fields.join(", "),
         };
         let name = format!("`{}`", event.name);
-        let wanted = [event.code, &name, event.level.name(), &fields];
-        assert_eq!(cells[..4], wanted);
-        assert_eq!(cells.len(), 6, "{}: meaning and action wanted", event.code);
+        let expected = [event.code, &name, event.level.name(), &fields];
+        assert_eq!(cells[..4], expected);
+        assert_eq!(
+            cells.len(),
+            6,
+            "{}: meaning or action is missing",
+            event.code
+        );
         assert!(cells.iter().all(|c| !c.is_empty()), "{}", event.code);
     }
-    assert!(page.is_empty(), "not in the catalogue: {:?}", page.keys());
+    assert!(page.is_empty(), "not in the code: {:?}", page.keys());
 }
 
 #[test]
-fn numbers_rise_and_names_are_unique() {
+fn numbers_are_sorted_and_names_are_unique() {
     let codes: Vec<&str> = events::all().map(|e| e.code).collect();
     assert!(codes.is_sorted_by(|a, b| a < b), "{codes:?}");
     let names: BTreeSet<&str> = events::all().map(|e| e.name).collect();
--- a/crates/ops/tests/log.rs
+++ b/crates/ops/tests/log.rs
@@ -1,4 +1,4 @@
-//! Lines in both forms, levels, and a writer that stands still.
+//! Tests of both line formats, levels, the rate limit and a blocked writer.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -8,12 +8,12 @@
 use pumicecleat_ops::{Event, Field, Level, Log, LogFormat, LogOptions, events, field};
 use serde_json::{Value, json};
 
-const SPAN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Shared {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -24,10 +24,10 @@
     }
 }
 
-/// Takes nothing until its sender is dropped.
-struct Stuck(Receiver<()>);
+/// Blocks each write until the sender is dropped.
+struct BlockedWriter(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -38,8 +38,8 @@
     }
 }
 
-fn lines(format: LogFormat, level: Level, emit: impl Fn(&Log)) -> Vec<String> {
-    let target = Shared::default();
+fn emitted_lines(format: LogFormat, level: Level, emit: impl Fn(&Log)) -> Vec<String> {
+    let target = SharedBuffer::default();
     let options = LogOptions {
         level,
         format,
@@ -48,7 +48,7 @@
     };
     let log = Log::to_writer(&options, target.clone());
     emit(&log);
-    assert!(log.flush(SPAN));
+    assert!(log.flush(TIMEOUT));
     let bytes = target.0.lock().unwrap().clone();
     let text = String::from_utf8(bytes).unwrap();
     text.lines().map(str::to_owned).collect()
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn lines_hold_number_name_and_fields_in_both_forms() {
+fn lines_contain_number_name_and_fields_in_both_formats() {
     let address = "127.0.0.1:9".parse::<std::net::SocketAddr>().unwrap();
     let long = "é".repeat(2000);
-    let cut = "é".repeat(512);
+    let truncated = "é".repeat(512);
     let cases = [
         Case {
             event: &events::LISTENING,
@@ -102,10 +102,10 @@
     ];
     for case in &cases {
         let emit = |log: &Log| log.emit(case.event, case.fields);
-        let text = lines(LogFormat::Text, Level::Info, emit);
+        let text = emitted_lines(LogFormat::Text, Level::Info, emit);
         let (_time, rest) = text[0].split_once(' ').unwrap();
         assert_eq!(rest, case.text);
-        let line = lines(LogFormat::Json, Level::Info, emit);
+        let line = emitted_lines(LogFormat::Json, Level::Info, emit);
         assert_eq!((text.len(), line.len()), (1, 1));
         let value: Value = serde_json::from_str(&line[0]).unwrap();
         assert_eq!(value["fields"], case.json);
@@ -113,7 +113,10 @@
         assert_eq!(value["origin"], "side/vm-1");
     }
     let emit = |log: &Log| log.emit(&events::UNLOADED, &[field("lora", &long)]);
-    assert!(lines(LogFormat::Text, Level::Info, emit)[0].ends_with(&format!("lora={cut}")));
+    assert!(
+        emitted_lines(LogFormat::Text, Level::Info, emit)[0]
+            .ends_with(&format!("lora={truncated}"))
+    );
 }
 
 #[test]
@@ -126,7 +129,7 @@
         (Level::Debug, 4),
     ];
     for (level, count) in cases {
-        let emitted = lines(LogFormat::Text, level, |log| {
+        let emitted = emitted_lines(LogFormat::Text, level, |log| {
             for event in [
                 &events::INTERNAL,
                 &events::PEER_DOWN,
@@ -141,25 +144,25 @@
 }
 
 #[test]
-fn a_writer_that_stands_still_never_holds_the_program() {
-    let (release, gate): (Sender<()>, _) = channel();
-    let log = Log::to_writer(&LogOptions::default(), Stuck(gate));
-    let from = Instant::now();
+fn a_blocked_writer_never_blocks_the_program() {
+    let (release, blocker): (Sender<()>, _) = channel();
+    let log = Log::to_writer(&LogOptions::default(), BlockedWriter(blocker));
+    let start = Instant::now();
     for _ in 0..20_000 {
         log.emit(&events::READY, &[]);
     }
-    assert!(from.elapsed() < SPAN, "{:?}", from.elapsed());
+    assert!(start.elapsed() < TIMEOUT, "{:?}", start.elapsed());
     let dropped = log.dropped();
     assert!((15_000..=16_000).contains(&dropped), "{dropped}");
-    let from = Instant::now();
+    let start = Instant::now();
     drop(log);
-    assert!(from.elapsed() < SPAN, "the drop waits for the writer");
+    assert!(start.elapsed() < TIMEOUT, "the drop waited for the writer");
     drop(release);
 }
 
 #[test]
-fn a_bound_leaves_successes_out_first_and_tells_how_many() {
-    let target = Shared::default();
+fn the_rate_limit_omits_successes_first_and_logs_how_many() {
+    let target = SharedBuffer::default();
     let options = LogOptions {
         rate: 5,
         ..LogOptions::default()
@@ -173,7 +176,7 @@
     }
     std::thread::sleep(Duration::from_millis(1_100));
     log.emit(&events::LISTENING, &[field("purpose", "peers")]);
-    assert!(log.flush(SPAN));
+    assert!(log.flush(TIMEOUT));
     let text = String::from_utf8(target.0.lock().unwrap().clone()).unwrap();
     let count = |name: &str| text.matches(name).count();
     assert_eq!(count("purpose=admin"), 5, "{text}");
--- a/crates/ops/tests/settings.rs
+++ b/crates/ops/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Flag over environment over default, and every fault at once.
+//! Tests of the precedence of flags, environment and defaults, and of reporting all faults at once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,22 +9,22 @@
 };
 
 settings! {
-    /// Program of this test.
+    /// Settings for these tests.
     pub struct TestSettings {
         /// address for callers
         listen: SocketAddr = "127.0.0.1:8080", "ip:port";
-        /// longest body
+        /// largest body
         body_limit: ByteSize = "8MiB", "size";
         /// address of the log
         log_service: SocketAddr = "", "ip:port";
         /// addresses of peers
         peers: Vec<SocketAddr> = "", "ip:port,...";
-        /// name shown
+        /// name to show
         label: Option<String> = "", "name";
     }
 }
 
-const GIVEN: [&str; 8] = [
+const REQUIRED_ARGS: [&str; 8] = [
     "--vm",
     "v1",
     "--data-centre",
@@ -38,7 +38,7 @@
 struct Case {
     args: &'static [&'static str],
     environment: &'static [(&'static str, &'static str)],
-    /// Parts that the faults must hold, one a fault.
+    /// Texts that the faults must contain, one for each fault.
     faults: &'static [&'static str],
 }
 
@@ -95,17 +95,17 @@
     },
 ];
 
-fn read(case: &Case, given: &[&str]) -> Result<TestSettings, SettingsExit> {
-    let args: Vec<&str> = given.iter().chain(case.args).copied().collect();
+fn read(case: &Case, first_args: &[&str]) -> Result<TestSettings, SettingsExit> {
+    let args: Vec<&str> = first_args.iter().chain(case.args).copied().collect();
     let owned = |(name, text): &(&str, &str)| ((*name).to_owned(), (*text).to_owned());
     let environment: BTreeMap<_, _> = case.environment.iter().map(owned).collect();
     TestSettings::read("test", &args, &environment)
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_faults_are_reported_at_once() {
     for case in CASES {
-        let faults = match read(case, &GIVEN) {
+        let faults = match read(case, &REQUIRED_ARGS) {
             Ok(_) => Vec::new(),
             Err(SettingsExit::Faults(faults)) => faults.iter().map(ToString::to_string).collect(),
             Err(SettingsExit::Help(help)) => panic!("help: {help}"),
@@ -121,14 +121,14 @@
 }
 
 #[test]
-fn what_has_no_default_must_be_given() {
+fn a_setting_without_default_is_required() {
     let case = Case {
         args: &[],
         environment: &[],
         faults: &[],
     };
     let Err(SettingsExit::Faults(faults)) = read(&case, &[]) else {
-        panic!("settings without a VM were taken");
+        panic!("settings without a VM were accepted");
     };
     let flags: Vec<&str> = faults.iter().map(|f| f.flag.as_str()).collect();
     assert_eq!(
@@ -138,17 +138,17 @@
 }
 
 #[test]
-fn a_flag_goes_before_the_environment_and_that_before_the_default() {
+fn a_flag_overrides_the_environment_which_overrides_the_default() {
     let case = Case {
         args: &["--listen", "127.0.0.1:1", "--peers", "127.0.0.1:2, [::1]:3"],
         environment: &[
-            ("PUMICECLEAT_LISTEN", "broken, but never looked at"),
+            ("PUMICECLEAT_LISTEN", "malformed, but never parsed"),
             ("PUMICECLEAT_DRAIN_LIMIT", "5m"),
             ("PUMICECLEAT_LOG_LEVEL", "off"),
         ],
         faults: &[],
     };
-    let settings = read(&case, &GIVEN).unwrap();
+    let settings = read(&case, &REQUIRED_ARGS).unwrap();
     assert_eq!(settings.listen.port(), 1);
     assert_eq!(settings.peers.len(), 2);
     assert_eq!(settings.common.drain_limit, Duration::from_mins(5));
@@ -158,27 +158,27 @@
 }
 
 #[test]
-fn help_names_unit_environment_and_default_of_each_flag() {
+fn help_lists_unit_variable_and_default_of_each_flag() {
     let case = Case {
         args: &["--listen", "x", "--help"],
         environment: &[],
         faults: &[],
     };
     let Err(SettingsExit::Help(help)) = read(&case, &[]) else {
-        panic!("no help");
+        panic!("no help was returned");
     };
-    for row in TestSettings::specs() {
-        let flag = format!("--{} ", row.name.replace('_', "-"));
-        let variable = format!("PUMICECLEAT_{},", row.name.to_uppercase());
+    for spec in TestSettings::specs() {
+        let flag = format!("--{} ", spec.name.replace('_', "-"));
+        let variable = format!("PUMICECLEAT_{},", spec.name.to_uppercase());
         let line = help.lines().find(|l| l.contains(&variable)).unwrap();
-        assert!(line.contains(&flag) && line.contains(row.unit), "{line}");
-        assert!(line.contains(row.default), "{line}");
+        assert!(line.contains(&flag) && line.contains(spec.unit), "{line}");
+        assert!(line.contains(spec.default), "{line}");
     }
 }
 
 #[test]
-fn spans_and_sizes_need_a_known_unit_and_fit() {
-    let spans = [
+fn durations_and_sizes_need_a_known_unit_and_must_fit() {
+    let durations = [
         ("250ms", Some(250)),
         ("3s", Some(3000)),
         ("5m", Some(300_000)),
@@ -201,9 +201,9 @@
         ("99999999999999999999s", None),
         ("18446744073709551615h", None),
     ];
-    for (text, ms) in spans {
-        let wanted = ms.map(|ms| HumanDuration(Duration::from_millis(ms)));
-        assert_eq!(HumanDuration::parse(text), wanted, "{text}");
+    for (text, ms) in durations {
+        let expected = ms.map(|ms| HumanDuration(Duration::from_millis(ms)));
+        assert_eq!(HumanDuration::parse(text), expected, "{text}");
     }
     let numbers = [
         ("54", Some(54.0)),
--- a/crates/ops/tests/stop.rs
+++ b/crates/ops/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Stop of a whole process by signals, and the wait for requests under way.
+//! Tests of stopping a process by signals, and of waiting for requests in flight.
 
 use std::cell::Cell;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,7 +14,7 @@
 
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// The example, ended with the test, or by force after the limit.
+/// Process of the example daemon. It is killed when dropped, or after `LIMIT`.
 struct Daemon {
     child: Child,
     _done: Sender<()>,
@@ -39,19 +39,19 @@
             .unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         Self {
-            _done: end_after_limit(child.id()),
+            _done: kill_after_limit(child.id()),
             child,
             stderr,
             lines: Vec::new(),
         }
     }
 
-    /// Reads events until one of the given number.
-    fn until(&mut self, code: &str) -> Value {
+    /// Reads events until one with the number `code`, and returns it.
+    fn read_until(&mut self, code: &str) -> Value {
         loop {
             let mut line = String::new();
             let length = self.stderr.read_line(&mut line).unwrap();
-            assert!(length > 0, "{code} is not among {:?}", self.lines);
+            assert!(length > 0, "{code} is not in {:?}", self.lines);
             let event: Value = serde_json::from_str(&line).unwrap();
             self.lines.push(event.clone());
             if event["code"] == code {
@@ -60,10 +60,10 @@
         }
     }
 
-    /// Addresses of the admin listener and of the callers'.
+    /// Addresses of the admin listener and of the listener for callers.
     fn addresses(&mut self) -> [String; 2] {
         let mut next = || {
-            self.until("E1003")["fields"]["address"]
+            self.read_until("E1003")["fields"]["address"]
                 .as_str()
                 .unwrap()
                 .to_owned()
@@ -76,14 +76,14 @@
     }
 
     fn wait(&mut self) -> Option<i32> {
-        let end = Instant::now() + LIMIT;
-        while Instant::now() < end {
+        let deadline = Instant::now() + LIMIT;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        panic!("process goes on after {LIMIT:?}");
+        panic!("process still runs after {LIMIT:?}");
     }
 }
 
@@ -93,11 +93,11 @@
     status.is_ok_and(|status| status.success())
 }
 
-/// Kills `process` after the limit, so that a read of its output ends, unless the sender is dropped.
-fn end_after_limit(process: u32) -> Sender<()> {
-    let (done, waiting) = channel();
+/// Kills `process` after `LIMIT` unless the sender is dropped, so that reading its output ends.
+fn kill_after_limit(process: u32) -> Sender<()> {
+    let (done, receiver) = channel();
     std::thread::spawn(move || {
-        if waiting.recv_timeout(LIMIT) == Err(RecvTimeoutError::Timeout) {
+        if receiver.recv_timeout(LIMIT) == Err(RecvTimeoutError::Timeout) {
             send_signal("KILL", process);
         }
     });
@@ -119,7 +119,7 @@
     stream
 }
 
-fn rest(mut stream: TcpStream) -> String {
+fn read_response(mut stream: TcpStream) -> String {
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text
@@ -130,9 +130,10 @@
     limit: &'static str,
     signals: &'static [&'static str],
     status: i32,
-    /// Number of the event that tells how the drain ended.
-    end: &'static str,
-    whole: bool,
+    /// Number of the event logged when the drain ends.
+    end_event: &'static str,
+    /// Whether the request in flight is completed.
+    completes: bool,
 }
 
 const fn case(
@@ -140,16 +141,16 @@
     limit: &'static str,
     signals: &'static [&'static str],
     status: i32,
-    end: &'static str,
-    whole: bool,
+    end_event: &'static str,
+    completes: bool,
 ) -> Case {
     Case {
         ticks,
         limit,
         signals,
         status,
-        end,
-        whole,
+        end_event,
+        completes,
     }
 }
 
@@ -170,30 +171,30 @@
         let mut first = [0; 16];
         open.read_exact(&mut first).unwrap();
         daemon.signal(case.signals[0]);
-        let drain = daemon.until("E1031");
+        let drain = daemon.read_until("E1031");
         assert_eq!(drain["fields"]["open"], 1);
-        assert!(rest(get(&admin, "/readyz")).starts_with("HTTP/1.1 503"));
+        assert!(read_response(get(&admin, "/readyz")).starts_with("HTTP/1.1 503"));
         if let Some(second) = case.signals.get(1) {
-            assert!(rest(get(&callers, "/")).contains(r#""ran":"no""#));
+            assert!(read_response(get(&callers, "/")).contains(r#""ran":"no""#));
             daemon.signal(second);
         }
-        daemon.until(case.end);
-        let last = daemon.until("E1035");
-        assert_eq!(last["fields"]["cut"], u64::from(!case.whole));
-        let named = daemon
+        daemon.read_until(case.end_event);
+        let last = daemon.read_until("E1035");
+        assert_eq!(last["fields"]["cut"], u64::from(!case.completes));
+        let is_logged = daemon
             .lines
             .iter()
             .any(|l| l["fields"]["request"] == "request-1");
-        assert_eq!(named, !case.whole);
+        assert_eq!(is_logged, !case.completes);
         assert_eq!(daemon.wait(), Some(case.status), "{:?}", daemon.lines);
         let mut body = Vec::new();
-        let ended = open.read_to_end(&mut body).is_ok() && body.ends_with(b"0\r\n\r\n");
-        assert_eq!(ended, case.whole);
+        let completed = open.read_to_end(&mut body).is_ok() && body.ends_with(b"0\r\n\r\n");
+        assert_eq!(completed, case.completes);
     }
 }
 
 #[test]
-fn a_drain_waits_for_the_last_guard_only() {
+fn a_drain_waits_only_for_the_last_guard() {
     run(async {
         let timer = Timer::start();
         let drain = Drain::new();
@@ -201,22 +202,22 @@
         let (one, two) = (drain.track(&"a".into()), drain.track(&"b".into()));
         assert_eq!(drain.in_flight(), ["a".into(), "b".into()]);
         let idle = Rc::new(Cell::new(false));
-        let (waiting, seen) = (drain.clone(), Rc::clone(&idle));
+        let (waiting_drain, is_idle) = (drain.clone(), Rc::clone(&idle));
         monoio::spawn(async move {
-            waiting.wait_idle().await;
-            seen.set(true);
+            waiting_drain.wait_idle().await;
+            is_idle.set(true);
         });
-        for (guard, wanted) in [(one, false), (two, true)] {
+        for (guard, expected) in [(one, false), (two, true)] {
             drop(guard);
             timer.sleep(Duration::from_millis(20)).await;
-            assert_eq!(idle.get(), wanted);
+            assert_eq!(idle.get(), expected);
         }
     })
     .unwrap();
 }
 
 #[test]
-fn a_stop_by_hand_counts_as_a_signal() {
+fn a_requested_stop_acts_like_a_signal() {
     run(async {
         let timer = Timer::start();
         let log = Log::to_writer(&LogOptions::default(), std::io::sink());
