--- a/crates/ops/src/log/field.rs
+++ b/crates/ops/src/log/field.rs
@@ -1,32 +1,32 @@
-//! Fields of an event.
+//! Fields of a log event.
 
 use std::fmt::Display;
 
-/// Named value.
+/// Named value in a log line.
 #[derive(Clone, Copy)]
 pub struct Field<'a> {
     pub(crate) name: &'static str,
     pub(crate) value: FieldValue<'a>,
 }
 
-/// Value, rendered only if the event is logged.
+/// Value of a field, formatted only if the event is logged.
 #[derive(Clone, Copy)]
 pub enum FieldValue<'a> {
-    /// Number from 0.
-    Unsigned(u64),
-    /// Number.
+    /// Unsigned integer.
+    Count(u64),
+    /// Signed integer.
     Signed(i64),
-    /// Number with a fraction.
-    Float(f64),
-    /// Truth value.
-    Bool(bool),
+    /// Floating-point number; JSON has `null` for one that is not finite.
+    Real(f64),
+    /// Boolean.
+    Flag(bool),
     /// Text.
     Text(&'a str),
-    /// Whatever shows itself.
-    Display(&'a dyn Display),
+    /// Any value that implements `Display`.
+    Shown(&'a dyn Display),
 }
 
-/// Field of the given name and value.
+/// Creates a field.
 pub fn field<'a>(name: &'static str, value: impl Into<FieldValue<'a>>) -> Field<'a> {
     Field {
         name,
@@ -45,19 +45,19 @@
 }
 
 from_number! {
-    u8 => Unsigned,
-    u16 => Unsigned,
-    u32 => Unsigned,
-    u64 => Unsigned,
+    u8 => Count,
+    u16 => Count,
+    u32 => Count,
+    u64 => Count,
     i32 => Signed,
     i64 => Signed,
-    f64 => Float,
-    bool => Bool,
+    f64 => Real,
+    bool => Flag,
 }
 
 impl From<usize> for FieldValue<'_> {
     fn from(n: usize) -> Self {
-        Self::Unsigned(n as u64)
+        Self::Count(n as u64)
     }
 }
 
@@ -69,6 +69,6 @@
 
 impl<'a, T: Display> From<&'a T> for FieldValue<'a> {
     fn from(value: &'a T) -> Self {
-        Self::Display(value)
+        Self::Shown(value)
     }
 }
--- a/crates/ops/src/settings/flags.rs
+++ b/crates/ops/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! Flags, scanned one by one, so that one bad flag hides no other.
+//! Command-line flags, parsed one at a time so that all invalid flags are reported.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use super::fault::{SettingFault, SettingFaultKind};
 use super::resolver::{flag_name, variable_name};
 
-/// Scanner of one flag with its value.
+/// Function that parses one flag with its value.
 pub(super) type ParseFlag = fn(&str, &[&str]) -> Result<BTreeMap<&'static str, String>, EarlyExit>;
 
-/// What the flags gave.
+/// Result of parsing all flags.
 #[derive(Default)]
 pub(super) struct ParsedFlags {
-    pub(super) given: BTreeMap<&'static str, String>,
+    pub(super) values: BTreeMap<&'static str, String>,
     pub(super) faults: Vec<SettingFault>,
-    /// Help text, if asked for.
+    /// Help text, if it was requested.
     pub(super) help: Option<String>,
 }
 
@@ -26,7 +26,7 @@
         let (flag, remaining) = unparsed.split_at(length);
         unparsed = remaining;
         match parse_flag(program, flag) {
-            Ok(given) => parsed.add(given),
+            Ok(values) => parsed.add(values),
             Err(exit) if exit.status.is_ok() => parsed.help = Some(exit.output),
             Err(exit) => parsed.faults.push(bad_flag(flag[0], &exit.output)),
         }
@@ -35,9 +35,9 @@
 }
 
 impl ParsedFlags {
-    fn add(&mut self, given: BTreeMap<&'static str, String>) {
-        for (name, text) in given {
-            if self.given.insert(name, text).is_some() {
+    fn add(&mut self, values: BTreeMap<&'static str, String>) {
+        for (name, text) in values {
+            if self.values.insert(name, text).is_some() {
                 self.faults.push(SettingFault {
                     flag: flag_name(name),
                     variable: variable_name(name),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Length of the first flag with its value, or `None` at the end.
+/// Number of arguments in the first flag with its value, or `None` if none are left.
 fn flag_length(args: &[&str]) -> Option<usize> {
     let first = args.first()?;
     let standalone = !first.starts_with("--") || first.contains('=') || *first == "--help";
@@ -60,7 +60,7 @@
     let detail = output.lines().next().unwrap_or("malformed").trim();
     SettingFault {
         flag: flag.into(),
-        variable: "no environment name".into(),
+        variable: "no environment variable".into(),
         kind: SettingFaultKind::BadFlag {
             detail: detail.into(),
         },
