--- a/crates/config/src/parse/declare.rs
+++ b/crates/config/src/parse/declare.rs
@@ -1,10 +1,10 @@
-//! What each kind of table declares.
+//! Conversion of each kind of table to the model.
 
 use pumicecleat_types::VersionId;
 use toml::de::DeTable;
 
 use super::fields::Fields;
-use super::notes::Notes;
+use super::notes::Diagnostics;
 use super::source::Text;
 use super::value::{Value, entries};
 use crate::fault::Problem;
@@ -13,16 +13,17 @@
     Service, Tuning, Version, Versions,
 };
 
-const QUEUE: u32 = 256;
-const HASH_MARK: &str = "sha256:";
+/// Default for the maximum number of requests waiting at a side.
+const DEFAULT_QUEUE: u32 = 256;
+const HASH_PREFIX: &str = "sha256:";
 const KINDS: &str = "\"model\", \"service\"";
 const KEY_RULES: &str = "\"required\", \"optional\"";
 
-/// What the files declared so far.
+/// Configuration and diagnostics of the files read so far.
 #[derive(Default)]
 pub(super) struct Declarations {
     pub(super) config: Config,
-    pub(super) notes: Notes,
+    pub(super) diagnostics: Diagnostics,
 }
 
 impl Declarations {
@@ -34,25 +35,25 @@
             let place = text.place(key.span().start);
             match name {
                 "base" | "adapter" | "caller" | "pool" | "service" => {
-                    for (id, path, value) in entries(&mut self.notes, text, name, value) {
+                    for (id, path, value) in entries(&mut self.diagnostics, text, name, value) {
                         self.scan_named(name, id, path, value);
                     }
                 }
                 "tuning" => {
-                    self.notes.declare(name, place);
+                    self.diagnostics.declare(name, place);
                     self.scan_tuning(value);
                 }
                 "limits" => {
-                    self.notes.declare(name, place);
+                    self.diagnostics.declare(name, place);
                     self.scan_limits(value);
                 }
-                _ => self.notes.fault(name, place, Problem::UnknownField),
+                _ => self.diagnostics.fault(name, place, Problem::UnknownField),
             }
         }
     }
 
     fn scan_named(&mut self, kind: &str, id: &str, path: String, value: Value<'_>) {
-        let Some(fields) = Fields::new(&mut self.notes, path, value) else {
+        let Some(fields) = Fields::new(&mut self.diagnostics, path, value) else {
             return;
         };
         let config = &mut self.config;
@@ -66,28 +67,28 @@
     }
 
     fn scan_tuning(&mut self, value: Value<'_>) {
-        let Some(mut fields) = Fields::new(&mut self.notes, "tuning".into(), value) else {
+        let Some(mut fields) = Fields::new(&mut self.diagnostics, "tuning".into(), value) else {
             return;
         };
         let default = Tuning::default();
         self.config.tuning = Tuning {
-            stall: fields.count_or("stall", default.stall),
-            batch: fields.count_or("batch", default.batch),
-            hold_ms: fields.number_or("hold_ms", default.hold_ms),
+            stall: fields.u32_or("stall", default.stall),
+            batch: fields.u32_or("batch", default.batch),
+            hold_ms: fields.u64_or("hold_ms", default.hold_ms),
         };
         fields.finish();
     }
 
     fn scan_limits(&mut self, value: Value<'_>) {
-        let Some(mut fields) = Fields::new(&mut self.notes, "limits".into(), value) else {
+        let Some(mut fields) = Fields::new(&mut self.diagnostics, "limits".into(), value) else {
             return;
         };
         let default = Limits::default();
         self.config.limits = Limits {
-            deadline_ms: fields.number_or("deadline_ms", default.deadline_ms),
-            longest_ms: fields.number_or("longest_ms", default.longest_ms),
-            body: fields.number_or("body", default.body),
-            window_s: fields.number_or("window_s", default.window_s),
+            deadline_ms: fields.u64_or("deadline_ms", default.deadline_ms),
+            longest_ms: fields.u64_or("longest_ms", default.longest_ms),
+            body: fields.u64_or("body", default.body),
+            window_s: fields.u64_or("window_s", default.window_s),
         };
         fields.finish();
     }
@@ -95,7 +96,7 @@
 
 fn scan_base(mut fields: Fields<'_, '_>) -> BaseModel {
     let base = BaseModel {
-        context: fields.count("context"),
+        context: fields.required_u32("context"),
     };
     fields.finish();
     base
@@ -103,12 +104,12 @@
 
 fn scan_adapter(mut fields: Fields<'_, '_>) -> Adapter {
     let mut adapter = Adapter {
-        base: fields.string("base").into(),
-        default: fields.optional("default").map(VersionId::from),
+        base: fields.required_string("base").into(),
+        default: fields.optional_string("default").map(VersionId::from),
         versions: Versions::default(),
     };
     for (name, path, value) in fields.tables("version") {
-        if let Some(version) = scan_version(fields.notes(), path, value) {
+        if let Some(version) = scan_version(fields.diagnostics(), path, value) {
             adapter.versions.insert(name.into(), version);
         }
     }
@@ -116,19 +117,19 @@
     adapter
 }
 
-fn scan_version(notes: &mut Notes, path: String, value: Value<'_>) -> Option<Version> {
-    let mut fields = Fields::new(notes, path, value)?;
-    let path = fields.string("path").to_owned();
+fn scan_version(diagnostics: &mut Diagnostics, path: String, value: Value<'_>) -> Option<Version> {
+    let mut fields = Fields::new(diagnostics, path, value)?;
+    let path = fields.required_string("path").to_owned();
     fields.finish();
     Some(Version { path })
 }
 
 fn scan_caller(mut fields: Fields<'_, '_>) -> Caller {
-    let keys = fields.require_strings("keys");
+    let keys = fields.required_strings("keys");
     let mut caller = Caller {
-        keys: keys.into_iter().map(hash_of).collect(),
-        claim: fields.count_or("claim", 1),
-        priority: fields.small_or("priority", 0),
+        keys: keys.into_iter().map(normalize_hash).collect(),
+        claim: fields.u32_or("claim", 1),
+        priority: fields.u8_or("priority", 0),
         grant: Grant::default(),
     };
     for pattern in fields.strings("adapters") {
@@ -140,8 +141,8 @@
     caller
 }
 
-fn hash_of(key: &str) -> String {
-    key.strip_prefix(HASH_MARK)
+fn normalize_hash(key: &str) -> String {
+    key.strip_prefix(HASH_PREFIX)
         .unwrap_or(key)
         .to_ascii_lowercase()
 }
@@ -155,30 +156,31 @@
 }
 
 fn scan_pool(mut fields: Fields<'_, '_>) -> Pool {
-    let queue = fields.count_or("queue", QUEUE);
-    let kind = match fields.string("kind") {
-        "" => return unknown_pool(queue),
+    let queue = fields.u32_or("queue", DEFAULT_QUEUE);
+    let kind = match fields.required_string("kind") {
+        "" => return placeholder_pool(queue),
         "model" => PoolKind::Model {
-            base: fields.string("base").into(),
-            slots: fields.count("slots"),
-            batch: fields.count("batch"),
+            base: fields.required_string("base").into(),
+            slots: fields.required_u32("slots"),
+            batch: fields.required_u32("batch"),
             fencing: fields.flag("fencing"),
         },
         "service" => PoolKind::Service {
-            concurrency: fields.count("concurrency"),
-            parts: fields.count_or("parts", 1),
+            concurrency: fields.required_u32("concurrency"),
+            parts: fields.u32_or("parts", 1),
         },
         word => {
-            fields.word("kind", word, KINDS);
-            return unknown_pool(queue);
+            fields.report_not_allowed("kind", word, KINDS);
+            return placeholder_pool(queue);
         }
     };
     fields.finish();
     Pool { kind, queue }
 }
 
-/// Without a kind there is no telling which other fields are unknown.
-fn unknown_pool(queue: u32) -> Pool {
+/// Pool used if the kind is missing or invalid. Its other fields are not checked, as which of them
+/// are unknown depends on the kind.
+fn placeholder_pool(queue: u32) -> Pool {
     let kind = PoolKind::Service {
         concurrency: 1,
         parts: 1,
@@ -188,11 +190,11 @@
 
 fn scan_service(mut fields: Fields<'_, '_>) -> Service {
     let mut service = Service {
-        pool: fields.string("pool").into(),
+        pool: fields.required_string("pool").into(),
         routes: Vec::new(),
     };
     for (path, value) in fields.list("route") {
-        if let Some(route) = scan_route(fields.notes(), path, value) {
+        if let Some(route) = scan_route(fields.diagnostics(), path, value) {
             service.routes.push(route);
         }
     }
@@ -200,16 +202,16 @@
     service
 }
 
-fn scan_route(notes: &mut Notes, path: String, value: Value<'_>) -> Option<Route> {
-    let mut fields = Fields::new(notes, path, value)?;
-    let method = fields.optional("method").map(str::to_owned);
-    let prefix = fields.string("prefix").to_owned();
+fn scan_route(diagnostics: &mut Diagnostics, path: String, value: Value<'_>) -> Option<Route> {
+    let mut fields = Fields::new(diagnostics, path, value)?;
+    let method = fields.optional_string("method").map(str::to_owned);
+    let prefix = fields.required_string("prefix").to_owned();
     let idempotent = fields.flag("idempotent");
-    let key = match fields.optional("key") {
+    let key = match fields.optional_string("key") {
         None | Some("required") => IdempotencyKeyRule::Required,
         Some("optional") => IdempotencyKeyRule::Optional,
         Some(word) => {
-            fields.word("key", word, KEY_RULES);
+            fields.report_not_allowed("key", word, KEY_RULES);
             IdempotencyKeyRule::default()
         }
     };
--- a/crates/config/src/parse/mod.rs
+++ b/crates/config/src/parse/mod.rs
@@ -1,9 +1,9 @@
-//! Files to configuration: several TOML files make one whole, and every fault is reported at once.
+//! Parser of configurations: merges several TOML files into one, and reports all faults at once.
 //!
-//! Each file is read with recovery, so that one syntax error doesn't hide the rest. Tables of the
-//! files merge by name; a name stands in one place only, and a second one names both places.
-//! Fields of the wrong type get a stand-in value, so that they don't cause further faults; what
-//! the checks of the whole say is placed at the line of the field meant.
+//! Each file is parsed with error recovery, so that one syntax error doesn't hide others. Tables of
+//! the files are merged by name; a name may be declared only once, and the fault for a duplicate
+//! gives both places. Fields of the wrong type get a placeholder value, so that they don't cause
+//! further faults. Faults found by validation are reported at the line of their field.
 
 mod declare;
 mod fields;
@@ -20,24 +20,27 @@
 
 pub use source::Source;
 
-/// Configuration that the files make together.
+/// Parses the files into one configuration.
 ///
 /// # Errors
-/// [`Faults`], all of them, by file, line and field.
+/// All [`Faults`], sorted by file, line and field.
 pub fn parse(sources: &[Source<'_>]) -> Result<Config, Faults> {
     let mut found = Declarations::default();
     for source in sources {
         let text = Text::new(*source);
         text.scan(&mut found);
     }
-    let Declarations { config, mut notes } = found;
+    let Declarations {
+        config,
+        mut diagnostics,
+    } = found;
     for fault in check(&config) {
-        if !notes.explain(&fault) {
-            let place = notes.place(&fault.field);
-            notes.faults.push(Fault { place, ..fault });
+        if !diagnostics.is_consequence(&fault) {
+            let place = diagnostics.place(&fault.field);
+            diagnostics.faults.push(Fault { place, ..fault });
         }
     }
-    let mut faults = notes.faults;
+    let mut faults = diagnostics.faults;
     if faults.is_empty() {
         return Ok(config);
     }
--- a/crates/config/src/parse/notes.rs
+++ b/crates/config/src/parse/notes.rs
@@ -1,19 +1,19 @@
-//! Places of fields and the faults met so far.
+//! Places of fields and the faults found so far.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::fault::{Fault, Place, Problem};
 
-/// Places of fields and faults met so far.
+/// Places of fields and the faults found so far.
 #[derive(Default)]
-pub(super) struct Notes {
+pub(super) struct Diagnostics {
     pub(super) places: BTreeMap<String, Place>,
     faulty: BTreeSet<String>,
     pub(super) faults: Vec<Fault>,
 }
 
-impl Notes {
-    /// Place of a field, or of the table nearest above it.
+impl Diagnostics {
+    /// Returns the place of a field, or of the innermost enclosing table with a known place.
     pub(super) fn place(&self, field: &str) -> Option<Place> {
         let mut path = field;
         loop {
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Whether a fault found by the checks only follows from one known already.
-    pub(super) fn explain(&self, fault: &Fault) -> bool {
+    /// Whether a fault found by validation is only a consequence of a known one.
+    pub(super) fn is_consequence(&self, fault: &Fault) -> bool {
         let field = fault.field.as_str();
         let below = |path: &String| path.starts_with(field);
         let next = self.faulty.range(field.to_owned()..).next();
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Notes a field's place, or that it had one.
+    /// Records the place of a declaration, or reports a duplicate.
     pub(super) fn declare(&mut self, path: &str, place: Place) {
         let Some(first) = self.places.get(path).cloned() else {
             self.places.insert(path.to_owned(), place);
--- a/crates/config/src/parse/source.rs
+++ b/crates/config/src/parse/source.rs
@@ -1,4 +1,4 @@
-//! One file: its text, its lines and its tables.
+//! A source file: its text, lines and tables.
 
 use std::borrow::Cow;
 use std::ops::Range;
@@ -8,19 +8,19 @@
 use super::declare::Declarations;
 use crate::fault::{Fault, Place, Problem};
 
-/// Parser's words for a key that stands twice.
+/// Message of the TOML parser for a duplicate key.
 const DUPLICATE: &str = "duplicate key";
 
-/// A file as read.
+/// Content of a file.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
-    /// Name for messages.
+    /// Name used in messages.
     pub name: &'a str,
     /// Content.
     pub bytes: &'a [u8],
 }
 
-/// Text of a file, with the starts of its lines.
+/// Text of a file, with the offsets at which lines start.
 pub(super) struct Text<'a> {
     name: &'a str,
     body: Cow<'a, str>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Place of an offset in the text.
+    /// Returns the place of an offset in the text.
     pub(super) fn place(&self, offset: usize) -> Place {
         self.place_of(self.starts.partition_point(|start| *start <= offset))
     }
@@ -53,7 +53,7 @@
         Place { file, line }
     }
 
-    /// Adds what the file declares.
+    /// Adds the declarations of the file.
     pub(super) fn scan(&self, found: &mut Declarations) {
         if let Some(offset) = self.invalid {
             self.fault(found, offset, Problem::Encoding);
@@ -61,7 +61,7 @@
         let (table, errors) = DeTable::parse_recoverable(&self.body);
         for error in errors {
             let span = error.span().unwrap_or_default();
-            let first = self.scan_first(&error, &span, table.get_ref());
+            let first = self.find_first_declaration(&error, &span, table.get_ref());
             let problem = first.unwrap_or_else(|| Problem::Syntax {
                 detail: error.message().to_owned(),
             });
@@ -70,9 +70,9 @@
         found.scan(self, table.get_ref());
     }
 
-    /// For a key that stands twice: the first place, if there is no doubt which one is meant. The
-    /// parser tells the second place only.
-    fn scan_first(
+    /// For a duplicate key, finds its first place if that is unambiguous. The parser reports the
+    /// second place only.
+    fn find_first_declaration(
         &self,
         error: &Error,
         span: &Range<usize>,
@@ -88,7 +88,7 @@
         Some(Problem::Duplicate { first })
     }
 
-    /// First line with the same table header as `line`, if that is one and another comes first.
+    /// If `line` is a table header, returns an earlier line with the same header.
     fn first_header(&self, line: usize) -> Option<usize> {
         let header = self.body.lines().nth(line - 1)?.trim();
         if !header.starts_with('[') {
@@ -98,11 +98,11 @@
         (first < line).then_some(first)
     }
 
-    /// The one key of the same name before `span`.
+    /// Returns the place of the key of the same name before `span`, if there is exactly one.
     fn first_key(&self, span: &Range<usize>, root: &DeTable<'_>) -> Option<Place> {
         let name = self.body.get(span.clone())?;
         let mut starts = Vec::new();
-        scan_keys(root, name, &mut starts);
+        find_keys(root, name, &mut starts);
         starts.retain(|start| *start < span.start);
         let &[start] = starts.as_slice() else {
             return None;
@@ -111,13 +111,13 @@
     }
 
     fn start(&self, span: &Range<usize>) -> usize {
-        // An error at the end of the text belongs to its last line with characters.
+        // An error at the end of the text is reported at the last line that is not blank.
         let end = self.body.trim_end().len();
         span.start.min(end)
     }
 
     fn fault(&self, found: &mut Declarations, offset: usize, problem: Problem) {
-        found.notes.faults.push(Fault {
+        found.diagnostics.faults.push(Fault {
             place: Some(self.place(offset)),
             field: String::new(),
             problem,
@@ -125,14 +125,14 @@
     }
 }
 
-/// Adds the starts of the keys of that name, at any depth of tables.
-fn scan_keys(table: &DeTable<'_>, name: &str, starts: &mut Vec<usize>) {
+/// Collects the offsets of all keys of this name, including nested tables.
+fn find_keys(table: &DeTable<'_>, name: &str, starts: &mut Vec<usize>) {
     for (key, value) in table {
         if key.get_ref() == name {
             starts.push(key.span().start);
         }
         if let Some(inner) = value.get_ref().as_table() {
-            scan_keys(inner, name, starts);
+            find_keys(inner, name, starts);
         }
     }
 }
--- a/crates/config/src/parse/value.rs
+++ b/crates/config/src/parse/value.rs
@@ -1,13 +1,13 @@
-//! Values with their type checked.
+//! Type-checked access to values.
 
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use super::notes::Notes;
+use super::notes::Diagnostics;
 use super::source::Text;
 use crate::fault::{Place, Problem};
 
-/// A value at its path.
+/// A TOML value in its source text.
 #[derive(Clone, Copy)]
 pub(super) struct Value<'t> {
     pub(super) text: &'t Text<'t>,
@@ -23,10 +23,10 @@
         self.text.place(self.inner.span().start)
     }
 
-    /// What `read` makes of it; else a fault naming the type wanted.
+    /// Converts the value by `read`; reports a fault with the expected type if that fails.
     pub(super) fn typed<T>(
         self,
-        notes: &mut Notes,
+        diagnostics: &mut Diagnostics,
         path: &str,
         expected: &'static str,
         read: impl FnOnce(&'t DeValue<'t>) -> Option<T>,
@@ -35,24 +35,33 @@
         let result = read(value);
         if result.is_none() {
             let found = value.type_str();
-            notes.fault(path, self.place(), Problem::Type { expected, found });
+            diagnostics.fault(path, self.place(), Problem::Type { expected, found });
         }
         result
     }
 
-    /// Table.
-    pub(super) fn table(self, notes: &mut Notes, path: &str) -> Option<&'t DeTable<'t>> {
-        self.typed(notes, path, "table", DeValue::as_table)
+    /// Returns the value as a table.
+    pub(super) fn table(
+        self,
+        diagnostics: &mut Diagnostics,
+        path: &str,
+    ) -> Option<&'t DeTable<'t>> {
+        self.typed(diagnostics, path, "table", DeValue::as_table)
     }
 
-    /// String.
-    pub(super) fn string(self, notes: &mut Notes, path: &str) -> Option<&'t str> {
-        self.typed(notes, path, "string", DeValue::as_str)
+    /// Returns the value as a string.
+    pub(super) fn string(self, diagnostics: &mut Diagnostics, path: &str) -> Option<&'t str> {
+        self.typed(diagnostics, path, "string", DeValue::as_str)
     }
 
-    /// Whole number up to `most`.
-    pub(super) fn number(self, notes: &mut Notes, path: &str, most: u64) -> Option<u64> {
-        let integer = self.typed(notes, path, "integer", DeValue::as_integer)?;
+    /// Returns the value as an unsigned integer up to `most`.
+    pub(super) fn number(
+        self,
+        diagnostics: &mut Diagnostics,
+        path: &str,
+        most: u64,
+    ) -> Option<u64> {
+        let integer = self.typed(diagnostics, path, "integer", DeValue::as_integer)?;
         let value = u64::from_str_radix(integer.as_str(), integer.radix()).ok();
         let fits = value.filter(|v| *v <= most);
         if fits.is_none() {
@@ -62,14 +71,18 @@
                 least: 0,
                 most,
             };
-            notes.fault(path, self.place(), problem);
+            diagnostics.fault(path, self.place(), problem);
         }
         fits
     }
 
-    /// Values of an array with their paths.
-    pub(super) fn list(self, notes: &mut Notes, path: &str) -> Vec<(String, Value<'t>)> {
-        let array = self.typed(notes, path, "array", DeValue::as_array);
+    /// Returns the values of an array with their paths.
+    pub(super) fn list(
+        self,
+        diagnostics: &mut Diagnostics,
+        path: &str,
+    ) -> Vec<(String, Value<'t>)> {
+        let array = self.typed(diagnostics, path, "array", DeValue::as_array);
         let values = array.into_iter().flat_map(|a| a.iter()).enumerate();
         values
             .map(|(i, inner)| (format!("{path}[{i}]"), Self::new(self.text, inner)))
@@ -77,19 +90,20 @@
     }
 }
 
-/// Entries of a table, with path and value; a name declared before is a fault and left out.
+/// Returns the entries of a table with their paths and values. A duplicate name is reported and
+/// left out.
 pub(super) fn entries<'t>(
-    notes: &mut Notes,
+    diagnostics: &mut Diagnostics,
     text: &'t Text<'t>,
     path: &str,
     value: Value<'t>,
 ) -> Vec<(&'t str, String, Value<'t>)> {
     let mut entries = Vec::new();
-    for (key, inner) in value.table(notes, path).into_iter().flatten() {
+    for (key, inner) in value.table(diagnostics, path).into_iter().flatten() {
         let name: &str = key.get_ref();
         let path = format!("{path}.{name}");
-        let known = notes.places.contains_key(&path);
-        notes.declare(&path, text.place(key.span().start));
+        let known = diagnostics.places.contains_key(&path);
+        diagnostics.declare(&path, text.place(key.span().start));
         if !known {
             entries.push((name, path, Value::new(text, inner)));
         }
