--- a/crates/config/src/check/links.rs
+++ b/crates/config/src/check/links.rs
@@ -1,9 +1,9 @@
-//! References between items, and what a change could leave dangling.
+//! References between items, and the check for dangling ones.
 //!
-//! Few items refer to others across tables (callers, services, pools), so that their references
-//! are kept in reverse, and a small change is checked without a look at the rest. Adapters are
-//! many and refer to few base models: their references are not kept but searched on the rare
-//! removal of a base model. Kept, they took half of the memory of a fold.
+//! Few items refer to others across tables (callers, services, pools). Their references are stored
+//! in a reverse index, so that a small change is checked without scanning the whole configuration.
+//! Adapters are many and refer to few base models: their references are not indexed, but found by a
+//! scan when a base model is removed, which is rare. Indexing them took half of a fold's memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,88 +13,91 @@
 use crate::fault::Problem;
 use crate::model::{Caller, Config, Item, ItemKey, Pool, PoolKind};
 
-/// Who refers to what across tables, and who holds which key hash.
+/// Reverse index of references across tables, and of callers by key hash.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Links {
-    users: BTreeMap<ItemKey, BTreeSet<ItemKey>>,
-    holders: BTreeMap<String, BTreeSet<CallerId>>,
+pub(crate) struct References {
+    referrers: BTreeMap<ItemKey, BTreeSet<ItemKey>>,
+    callers_by_key: BTreeMap<String, BTreeSet<CallerId>>,
 }
 
-impl Links {
-    /// Notes what an item refers to.
+impl References {
+    /// Adds an item's references.
     pub(crate) fn add(&mut self, item: &Item) {
-        if is_searched(item) {
+        if is_untracked(item) {
             return;
         }
-        let user = item.key();
-        for (_, target) in targets(item) {
-            self.users.entry(target).or_default().insert(user.clone());
+        let referrer = item.key();
+        for (_, target) in references(item) {
+            self.referrers
+                .entry(target)
+                .or_default()
+                .insert(referrer.clone());
         }
         if let Item::Caller(id, caller) = item {
             for hash in &caller.keys {
-                let holders = self.holders.entry(hash.clone()).or_default();
+                let holders = self.callers_by_key.entry(hash.clone()).or_default();
                 holders.insert(id.clone());
             }
         }
     }
 
-    /// Forgets what an item refers to.
+    /// Removes an item's references.
     pub(crate) fn remove(&mut self, item: &Item) {
-        if is_searched(item) {
+        if is_untracked(item) {
             return;
         }
-        let user = item.key();
-        for (_, target) in targets(item) {
-            forget(&mut self.users, &target, &user);
+        let referrer = item.key();
+        for (_, target) in references(item) {
+            remove_from_set(&mut self.referrers, &target, &referrer);
         }
         if let Item::Caller(id, caller) = item {
             for hash in &caller.keys {
-                forget(&mut self.holders, hash, id);
+                remove_from_set(&mut self.callers_by_key, hash, id);
             }
         }
     }
 
-    /// Adds to `keys` the items that must be checked again once these have changed.
-    pub(crate) fn widen(&self, config: &Config, keys: &mut BTreeSet<ItemKey>) {
-        let mut more = BTreeSet::new();
+    /// Adds to `keys`, which have changed, the items that must be checked again because of them.
+    pub(crate) fn add_dependents(&self, config: &Config, keys: &mut BTreeSet<ItemKey>) {
+        let mut dependents = BTreeSet::new();
         for key in keys.iter() {
             match key {
                 ItemKey::Version(id, _) => {
                     let adapter = ItemKey::Adapter(id.clone());
                     if !keys.contains(&adapter) {
-                        more.insert(adapter);
+                        dependents.insert(adapter);
                     }
                 }
-                ItemKey::Caller(id) => more.extend(self.sharers(config, id)),
+                ItemKey::Caller(id) => dependents.extend(self.callers_sharing_keys(config, id)),
                 _ => {}
             }
-            let held = config.contains(key);
-            if matches!(key, ItemKey::Pool(_)) || !held {
-                more.extend(self.users.get(key).into_iter().flatten().cloned());
+            let exists = config.contains(key);
+            if matches!(key, ItemKey::Pool(_)) || !exists {
+                dependents.extend(self.referrers.get(key).into_iter().flatten().cloned());
             }
-            if let (ItemKey::Base(id), false) = (key, held) {
+            if let (ItemKey::Base(id), false) = (key, exists) {
                 let adapters = config.adapters.iter().filter(|(_, a)| a.base == *id);
-                more.extend(adapters.map(|(id, _)| ItemKey::Adapter(id.clone())));
+                dependents.extend(adapters.map(|(id, _)| ItemKey::Adapter(id.clone())));
             }
         }
-        keys.extend(more);
+        keys.extend(dependents);
     }
 
-    fn sharers(&self, config: &Config, id: &CallerId) -> BTreeSet<ItemKey> {
+    fn callers_sharing_keys(&self, config: &Config, id: &CallerId) -> BTreeSet<ItemKey> {
         let caller = config.callers.get(id);
         caller
             .into_iter()
             .flat_map(|c| &c.keys)
-            .filter_map(|hash| self.holders.get(hash))
+            .filter_map(|hash| self.callers_by_key.get(hash))
             .flatten()
             .cloned()
             .map(ItemKey::Caller)
             .collect()
     }
 
-    /// Reports references of an item that don't hold.
+    /// Reports invalid references of an item.
     pub(super) fn check_item(&self, config: &Config, item: &Item, report: &mut Report) {
-        for (field, target) in targets(item) {
+        for (field, target) in references(item) {
             if !config.contains(&target) {
                 let target = target.to_string();
                 report.add(field, Problem::NotDeclared { target });
@@ -109,19 +112,19 @@
             }
             Item::Service(_, service) => {
                 let pool = config.pools.get(&service.pool);
-                if pool.is_some_and(is_model) {
+                if pool.is_some_and(is_model_pool) {
                     let pool = service.pool.to_string();
                     report.add("pool", Problem::PoolKind { pool });
                 }
             }
-            Item::Caller(id, caller) => self.check_keys(id, caller, report),
+            Item::Caller(id, caller) => self.check_shared_keys(id, caller, report),
             _ => {}
         }
     }
 
-    fn check_keys(&self, id: &CallerId, caller: &Caller, report: &mut Report) {
+    fn check_shared_keys(&self, id: &CallerId, caller: &Caller, report: &mut Report) {
         for hash in &caller.keys {
-            let holders = self.holders.get(hash);
+            let holders = self.callers_by_key.get(hash);
             let other = holders.into_iter().flatten().find(|o| *o != id);
             if let Some(other) = other {
                 let other = other.to_string();
@@ -131,17 +134,17 @@
     }
 }
 
-/// Whether the item's references are not kept: those of an adapter to its base model are searched,
-/// and an adapter is checked with each of its versions.
-fn is_searched(item: &Item) -> bool {
+/// Whether the item's references are not indexed: those of an adapter to its base model are found
+/// by a scan, and an adapter is checked with each of its versions.
+fn is_untracked(item: &Item) -> bool {
     matches!(item, Item::Adapter { .. })
 }
 
-fn is_model(pool: &Pool) -> bool {
+fn is_model_pool(pool: &Pool) -> bool {
     matches!(pool.kind, PoolKind::Model { .. })
 }
 
-fn forget<K: Ord, V: Ord>(map: &mut BTreeMap<K, BTreeSet<V>>, key: &K, value: &V) {
+fn remove_from_set<K: Ord, V: Ord>(map: &mut BTreeMap<K, BTreeSet<V>>, key: &K, value: &V) {
     if let Some(set) = map.get_mut(key) {
         set.remove(value);
         if set.is_empty() {
@@ -150,8 +153,8 @@
     }
 }
 
-/// What an item refers to, with the field that does.
-fn targets(item: &Item) -> Vec<(&'static str, ItemKey)> {
+/// Referenced items, with the field that refers to each.
+fn references(item: &Item) -> Vec<(&'static str, ItemKey)> {
     match item {
         Item::Adapter { id, base, default } => {
             let mut targets = vec![("base", ItemKey::Base(base.clone()))];
--- a/crates/config/src/check/value.rs
+++ b/crates/config/src/check/value.rs
@@ -1,17 +1,22 @@
-//! Checks of an item by itself.
+//! Validation of an item by itself.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
 use super::{Report, limit};
 use crate::fault::Problem;
-use crate::key::HASH_LEN;
+use crate::key::HASH_HEX_CHARS;
 use crate::model::{Caller, Item, ItemKey, Limits, Pool, PoolKind, Route, Tuning};
 
 pub(super) fn check_item(item: &Item, report: &mut Report) {
-    check_name(&item.key(), report);
+    check_id(&item.key(), report);
     match item {
-        Item::Base(_, base) => range(report, "context", base.context.into(), &limit::CONTEXT),
+        Item::Base(_, base) => check_range(
+            report,
+            "context",
+            base.context.into(),
+            &limit::CONTEXT_TOKENS,
+        ),
         Item::Adapter { .. } => {}
         Item::Version(_, _, version) => check_path(&version.path, report),
         Item::Caller(_, caller) => check_caller(caller, report),
@@ -22,7 +27,7 @@
     }
 }
 
-fn check_name(key: &ItemKey, report: &mut Report) {
+fn check_id(key: &ItemKey, report: &mut Report) {
     let id = match key {
         ItemKey::Base(id) => id.as_str(),
         ItemKey::Adapter(id) => id.as_str(),
@@ -35,7 +40,7 @@
     if id.is_empty() {
         report.add("", Problem::Empty);
     }
-    long(report, "", id, limit::ID_LEN);
+    check_length(report, "", id, limit::MAX_ID_CHARS);
     if !id.chars().all(is_id_char) {
         let id = id.to_owned();
         report.add("", Problem::InvalidCharacters { id });
@@ -50,7 +55,7 @@
     if path.is_empty() {
         report.add("path", Problem::Empty);
     }
-    long(report, "path", path, limit::PATH_LEN);
+    check_length(report, "path", path, limit::MAX_PATH_CHARS);
 }
 
 fn check_caller(caller: &Caller, report: &mut Report) {
@@ -61,7 +66,7 @@
         let hash = hash.clone();
         report.add("keys", Problem::InvalidHash { hash });
     }
-    range(report, "claim", caller.claim.into(), &limit::CLAIM);
+    check_range(report, "claim", caller.claim.into(), &limit::CAPACITY_CLAIM);
     for prefix in &caller.grant.prefixes {
         if prefix.is_empty() {
             report.add("adapters", Problem::Empty);
@@ -74,19 +79,29 @@
 }
 
 fn is_hash(hash: &str) -> bool {
-    hash.len() == HASH_LEN && hash.chars().all(|c| matches!(c, '0'..='9' | 'a'..='f'))
+    hash.len() == HASH_HEX_CHARS && hash.chars().all(|c| matches!(c, '0'..='9' | 'a'..='f'))
 }
 
 fn check_pool(pool: &Pool, report: &mut Report) {
-    range(report, "queue", pool.queue.into(), &limit::QUEUE);
+    check_range(report, "queue", pool.queue.into(), &limit::QUEUED_REQUESTS);
     match &pool.kind {
         PoolKind::Model { slots, batch, .. } => {
-            range(report, "slots", (*slots).into(), &limit::SLOTS);
-            range(report, "batch", (*batch).into(), &limit::BATCH);
+            check_range(report, "slots", (*slots).into(), &limit::ADAPTER_SLOTS);
+            check_range(
+                report,
+                "batch",
+                (*batch).into(),
+                &limit::CONCURRENT_REQUESTS,
+            );
         }
         PoolKind::Service { concurrency, parts } => {
-            range(report, "concurrency", (*concurrency).into(), &limit::BATCH);
-            range(report, "parts", (*parts).into(), &limit::PARTS);
+            check_range(
+                report,
+                "concurrency",
+                (*concurrency).into(),
+                &limit::CONCURRENT_REQUESTS,
+            );
+            check_range(report, "parts", (*parts).into(), &limit::KEY_PARTS);
         }
     }
 }
@@ -107,11 +122,11 @@
 
 fn check_route(i: usize, route: &Route, report: &mut Report) {
     let field = format!("route[{i}].prefix");
-    if !is_prefix(&route.prefix) {
+    if !is_valid_prefix(&route.prefix) {
         let prefix = route.prefix.clone();
         report.add(&field, Problem::InvalidPrefix { prefix });
     }
-    long(report, &field, &route.prefix, limit::PATH_LEN);
+    check_length(report, &field, &route.prefix, limit::MAX_PATH_CHARS);
     let Some(method) = &route.method else {
         return;
     };
@@ -124,7 +139,7 @@
     }
 }
 
-fn is_prefix(prefix: &str) -> bool {
+fn is_valid_prefix(prefix: &str) -> bool {
     let Some(rest) = prefix.strip_prefix('/') else {
         return false;
     };
@@ -133,19 +148,24 @@
 }
 
 fn check_tuning(tuning: Tuning, report: &mut Report) {
-    range(report, "stall", tuning.stall.into(), &limit::WEIGHT);
-    range(report, "batch", tuning.batch.into(), &limit::WEIGHT);
-    range(report, "hold_ms", tuning.hold_ms, &limit::HOLD);
+    check_range(report, "stall", tuning.stall.into(), &limit::WEIGHT_PERCENT);
+    check_range(report, "batch", tuning.batch.into(), &limit::WEIGHT_PERCENT);
+    check_range(report, "hold_ms", tuning.hold_ms, &limit::HOLD_MS);
     if tuning.stall == 0 && tuning.batch == 0 {
         report.add("", Problem::ZeroWeights);
     }
 }
 
 fn check_limits(limits: &Limits, report: &mut Report) {
-    range(report, "deadline_ms", limits.deadline_ms, &limit::DEADLINE);
-    range(report, "longest_ms", limits.longest_ms, &limit::DEADLINE);
-    range(report, "body", limits.body, &limit::BODY);
-    range(report, "window_s", limits.window_s, &limit::WINDOW);
+    check_range(
+        report,
+        "deadline_ms",
+        limits.deadline_ms,
+        &limit::DEADLINE_MS,
+    );
+    check_range(report, "longest_ms", limits.longest_ms, &limit::DEADLINE_MS);
+    check_range(report, "body", limits.body, &limit::BODY_BYTES);
+    check_range(report, "window_s", limits.window_s, &limit::KEY_WINDOW_S);
     if limits.deadline_ms > limits.longest_ms {
         let found = limits.deadline_ms;
         let longest = limits.longest_ms;
@@ -153,7 +173,7 @@
     }
 }
 
-fn range(report: &mut Report, field: &str, value: u64, range: &RangeInclusive<u64>) {
+fn check_range(report: &mut Report, field: &str, value: u64, range: &RangeInclusive<u64>) {
     if !range.contains(&value) {
         let problem = Problem::Range {
             found: value.to_string(),
@@ -164,7 +184,7 @@
     }
 }
 
-fn long(report: &mut Report, field: &str, text: &str, most: usize) {
+fn check_length(report: &mut Report, field: &str, text: &str, most: usize) {
     if text.chars().count() > most {
         report.add(field, Problem::TooLong { most });
     }
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -1,8 +1,9 @@
-//! Deltas: what turns one configuration into another, of the size of the change.
+//! Deltas: the items to remove and put to turn one configuration into another.
 //!
-//! A delta has one form only: removals and puts each in strictly ascending order of keys, and no
-//! key in both. Removals run first, in falling order, so that versions go before their adapter;
-//! then puts in rising order, so that an adapter comes before its versions.
+//! The form of a delta is canonical: removals and puts are each in strictly ascending order of
+//! keys, and no key is in both. Removals are applied first, in descending order, so that versions
+//! are removed before their adapter; then puts in ascending order, so that an adapter is put before
+//! its versions.
 
 use std::collections::BTreeSet;
 
@@ -12,56 +13,56 @@
 use crate::diff::{Difference, diff};
 use crate::model::{Config, Item, ItemKey};
 
-/// What turns one configuration into another.
+/// Changes that turn one configuration into another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Keys of items taken out, ascending.
+    /// Keys of the removed items, ascending.
     pub removed: Vec<ItemKey>,
-    /// Items put in, ascending by key.
+    /// Added or replaced items, ascending by key.
     pub put: Vec<Item>,
 }
 
 /// Why a delta does not fit a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum DeltaError {
-    /// Keys not in the one order allowed.
+    /// Keys are not strictly ascending, or one is both removed and put.
     #[snafu(display("step delta: '{key}' is out of order or comes twice"))]
     Order {
         /// Key.
         key: ItemKey,
     },
-    /// Nothing there to take out.
+    /// The item to remove does not exist.
     #[snafu(display("step delta: '{key}' is not declared"))]
     Absent {
         /// Key.
         key: ItemKey,
     },
-    /// Takes out what always stands.
+    /// The item to remove always exists.
     #[snafu(display("step delta: '{key}' can't be removed"))]
     Fixed {
         /// Key.
         key: ItemKey,
     },
-    /// Takes an adapter out and leaves versions.
+    /// The adapter to remove still has versions.
     #[snafu(display("step delta: '{key}' still has versions"))]
     Versions {
         /// Key.
         key: ItemKey,
     },
-    /// Deals the keys of a pool that stands out anew.
+    /// Changes the number of key parts of an existing pool.
     #[snafu(display(
-        "step delta: '{key}' has its keys in {parts} parts and can't have them in {asked}: \
+        "step delta: '{key}' has its keys in {parts} parts and can't have them in {requested}: \
          keys in use would be forgotten; declare another pool"
     ))]
     Parts {
         /// Key.
         key: ItemKey,
-        /// Parts as they stand.
+        /// Current number of parts.
         parts: u32,
-        /// Parts asked for.
-        asked: u32,
+        /// Requested number of parts.
+        requested: u32,
     },
-    /// Puts a version in without its adapter.
+    /// The adapter of the version to put does not exist.
     #[snafu(display("step delta: '{key}' has no adapter"))]
     Orphan {
         /// Key.
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Whether the step can be taken on `config`.
-    pub(crate) fn fits(&self, config: &Config) -> Result<(), DeltaError> {
+    /// Checks whether the step can be applied to `config`.
+    pub(crate) fn check(&self, config: &Config) -> Result<(), DeltaError> {
         let key = self.key();
         match self {
             Self::Remove(ItemKey::Tuning | ItemKey::Limits) => FixedSnafu { key }.fail(),
@@ -108,8 +109,15 @@
                 let Some(old) = config.pools.get(id) else {
                     return Ok(());
                 };
-                let (parts, asked) = (old.parts(), pool.parts());
-                ensure!(old.may_become(pool), PartsSnafu { key, parts, asked });
+                let (parts, requested) = (old.parts(), pool.parts());
+                ensure!(
+                    old.can_become(pool),
+                    PartsSnafu {
+                        key,
+                        parts,
+                        requested
+                    }
+                );
                 Ok(())
             }
             Self::Put(_) => Ok(()),
@@ -128,7 +136,7 @@
 }
 
 impl Delta {
-    /// What turns `a` into `b`.
+    /// Computes the delta that turns `a` into `b`.
     #[must_use]
     pub fn between(a: &Config, b: &Config) -> Self {
         let mut delta = Self::default();
@@ -149,14 +157,14 @@
         self.removed.is_empty() && self.put.is_empty()
     }
 
-    /// Configuration that it makes of `config`; the result is not checked.
+    /// Applies the delta to a copy of `config`; the result is not validated.
     ///
     /// # Errors
     /// [`DeltaError`] if it does not fit.
     pub fn apply(&self, config: &Config) -> Result<Config, DeltaError> {
         let mut result = config.clone();
         for step in self.steps()? {
-            step.fits(&result)?;
+            step.check(&result)?;
             match step {
                 Step::Remove(key) => result.remove(key),
                 Step::Put(item) => result.put(item.clone()),
@@ -165,10 +173,10 @@
         Ok(result)
     }
 
-    /// Steps in the order in which they are taken.
+    /// Steps in the order of their application.
     pub(crate) fn steps(&self) -> Result<impl Iterator<Item = Step<'_>>, DeltaError> {
-        ascending(self.removed.iter().cloned())?;
-        ascending(self.put.iter().map(Item::key))?;
+        check_ascending(self.removed.iter().cloned())?;
+        check_ascending(self.put.iter().map(Item::key))?;
         let removed: BTreeSet<&ItemKey> = self.removed.iter().collect();
         for key in self.put.iter().map(Item::key) {
             ensure!(!removed.contains(&key), OrderSnafu { key });
@@ -178,7 +186,7 @@
     }
 }
 
-fn ascending(keys: impl Iterator<Item = ItemKey>) -> Result<(), DeltaError> {
+fn check_ascending(keys: impl Iterator<Item = ItemKey>) -> Result<(), DeltaError> {
     let mut last = None;
     for key in keys {
         ensure!(last.is_none_or(|l| l < key), OrderSnafu { key });
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -10,15 +10,15 @@
 /// Difference in one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Difference {
-    /// New item.
+    /// Item only in the new configuration.
     Added(Item),
-    /// Item gone.
+    /// Item only in the old configuration.
     Removed(Item),
-    /// Item with other fields.
+    /// Item whose fields differ.
     Changed {
-        /// As it was.
+        /// Old item.
         old: Item,
-        /// As it is.
+        /// New item.
         new: Item,
     },
 }
@@ -65,7 +65,7 @@
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// Differences that lead from `a` to `b`, in order of keys.
+/// Computes the differences from `a` to `b`, in order of keys.
 #[must_use]
 pub fn diff(a: &Config, b: &Config) -> Vec<Difference> {
     let keys: BTreeSet<ItemKey> = a.keys().chain(b.keys()).collect();
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -1,16 +1,17 @@
-//! Digest of a configuration, kept up to date item by item.
+//! Digest of a configuration, updated incrementally by item.
 //!
 //! Each item's canonical encoding is hashed by SHA-256, the hashes are summed mod 2^256, and the
 //! sum is hashed again. A change thus costs as many hashes as it has items, not as many as the
-//! configuration has. Ways weighed:
-//! - One SHA-256 over everything: 24,000 hashes a change.
-//! - XOR of the hashes: an item put in twice cancels out, and sets that cancel are found by linear
-//!   algebra.
-//! - A tree of hashes: as cheap, and safe against an author who searches for collisions, but with
-//!   inner nodes to keep.
-//! - The sum: one value to keep. An author with great effort could build two sets of the same sum;
-//!   who may append to the log can set any configuration anyway, so the digest guards against
-//!   accidents and faults of the code, not against them.
+//! configuration has. Alternatives considered:
+//! - One SHA-256 over everything: 24,000 hashes per change.
+//! - XOR of the hashes: an item added twice cancels out, and sets that cancel can be found by
+//!   linear algebra.
+//! - A Merkle tree: as cheap, and safe against an author who searches for collisions, but its inner
+//!   nodes have to be stored.
+//!
+//! Of the sum, only one value is stored. With great effort, an author could build two sets of the
+//! same sum. As anyone who may append to the log can set any configuration anyway, the digest only
+//! guards against accidents and faults of the code.
 //!
 //! The canonical encoding is `MessagePack` with field names of one [`Item`], with ordered maps and
 //! sets only. A new field in an item therefore changes digests, and needs a new format of records.
@@ -25,9 +26,9 @@
 use crate::key::hex;
 use crate::model::{Config, Item};
 
-const DOMAIN: &[u8] = b"pumicecleat configuration 1";
-const LIMBS: usize = 4;
-const LIMB: usize = 8;
+const DOMAIN_SEPARATOR: &[u8] = b"pumicecleat configuration 1";
+const LIMB_COUNT: usize = 4;
+const LIMB_BYTES: usize = 8;
 
 /// SHA-256 digest.
 #[serde_as]
@@ -41,7 +42,7 @@
     }
 }
 
-/// Digest of a configuration.
+/// Computes the digest of a configuration.
 #[must_use]
 pub fn digest(config: &Config) -> Digest {
     Sum::of(config).digest()
@@ -49,7 +50,7 @@
 
 /// Sum of items' hashes mod 2^256, least limb first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Sum([u64; LIMBS]);
+pub(crate) struct Sum([u64; LIMB_COUNT]);
 
 impl Sum {
     /// Sum over all items.
@@ -63,16 +64,16 @@
 
     /// Adds an item.
     pub(crate) fn add(&mut self, item: &Item) {
-        let other = limbs(item);
+        let other = hash_limbs(item);
         let mut carry = false;
         for (a, b) in self.0.iter_mut().zip(other) {
             (*a, carry) = a.carrying_add(b, carry);
         }
     }
 
-    /// Takes an item off.
+    /// Subtracts an item.
     pub(crate) fn sub(&mut self, item: &Item) {
-        let other = limbs(item);
+        let other = hash_limbs(item);
         let mut borrow = false;
         for (a, b) in self.0.iter_mut().zip(other) {
             (*a, borrow) = a.borrowing_sub(b, borrow);
@@ -82,7 +83,7 @@
     /// Digest of the sum.
     pub(crate) fn digest(self) -> Digest {
         let mut hasher = Sha256::new();
-        hasher.update(DOMAIN);
+        hasher.update(DOMAIN_SEPARATOR);
         for limb in self.0 {
             hasher.update(limb.to_le_bytes());
         }
@@ -90,17 +91,17 @@
     }
 }
 
-fn limbs(item: &Item) -> [u64; LIMBS] {
+fn hash_limbs(item: &Item) -> [u64; LIMB_COUNT] {
     let hash: [u8; 32] = Sha256::digest(encode(item)).into();
-    let mut limbs = [0; LIMBS];
-    for (limb, chunk) in limbs.iter_mut().zip(hash.chunks_exact(LIMB)) {
+    let mut limbs = [0; LIMB_COUNT];
+    for (limb, chunk) in limbs.iter_mut().zip(hash.chunks_exact(LIMB_BYTES)) {
         *limb = first_u64(chunk);
     }
     limbs
 }
 
 fn first_u64(bytes: &[u8]) -> u64 {
-    let mut out = [0; LIMB];
+    let mut out = [0; LIMB_BYTES];
     for (to, from) in out.iter_mut().zip(bytes) {
         *to = *from;
     }
@@ -108,8 +109,8 @@
 }
 
 impl Config {
-    /// Stamp of a version: digest of what makes it run (base, adapter, version, path). `None` if
-    /// it is not declared so.
+    /// Stamp of a version: hash of what identifies its weights (base, adapter, version, path).
+    /// `None` if it is not declared with that base.
     #[must_use]
     pub fn stamp(&self, lora: &Lora) -> Option<u64> {
         let adapter = self.adapters.get(&lora.adapter)?;
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a configuration: where, which field, and what is wrong.
+//! Validation faults of a configuration: place, field and problem.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 /// Line of a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Place {
-    /// File, as named by who read it.
+    /// File name, as given in the source.
     pub file: String,
     /// Line, from 1.
     pub line: usize,
@@ -23,7 +23,7 @@
 /// One fault.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// Where, if it comes from a file.
+    /// Place, if it comes from a file.
     pub place: Option<Place>,
     /// Path of the field; empty for the file as a whole.
     pub field: String,
@@ -43,7 +43,7 @@
     }
 }
 
-/// All faults of a configuration; displayed one a line.
+/// All faults of a configuration, displayed one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -65,32 +65,32 @@
     /// Not TOML.
     #[snafu(display("syntax error: {detail}"))]
     Syntax {
-        /// Parser's words.
+        /// Message of the parser.
         detail: String,
     },
     /// Not UTF-8.
     #[snafu(display("not UTF-8"))]
     Encoding,
-    /// Field or table that does not exist.
+    /// Field or table that is not part of the format.
     #[snafu(display("unknown field"))]
     UnknownField,
-    /// Required field left out.
+    /// Required field is missing.
     #[snafu(display("missing"))]
     Missing,
     /// Wrong type.
     #[snafu(display("expected {expected}, found {found}"))]
     Type {
-        /// Type wanted.
+        /// Expected type.
         expected: &'static str,
-        /// Type met.
+        /// Actual type.
         found: &'static str,
     },
-    /// Not one of the words allowed.
+    /// Not one of the allowed values.
     #[snafu(display("'{found}' is not one of {allowed}"))]
     NotAllowed {
-        /// Word met.
+        /// Actual value.
         found: String,
-        /// Words allowed.
+        /// Allowed values.
         allowed: &'static str,
     },
     /// Declared in two places.
@@ -99,14 +99,14 @@
         /// First place.
         first: Place,
     },
-    /// Outside the range allowed.
+    /// Outside the allowed range.
     #[snafu(display("{found} is not from {least} to {most}"))]
     Range {
-        /// Value met.
+        /// Actual value.
         found: String,
-        /// Least allowed.
+        /// Minimum.
         least: u64,
-        /// Most allowed.
+        /// Maximum.
         most: u64,
     },
     /// Empty text or list.
@@ -115,10 +115,10 @@
     /// Text too long.
     #[snafu(display("longer than {most} characters"))]
     TooLong {
-        /// Most allowed.
+        /// Maximum.
         most: usize,
     },
-    /// Id with other characters.
+    /// Id with characters that are not allowed.
     #[snafu(display("'{id}' has characters outside a-z, 0-9, '.', '_' and '-'"))]
     InvalidCharacters {
         /// Id.
@@ -127,28 +127,28 @@
     /// Not a SHA-256.
     #[snafu(display("'{hash}' is not a SHA-256 of 64 lower-case hex digits"))]
     InvalidHash {
-        /// Text met.
+        /// Actual value.
         hash: String,
     },
-    /// Key hash that another caller holds.
+    /// Key hash that another caller also has.
     #[snafu(display("key is held by caller '{other}' too"))]
     SharedKey {
         /// Other caller.
         other: String,
     },
-    /// Reference to nothing.
+    /// Reference to an item that is not declared.
     #[snafu(display("'{target}' is not declared"))]
     NotDeclared {
-        /// Item referred to.
+        /// Referenced item.
         target: String,
     },
-    /// Service on a pool of engines.
+    /// Service that refers to a pool of engines.
     #[snafu(display("pool '{pool}' is not of kind \"service\""))]
     PoolKind {
         /// Pool.
         pool: String,
     },
-    /// Prefix not in the one form allowed.
+    /// Path prefix that is not in canonical form.
     #[snafu(display(
         "'{prefix}' must start with '/', and not end with it or hold '//', '.' or '..' segments, '?', '#', '%' or '\\'"
     ))]
@@ -156,27 +156,27 @@
         /// Prefix.
         prefix: String,
     },
-    /// Two routes alike.
+    /// Two routes with the same method and prefix.
     #[snafu(display("same method and prefix as route {first}"))]
     DuplicateRoute {
-        /// First of them, from 0.
+        /// Index of the first, from 0.
         first: usize,
     },
-    /// Method not in capitals.
+    /// HTTP method that is not in upper case.
     #[snafu(display("'{method}' is not a method in capitals"))]
     InvalidMethod {
         /// Method.
         method: String,
     },
-    /// Default deadline above the longest.
+    /// Default deadline exceeds the longest one.
     #[snafu(display("{found} is above longest_ms, {longest}"))]
     DeadlineTooLong {
-        /// Default, milliseconds.
+        /// Default deadline, milliseconds.
         found: u64,
-        /// Longest, milliseconds.
+        /// Longest deadline, milliseconds.
         longest: u64,
     },
-    /// Both weights zero.
+    /// Both weights are zero.
     #[snafu(display("stall and batch must not both be 0"))]
     ZeroWeights,
 }
--- a/crates/config/src/fold/adopt.rs
+++ b/crates/config/src/fold/adopt.rs
@@ -1,4 +1,4 @@
-//! Snapshots: checked against the state held, or taken in place of an older one.
+//! Snapshots: checked against the current state, or used to replace an older one.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use super::Fold;
 use super::due::SnapshotProgress;
-use super::event::{FoldEvent, GapError, short};
+use super::event::{FoldEvent, GapError, truncated};
 use super::objection::SnapshotRejection;
 use super::record::{SettledChange, Snapshot};
 use super::view::{Checked, SnapshotView};
@@ -23,7 +23,7 @@
         /// Why.
         source: CodecError,
     },
-    /// A snapshot with faults.
+    /// An inconsistent or invalid snapshot.
     #[snafu(display("step snapshot: {objection}"))]
     Unusable {
         /// Why.
@@ -32,31 +32,31 @@
 }
 
 impl Fold {
-    /// Fold from a peer's snapshot.
+    /// Creates a fold from a peer's snapshot.
     ///
     /// # Errors
-    /// [`SnapshotError`] if it is not whole, consistent and free of faults.
+    /// [`SnapshotError`] if it is malformed, inconsistent or has faults.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let snapshot = decode::<Snapshot>(bytes).context(MalformedSnafu)?;
         Self::build(snapshot).map_err(|objection| SnapshotError::Unusable { objection })
     }
 
-    /// Takes a peer's snapshot in if it is newer than what is held; tells whether it was.
+    /// Replaces the state by a peer's snapshot if that is newer; returns whether it was.
     ///
     /// # Errors
-    /// [`SnapshotError`] if it can't be used, or contradicts the state held.
+    /// [`SnapshotError`] if it can't be used, or contradicts the current state.
     pub fn adopt_snapshot(&mut self, bytes: &[u8]) -> Result<bool, SnapshotError> {
         let snapshot = decode::<Snapshot>(bytes).context(MalformedSnafu)?;
         if snapshot.next <= self.next {
             return Ok(false);
         }
-        self.advance_to(snapshot)
+        self.replace_state(snapshot)
             .map_err(|objection| SnapshotError::Unusable { objection })?;
         Ok(true)
     }
 
-    /// Takes a snapshot record in that lies behind a gap.
-    pub(super) fn start(
+    /// Restores the state from a snapshot record that follows a gap.
+    pub(super) fn start_from_record(
         &mut self,
         record: &LogRecord,
         snapshot: Snapshot,
@@ -65,55 +65,59 @@
         if next <= self.next || next > record.offset {
             return self.gap(record);
         }
-        if let Err(objection) = self.advance_to(snapshot) {
+        if let Err(objection) = self.replace_state(snapshot) {
             return Ok(FoldEvent::Ignored(objection));
         }
-        self.mark.cover(next, record.at);
+        self.mark.reset_at(next, record.at);
         let revision = self.revision;
         Ok(FoldEvent::Restored { revision })
     }
 
-    /// Says whether a snapshot record agrees with the state held.
-    pub(super) fn compare(&mut self, record: &LogRecord, snapshot: &SnapshotView) -> FoldEvent {
-        if let Some(objection) = self.object(record.offset, snapshot) {
+    /// Checks a snapshot record against the current state.
+    pub(super) fn check_snapshot(
+        &mut self,
+        record: &LogRecord,
+        snapshot: &SnapshotView,
+    ) -> FoldEvent {
+        if let Some(objection) = self.find_conflict(record.offset, snapshot) {
             return FoldEvent::Ignored(objection);
         }
-        self.mark.cover(snapshot.next, record.at);
+        self.mark.reset_at(snapshot.next, record.at);
         FoldEvent::Confirmed
     }
 
-    /// Says whether the teller of a checked snapshot holds the same state. What the log holds is not
-    /// known from it, so that a snapshot remains due.
-    pub(super) fn confirm(&self, record: &LogRecord, checked: &Checked) -> FoldEvent {
+    /// Compares the current state with that of the peer that checked a snapshot. This doesn't show
+    /// what the log contains, so a due snapshot remains due.
+    pub(super) fn compare_checked(&self, record: &LogRecord, checked: &Checked) -> FoldEvent {
         let next = checked.next;
         if next > record.offset {
             return FoldEvent::Ignored(SnapshotRejection::InconsistentNumbers);
         }
-        match self.window.at(next) {
+        match self.window.revision_at(next) {
             None => FoldEvent::Ignored(SnapshotRejection::StateForgotten { next }),
             Some(known) if known == (checked.revision, checked.digest) => FoldEvent::Confirmed,
             Some(_) => FoldEvent::Ignored(SnapshotRejection::StateMismatch { next }),
         }
     }
 
-    fn object(&self, offset: u64, snapshot: &SnapshotView) -> Option<SnapshotRejection> {
+    fn find_conflict(&self, offset: u64, snapshot: &SnapshotView) -> Option<SnapshotRejection> {
         let next = snapshot.next;
-        let numbers = Numbers::new(snapshot.revision, next, &snapshot.mark);
-        if next > offset || !numbers.fit(&snapshot.window) {
+        let numbers = SnapshotNumbers::new(snapshot.revision, next, &snapshot.mark);
+        if next > offset || !numbers.are_consistent(&snapshot.window) {
             return Some(SnapshotRejection::InconsistentNumbers);
         }
-        let Some((revision, known)) = self.window.at(next) else {
+        let Some((revision, known)) = self.window.revision_at(next) else {
             return Some(SnapshotRejection::StateForgotten { next });
         };
         let same = revision == snapshot.revision && known == snapshot.digest;
-        if !same || !self.window.follows(&snapshot.window, next) {
+        if !same || !self.window.extends(&snapshot.window, next) {
             return Some(SnapshotRejection::StateMismatch { next });
         }
-        // Others will start from the body, so that it must be what its digest says.
+        // Other readers will start from the body, so it must match its digest.
         (snapshot.sum.digest() != snapshot.digest).then_some(SnapshotRejection::DigestMismatch)
     }
 
-    fn advance_to(&mut self, snapshot: Snapshot) -> Result<(), SnapshotRejection> {
+    fn replace_state(&mut self, snapshot: Snapshot) -> Result<(), SnapshotRejection> {
         let next = snapshot.next;
         let older = snapshot.revision < self.revision;
         let other = snapshot.revision == self.revision && snapshot.digest != self.digest();
@@ -125,13 +129,13 @@
     }
 
     fn build(snapshot: Snapshot) -> Result<Self, SnapshotRejection> {
-        let numbers = Numbers::new(snapshot.revision, snapshot.next, &snapshot.mark);
-        if !numbers.fit(&snapshot.window) {
+        let numbers = SnapshotNumbers::new(snapshot.revision, snapshot.next, &snapshot.mark);
+        if !numbers.are_consistent(&snapshot.window) {
             return Err(SnapshotRejection::InconsistentNumbers);
         }
         let state = State::new(snapshot.config).map_err(|faults| SnapshotRejection::Faulty {
             count: faults.len(),
-            first: faults.first().map(short).unwrap_or_default(),
+            first: faults.first().map(truncated).unwrap_or_default(),
         })?;
         if state.digest() != snapshot.digest {
             return Err(SnapshotRejection::DigestMismatch);
@@ -150,14 +154,14 @@
     }
 }
 
-/// Numbers of a snapshot.
-struct Numbers {
+/// Revision and offsets of a snapshot.
+struct SnapshotNumbers {
     revision: u64,
     next: u64,
     covered: u64,
 }
 
-impl Numbers {
+impl SnapshotNumbers {
     fn new(revision: u64, next: u64, mark: &SnapshotProgress) -> Self {
         let covered = mark.covered;
         Self {
@@ -167,13 +171,13 @@
         }
     }
 
-    /// Whether they may stand together, and with the window.
-    fn fit(&self, window: &[SettledChange]) -> bool {
-        let rising = window.is_sorted_by(|a, b| a.offset < b.offset);
+    /// Whether they are consistent with each other and with the window.
+    fn are_consistent(&self, window: &[SettledChange]) -> bool {
+        let ascending = window.is_sorted_by(|a, b| a.offset < b.offset);
         let within = window.last().is_none_or(|s| s.offset < self.next);
-        let reached = self.revision <= self.next && self.covered <= self.next;
+        let in_range = self.revision <= self.next && self.covered <= self.next;
         let ids: BTreeSet<_> = window.iter().map(|s| &s.id).collect();
         let unique = ids.len() == window.len() && window.len() <= VERDICT_WINDOW;
-        rising && within && reached && unique
+        ascending && within && in_range && unique
     }
 }
--- a/crates/config/src/fold/change.rs
+++ b/crates/config/src/fold/change.rs
@@ -1,18 +1,19 @@
 //! Verdicts on changes.
 
 use super::Fold;
-use super::event::{FoldEvent, RefusalCause, Verdict, short};
+use super::event::{FoldEvent, RefusalCause, Verdict, truncated};
 use super::record::{Change, SettledChange};
 use crate::model::ItemKey;
-use crate::state::Denial;
+use crate::state::ApplyError;
 
 impl Fold {
-    pub(super) fn judge(&mut self, offset: u64, change: Change) -> FoldEvent {
+    /// Decides on a change, and remembers the verdict.
+    pub(super) fn decide(&mut self, offset: u64, change: Change) -> FoldEvent {
         let id = change.id.clone();
         if self.window.verdict(&id).is_some() {
             return FoldEvent::AlreadySettled { id };
         }
-        let result = self.try_change(&change);
+        let result = self.try_apply(&change);
         let verdict = match &result {
             Ok(_) => {
                 self.revision = offset.saturating_add(1);
@@ -31,7 +32,7 @@
         let revision = self.revision;
         match result {
             Ok(touched) => {
-                self.window.reach(revision, self.state.digest());
+                self.window.record_revision(revision, self.state.digest());
                 FoldEvent::Accepted {
                     id,
                     revision,
@@ -42,20 +43,20 @@
         }
     }
 
-    fn try_change(&mut self, change: &Change) -> Result<Vec<ItemKey>, RefusalCause> {
+    fn try_apply(&mut self, change: &Change) -> Result<Vec<ItemKey>, RefusalCause> {
         if change.base != self.revision {
             return Err(RefusalCause::Stale {
                 base: change.base,
                 revision: self.revision,
             });
         }
-        let result = self.state.advance(&change.delta, change.digest);
-        result.map_err(|denial| match denial {
-            Denial::Delta(error) => RefusalCause::Delta {
-                detail: short(&error),
+        let result = self.state.apply(&change.delta, change.digest);
+        result.map_err(|error| match error {
+            ApplyError::Delta(error) => RefusalCause::Delta {
+                detail: truncated(&error),
             },
-            Denial::Faults(faults) => RefusalCause::faulty(&faults),
-            Denial::Digest => RefusalCause::Digest,
+            ApplyError::Faults(faults) => RefusalCause::faulty(&faults),
+            ApplyError::Digest => RefusalCause::Digest,
         })
     }
 }
--- a/crates/config/src/fold/event.rs
+++ b/crates/config/src/fold/event.rs
@@ -1,4 +1,4 @@
-//! What a fold says of a record.
+//! Results of applying a record to a fold.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -8,9 +8,10 @@
 use crate::fault::Fault;
 use crate::model::ItemKey;
 
-const DETAIL_LEN: usize = 200;
+/// Maximum length of an error message in a verdict.
+const MAX_DETAIL_CHARS: usize = 200;
 
-/// Word on a change.
+/// Decision on a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// In force from this revision on.
@@ -25,10 +26,10 @@
 /// Why a change was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 pub enum RefusalCause {
-    /// Made from another revision than the one in force.
+    /// Based on another revision than the one in force.
     #[snafu(display("made from revision {base}, but {revision} was in force"))]
     Stale {
-        /// Revision it was made from.
+        /// Revision it is based on.
         base: u64,
         /// Revision in force.
         revision: u64,
@@ -36,18 +37,18 @@
     /// Delta does not fit.
     #[snafu(display("{detail}"))]
     Delta {
-        /// Why, cut short.
+        /// Error message, truncated.
         detail: String,
     },
     /// Result has faults.
     #[snafu(display("{count} faults, the first: {first}"))]
     Faulty {
-        /// Faults.
+        /// Number of faults.
         count: u64,
-        /// First of them, cut short.
+        /// First fault, truncated.
         first: String,
     },
-    /// Result has another digest than stated.
+    /// Digest of the result differs from the stated one.
     #[snafu(display("result has another digest than stated"))]
     Digest,
 }
@@ -56,76 +57,76 @@
     pub(super) fn faulty(faults: &[Fault]) -> Self {
         Self::Faulty {
             count: faults.len() as u64,
-            first: faults.first().map(short).unwrap_or_default(),
+            first: faults.first().map(truncated).unwrap_or_default(),
         }
     }
 }
 
-/// Display of a value, cut to a length that a window of verdicts can hold.
-pub(super) fn short(value: &impl ToString) -> String {
-    value.to_string().chars().take(DETAIL_LEN).collect()
+/// Formats a value, truncated to limit the size of the verdicts in the window.
+pub(super) fn truncated(value: &impl ToString) -> String {
+    value.to_string().chars().take(MAX_DETAIL_CHARS).collect()
 }
 
-/// What became of a record.
+/// Result of applying a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FoldEvent {
-    /// Seen before; nothing changed.
+    /// Record was applied before; nothing changed.
     AlreadyApplied,
-    /// Change in force.
+    /// Change was accepted and is in force.
     Accepted {
-        /// Change.
+        /// Change id.
         id: ChangeId,
         /// Its revision.
         revision: u64,
-        /// Items it touched.
+        /// Keys of the items it touched.
         touched: Vec<ItemKey>,
     },
-    /// Change refused.
+    /// Change was refused.
     Refused {
-        /// Change.
+        /// Change id.
         id: ChangeId,
-        /// Why.
+        /// Reason.
         cause: RefusalCause,
     },
-    /// Change settled before; its first verdict holds.
+    /// Change was decided before; its first verdict stands.
     AlreadySettled {
-        /// Change.
+        /// Change id.
         id: ChangeId,
     },
-    /// Not a record; refused.
+    /// Not a valid record; skipped.
     Malformed {
         /// Offset.
         offset: u64,
-        /// Why.
+        /// Reason.
         detail: String,
     },
-    /// Record of a later format. The fold stays before it: this process must be upgraded.
+    /// Record of a newer format. The fold does not advance past it: this process must be upgraded.
     UnsupportedFormat {
         /// Offset.
         offset: u64,
         /// Format.
         format: u32,
     },
-    /// Snapshot that agrees with this fold.
+    /// Snapshot agrees with this fold.
     Confirmed,
-    /// Snapshot not used.
+    /// Snapshot was rejected.
     Ignored(SnapshotRejection),
-    /// Snapshot that started this fold, or took it over a gap; read on from [`super::Fold::next`].
+    /// Fold was started or moved past a gap by a snapshot; continue at [`super::Fold::next`].
     Restored {
-        /// Revision in force now.
+        /// New revision in force.
         revision: u64,
     },
 }
 
-/// Records were not seen and may be trimmed.
+/// Records before this one were not applied, and may have been trimmed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(
     display("step fold: wanted offset {wanted}, found {found}; a snapshot is needed"),
     visibility(pub(super))
 )]
 pub struct GapError {
-    /// Offset wanted.
+    /// Next offset of the fold.
     pub wanted: u64,
-    /// Offset found.
+    /// Offset of the record.
     pub found: u64,
 }
--- a/crates/config/src/fold/items.rs
+++ b/crates/config/src/fold/items.rs
@@ -1,5 +1,5 @@
-//! A configuration in a snapshot: a sequence of items, so that a reader can check its digest item
-//! by item without holding a second configuration.
+//! Encoding of a configuration in a snapshot as a sequence of items, so that a reader can compute
+//! its digest by item without a second configuration in memory.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -11,26 +11,26 @@
 use crate::digest::Sum;
 use crate::model::{Config, Item};
 
-/// What items are gathered into.
-trait Gather: Default {
-    fn take(&mut self, item: Item);
+/// Target of deserialized items.
+trait ItemSink: Default {
+    fn add_item(&mut self, item: Item);
 }
 
-impl Gather for Config {
-    fn take(&mut self, item: Item) {
+impl ItemSink for Config {
+    fn add_item(&mut self, item: Item) {
         self.put(item);
     }
 }
 
-impl Gather for Sum {
-    fn take(&mut self, item: Item) {
+impl ItemSink for Sum {
+    fn add_item(&mut self, item: Item) {
         self.add(&item);
     }
 }
 
-struct Gatherer<G>(PhantomData<G>);
+struct ItemVisitor<G>(PhantomData<G>);
 
-impl<'de, G: Gather> Visitor<'de> for Gatherer<G> {
+impl<'de, G: ItemSink> Visitor<'de> for ItemVisitor<G> {
     type Value = G;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -38,11 +38,11 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<G, A::Error> {
-        let mut gathered = G::default();
+        let mut sink = G::default();
         while let Some(item) = seq.next_element()? {
-            gathered.take(item);
+            sink.add_item(item);
         }
-        Ok(gathered)
+        Ok(sink)
     }
 }
 
@@ -56,10 +56,10 @@
 }
 
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Config, D::Error> {
-    deserializer.deserialize_seq(Gatherer(PhantomData))
+    deserializer.deserialize_seq(ItemVisitor(PhantomData))
 }
 
-/// Sum of the items' digests.
+/// Deserializes the items into the sum of their hashes only.
 pub(super) fn sum<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Sum, D::Error> {
-    deserializer.deserialize_seq(Gatherer(PhantomData))
+    deserializer.deserialize_seq(ItemVisitor(PhantomData))
 }
--- a/crates/config/src/fold/mod.rs
+++ b/crates/config/src/fold/mod.rs
@@ -1,21 +1,21 @@
 //! The fold over the log's `config` stream: which configuration is in force.
 //!
-//! Every reader folds the same records in the order of their offsets and so comes to the same
-//! verdicts, without asking anyone. A change is accepted only if the revision it was made from is
-//! the one in force, its delta fits, and the result is free of faults and has the digest stated.
-//! Of operators that race, one wins; the others' changes are refused, and nothing is undone.
+//! Every reader applies the same records in the order of their offsets and so reaches the same
+//! verdicts without coordination. A change is accepted only if the revision it is based on is the
+//! one in force, its delta fits, and the result is valid and has the stated digest. If operators
+//! race, one wins; the changes of the others are refused, and nothing is rolled back.
 //!
 //! The revision is the offset of the last accepted change, plus one; 0 means nothing was accepted
-//! yet. A count would name it as well, but an offset is known to whoever reads the log, whether or
-//! not its beginning is still kept, and it says where to find the change.
+//! yet. A count would identify it as well, but an offset is known to any reader of the log, even if
+//! its beginning has been trimmed, and it locates the change.
 //!
-//! A change that comes twice (its author's retry after a lost reply) has one verdict, the first.
-//! The fold remembers the verdicts of the last [`VERDICT_WINDOW`] changes; the window is part of what
-//! snapshots carry, so that late readers give the same verdicts.
+//! A change that is appended twice (retried by its author after a lost reply) keeps its first
+//! verdict. The fold remembers the verdicts of the last [`VERDICT_WINDOW`] changes; this window is
+//! part of snapshots, so that readers that start late reach the same verdicts.
 //!
-//! A snapshot record of the log is checked by those who hold the state it covers, and starts those
-//! who don't. The reader of a fold that has just started reads on from [`Fold::next`], which may
-//! be before the snapshot record's own offset.
+//! A snapshot record of the log is checked by readers that know the state it covers, and is the
+//! starting point of those that don't. After a start, the reader continues at [`Fold::next`], which
+//! may be before the snapshot record's own offset.
 
 mod adopt;
 mod change;
@@ -65,7 +65,7 @@
 }
 
 impl Fold {
-    /// Fold before the first record of the log.
+    /// Creates a fold that has applied no records.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -96,7 +96,7 @@
     }
 
     /// Digest that the configuration in force would have after a delta, for the author of a
-    /// change; neither fit nor result are checked.
+    /// change; validates neither the delta nor the result.
     ///
     /// # Errors
     /// [`DeltaError`] if the delta's keys are out of order.
@@ -104,7 +104,7 @@
         self.state.digest_after(delta)
     }
 
-    /// Offset of the record wanted next.
+    /// Offset of the next record to apply.
     #[must_use]
     pub fn next(&self) -> u64 {
         self.next
@@ -116,18 +116,18 @@
         self.window.verdict(id)
     }
 
-    /// Takes the next record in. Records before [`Fold::next`] change nothing.
+    /// Applies the next record. Records before [`Fold::next`] change nothing.
     ///
     /// # Errors
-    /// [`GapError`] if records before this one were not seen and it can't make up for them: the
-    /// reader needs those records or a snapshot.
+    /// [`GapError`] if earlier records are missing and this one is no snapshot that covers them:
+    /// the reader needs those records or a snapshot.
     pub fn apply(&mut self, record: &LogRecord) -> Result<FoldEvent, GapError> {
         if record.offset < self.next {
             return Ok(FoldEvent::AlreadyApplied);
         }
         if record.offset > self.next {
             return match Record::from_bytes(&record.data) {
-                Ok(Record::Snapshot(snapshot)) => self.start(record, *snapshot),
+                Ok(Record::Snapshot(snapshot)) => self.start_from_record(record, *snapshot),
                 _ => self.gap(record),
             };
         }
@@ -139,9 +139,9 @@
         self.next = record.offset.saturating_add(1);
         self.mark.count(record);
         Ok(match decoded {
-            Ok(RecordView::Change(change)) => self.judge(record.offset, *change),
-            Ok(RecordView::Snapshot(view)) => self.compare(record, &view),
-            Ok(RecordView::Checked(checked)) => self.confirm(record, &checked),
+            Ok(RecordView::Change(change)) => self.decide(record.offset, *change),
+            Ok(RecordView::Snapshot(view)) => self.check_snapshot(record, &view),
+            Ok(RecordView::Checked(checked)) => self.compare_checked(record, &checked),
             Err(error) => FoldEvent::Malformed {
                 offset: record.offset,
                 detail: error.to_string(),
@@ -149,11 +149,11 @@
         })
     }
 
-    /// Takes the next record in, a snapshot that a scan has come to the end of; the same as
+    /// Applies the next record, a snapshot whose scan is complete, with the same result as
     /// [`Fold::apply`].
     ///
     /// # Errors
-    /// [`GapError`] as there.
+    /// [`GapError`], as for [`Fold::apply`].
     pub fn apply_scanned(
         &mut self,
         record: &LogRecord,
@@ -164,7 +164,7 @@
         };
         self.next = record.offset.saturating_add(1);
         self.mark.count(record);
-        Ok(self.compare(record, &view))
+        Ok(self.check_snapshot(record, &view))
     }
 
     fn gap<T>(&self, record: &LogRecord) -> Result<T, GapError> {
@@ -173,7 +173,7 @@
         GapSnafu { wanted, found }.fail()
     }
 
-    /// Whole state, with a configuration of its own.
+    /// Returns the whole state, with a copy of the configuration.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
--- a/crates/config/src/fold/objection.rs
+++ b/crates/config/src/fold/objection.rs
@@ -1,34 +1,34 @@
-//! What speaks against a snapshot.
+//! Reasons to reject a snapshot.
 
 use snafu::Snafu;
 
-/// Why a snapshot is not used.
+/// Reason that a snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SnapshotRejection {
-    /// Its numbers contradict each other or the record's offset.
+    /// Its revision and offsets contradict each other or the record's offset.
     #[snafu(display("numbers contradict each other"))]
     InconsistentNumbers,
-    /// Its body has another digest than stated.
+    /// The digest of its body differs from the stated one.
     #[snafu(display("body has another digest than stated"))]
     DigestMismatch,
     /// Its configuration has faults.
     #[snafu(display("{count} faults, the first: {first}"))]
     Faulty {
-        /// Faults.
+        /// Number of faults.
         count: usize,
-        /// First of them, cut short.
+        /// First fault, truncated.
         first: String,
     },
-    /// It contradicts the state held here.
+    /// It contradicts the state of this fold.
     #[snafu(display("contradicts the state at offset {next}"))]
     StateMismatch {
-        /// Offset it claims to cover up to.
+        /// Offset that it claims to cover up to.
         next: u64,
     },
-    /// It covers a state that is forgotten here.
+    /// It covers a state that this fold no longer remembers.
     #[snafu(display("covers offset {next}, which is forgotten here"))]
     StateForgotten {
-        /// Offset it claims to cover up to.
+        /// Offset that it claims to cover up to.
         next: u64,
     },
 }
--- a/crates/config/src/fold/record.rs
+++ b/crates/config/src/fold/record.rs
@@ -1,7 +1,7 @@
 //! Records of the `config` stream.
 //!
-//! A record names its format. Readers of different versions must not come to different verdicts,
-//! so that one who meets a later format judges nothing from there on.
+//! A record states its format. Readers of different versions must not reach different verdicts, so
+//! a reader that meets a newer format stops there.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -19,23 +19,23 @@
 use crate::digest::{Digest, digest};
 use crate::model::{Config, Item};
 
-/// Latest format of records, raised with any change of what they hold or of how digests are made.
-const FORMAT: u32 = 2;
-/// Format of records that hold no pool with keys in several parts: older readers know these.
-const PLAIN: u32 = 1;
+/// Latest record format; incremented with any change to the content of records or to digests.
+const LATEST_FORMAT: u32 = 2;
+/// Format of records without pools whose keys have several parts, which older readers support.
+const SINGLE_PART_FORMAT: u32 = 1;
 const MAGIC: &str = "pumicecleat config record";
-const ID_LEN: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
-/// Unique id of a change, given by its author; at most 64 bytes, not empty.
+/// Unique id of a change, chosen by its author; 1 to 64 bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ChangeId(String);
 
-/// Not an id of a change.
+/// Invalid change id.
 #[derive(Debug, Snafu)]
-#[snafu(display("step change id: {bytes} bytes, must be from 1 to {ID_LEN}"))]
+#[snafu(display("step change id: {bytes} bytes, must be from 1 to {MAX_ID_BYTES}"))]
 pub struct ChangeIdError {
-    /// Length.
+    /// Length, bytes.
     pub bytes: usize,
 }
 
@@ -44,7 +44,7 @@
 
     fn try_from(id: String) -> Result<Self, ChangeIdError> {
         let bytes = id.len();
-        ensure!((1..=ID_LEN).contains(&bytes), ChangeIdSnafu { bytes });
+        ensure!((1..=MAX_ID_BYTES).contains(&bytes), ChangeIdSnafu { bytes });
         Ok(Self(id))
     }
 }
@@ -66,20 +66,20 @@
 pub struct Change {
     /// Id.
     pub id: ChangeId,
-    /// Revision it was made from.
+    /// Revision it is based on.
     pub base: u64,
-    /// Change against it.
+    /// Delta from that revision.
     pub delta: Delta,
-    /// Digest of the result.
+    /// Digest of the resulting configuration.
     pub digest: Digest,
     /// Author.
     pub author: String,
-    /// Note for people.
+    /// Free-form note.
     pub note: String,
 }
 
 impl Change {
-    /// Change from the configuration `from` of revision `base` to `to`, without note.
+    /// Creates a change from the configuration `from` at revision `base` to `to`, without a note.
     #[must_use]
     pub fn new(id: ChangeId, base: u64, from: &Config, to: &Config, author: &str) -> Self {
         Self {
@@ -93,10 +93,10 @@
     }
 }
 
-/// A change that the log has settled.
+/// A change with its verdict.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettledChange {
-    /// Change.
+    /// Change id.
     pub id: ChangeId,
     /// Offset of its record.
     pub offset: u64,
@@ -104,7 +104,7 @@
     pub verdict: Verdict,
 }
 
-/// Whole state of a fold.
+/// Complete state of a fold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Revision in force.
@@ -116,9 +116,9 @@
     /// Configuration.
     #[serde(with = "items")]
     pub config: Config,
-    /// Changes settled last, by offset.
+    /// Last changes decided, by offset.
     pub window: Vec<SettledChange>,
-    /// What the next snapshot waits for.
+    /// Progress towards the next snapshot.
     pub mark: SnapshotProgress,
 }
 
@@ -131,7 +131,7 @@
     Snapshot(Box<Snapshot>),
 }
 
-/// Record as it stands in the log.
+/// Encoding of a record in the log.
 #[serde_as]
 #[derive(Serialize, Deserialize)]
 struct Envelope<'r> {
@@ -142,16 +142,16 @@
     body: Cow<'r, [u8]>,
 }
 
-/// Bytes that are not a record known here.
+/// Error in decoding a record.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// Written by a later version, which alone knows how to judge it.
-    #[snafu(display("step record: format {format} is newer than {FORMAT}"))]
+    /// Written by a newer version in a format that this one does not support.
+    #[snafu(display("step record: format {format} is newer than {LATEST_FORMAT}"))]
     UnsupportedFormat {
         /// Format.
         format: u32,
     },
-    /// Something else in an envelope alike.
+    /// Envelope of another kind of data.
     #[snafu(display("step record: no record of this stream"))]
     Foreign,
     /// Not a record.
@@ -163,50 +163,55 @@
 }
 
 impl Record {
-    /// Bytes for the log.
+    /// Encodes the record for the log.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
-        let parted = match self {
-            Self::Change(change) => change.delta.put.iter().any(is_parted),
-            Self::Snapshot(snapshot) => has_parted(&snapshot.config),
+        let several_parts = match self {
+            Self::Change(change) => change.delta.put.iter().any(item_has_several_parts),
+            Self::Snapshot(snapshot) => config_has_several_parts(&snapshot.config),
         };
-        seal(self, parted)
+        encode_envelope(self, several_parts)
     }
 
-    /// Record from the log.
+    /// Decodes a record from the log.
     ///
     /// # Errors
-    /// [`RecordError`] if it is none, or of a later format.
+    /// [`RecordError`] if it is malformed or of a newer format.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, RecordError> {
-        open(bytes)
+        decode_record(bytes)
     }
 }
 
-fn is_parted(item: &Item) -> bool {
+fn item_has_several_parts(item: &Item) -> bool {
     matches!(item, Item::Pool(_, pool) if pool.parts() > 1)
 }
 
-/// Whether a pool has its keys in several parts, of which readers of the first format don't know.
-pub(super) fn has_parted(config: &Config) -> bool {
+/// Whether some pool has its keys in several parts, which readers of the first format don't
+/// support.
+pub(super) fn config_has_several_parts(config: &Config) -> bool {
     config.pools.values().any(|p| p.parts() > 1)
 }
 
-/// Bytes of a record in its envelope.
-pub(super) fn seal<R: Serialize>(record: &R, parted: bool) -> Vec<u8> {
+/// Encodes a record in an envelope.
+pub(super) fn encode_envelope<R: Serialize>(record: &R, several_parts: bool) -> Vec<u8> {
     encode(&Envelope {
         magic: MAGIC.to_owned(),
-        format: if parted { FORMAT } else { PLAIN },
+        format: if several_parts {
+            LATEST_FORMAT
+        } else {
+            SINGLE_PART_FORMAT
+        },
         body: encode(record).into(),
     })
 }
 
-/// Record from its envelope.
-pub(super) fn open<R: DeserializeOwned>(bytes: &[u8]) -> Result<R, RecordError> {
-    decode(&unseal(bytes)?).context(MalformedSnafu)
+/// Decodes a record in an envelope.
+pub(super) fn decode_record<R: DeserializeOwned>(bytes: &[u8]) -> Result<R, RecordError> {
+    decode(&open_envelope(bytes)?).context(MalformedSnafu)
 }
 
-/// Encoded record in an envelope of a format known here.
-pub(super) fn unseal(bytes: &[u8]) -> Result<Cow<'_, [u8]>, RecordError> {
+/// Decodes an envelope; returns the encoded record if its format is supported.
+pub(super) fn open_envelope(bytes: &[u8]) -> Result<Cow<'_, [u8]>, RecordError> {
     let envelope: Envelope<'_> = decode(bytes).context(MalformedSnafu)?;
     let Envelope {
         magic,
@@ -214,6 +219,6 @@
         body,
     } = envelope;
     ensure!(magic == MAGIC, ForeignSnafu);
-    ensure!(format <= FORMAT, UnsupportedFormatSnafu { format });
+    ensure!(format <= LATEST_FORMAT, UnsupportedFormatSnafu { format });
     Ok(body)
 }
--- a/crates/config/src/fold/scan.rs
+++ b/crates/config/src/fold/scan.rs
@@ -1,27 +1,26 @@
-//! The check of a snapshot record in slices, so that a loop has other work between them.
+//! Incremental check of a snapshot record, so that an event loop can do other work in between.
 //!
-//! It takes the layout that [`Fold::snapshot_record`](super::Fold::snapshot_record) writes. Of any
-//! other bytes a scan says nothing, and the record is judged in one step, so that the way of reading
-//! changes no verdict.
+//! A scan supports the layout that [`Fold::snapshot_record`](super::Fold::snapshot_record) writes.
+//! Any other record is checked in one step, so that scanning does not affect the result.
 
 use serde::de::DeserializeOwned;
 
-use super::record::{SettledChange, unseal};
+use super::record::{SettledChange, open_envelope};
 use super::view::SnapshotView;
 use crate::digest::{Digest, Sum};
 use crate::model::Item;
 
-/// Variant of a snapshot.
-const VARIANT: &str = "Snapshot";
+/// Name of the record variant of a snapshot.
+const SNAPSHOT_VARIANT: &str = "Snapshot";
 
-/// Fields of a snapshot, as written.
-const FIELDS: u32 = 6;
+/// Number of fields of an encoded snapshot.
+const FIELD_COUNT: u32 = 6;
 
-/// A snapshot record that is read from the start on.
+/// Incremental scan of a snapshot record.
 #[derive(Debug)]
 pub struct SnapshotScan<'r> {
     rest: &'r [u8],
-    left: u32,
+    remaining: u32,
     revision: u64,
     next: u64,
     digest: Digest,
@@ -29,29 +28,29 @@
 }
 
 impl<'r> SnapshotScan<'r> {
-    /// Scan of a record's bytes; `None` if it is no snapshot as written here.
+    /// Starts the scan of a record; `None` if it is not a snapshot of the supported layout.
     #[must_use]
     pub fn open(bytes: &'r [u8]) -> Option<Self> {
-        let std::borrow::Cow::Borrowed(body) = unseal(bytes).ok()? else {
+        let std::borrow::Cow::Borrowed(body) = open_envelope(bytes).ok()? else {
             return None;
         };
         let mut rest = body;
         let variants = rmp::decode::read_map_len(&mut rest).ok()?;
-        if variants != 1 || value::<String>(&mut rest)? != VARIANT {
+        if variants != 1 || read_value::<String>(&mut rest)? != SNAPSHOT_VARIANT {
             return None;
         }
         let fields = rmp::decode::read_map_len(&mut rest).ok()?;
-        if fields != FIELDS {
+        if fields != FIELD_COUNT {
             return None;
         }
-        let revision = field(&mut rest, "revision")?;
-        let next = field(&mut rest, "next")?;
-        let digest = field(&mut rest, "digest")?;
-        key(&mut rest, "config")?;
-        let left = rmp::decode::read_array_len(&mut rest).ok()?;
+        let revision = read_field(&mut rest, "revision")?;
+        let next = read_field(&mut rest, "next")?;
+        let digest = read_field(&mut rest, "digest")?;
+        expect_key(&mut rest, "config")?;
+        let remaining = rmp::decode::read_array_len(&mut rest).ok()?;
         Some(Self {
             rest,
-            left,
+            remaining,
             revision,
             next,
             digest,
@@ -59,25 +58,25 @@
         })
     }
 
-    /// Takes up to so many items in; tells whether more are left. Ends early at a malformed one.
+    /// Reads up to `items` items; returns whether more are left. Stops at a malformed one.
     pub fn step(&mut self, items: u32) -> bool {
-        for _ in 0..items.min(self.left) {
-            let Some(item) = value::<Item>(&mut self.rest) else {
+        for _ in 0..items.min(self.remaining) {
+            let Some(item) = read_value::<Item>(&mut self.rest) else {
                 return false;
             };
             self.sum.add(&item);
-            self.left -= 1;
+            self.remaining -= 1;
         }
-        self.left > 0
+        self.remaining > 0
     }
 
-    /// What was read; `None` if it is not whole.
+    /// Returns the snapshot; `None` if it is incomplete or malformed.
     pub(super) fn finish(mut self) -> Option<SnapshotView> {
-        if self.left > 0 {
+        if self.remaining > 0 {
             return None;
         }
-        let window: Vec<SettledChange> = field(&mut self.rest, "window")?;
-        let mark = field(&mut self.rest, "mark")?;
+        let window: Vec<SettledChange> = read_field(&mut self.rest, "window")?;
+        let mark = read_field(&mut self.rest, "mark")?;
         Some(SnapshotView {
             revision: self.revision,
             next: self.next,
@@ -89,16 +88,16 @@
     }
 }
 
-fn field<T: DeserializeOwned>(rest: &mut &[u8], name: &str) -> Option<T> {
-    key(rest, name)?;
-    value(rest)
+fn read_field<T: DeserializeOwned>(rest: &mut &[u8], name: &str) -> Option<T> {
+    expect_key(rest, name)?;
+    read_value(rest)
 }
 
-fn key(rest: &mut &[u8], name: &str) -> Option<()> {
-    (value::<String>(rest)? == name).then_some(())
+fn expect_key(rest: &mut &[u8], name: &str) -> Option<()> {
+    (read_value::<String>(rest)? == name).then_some(())
 }
 
-/// Next value; the rest starts behind it.
-fn value<T: DeserializeOwned>(rest: &mut &[u8]) -> Option<T> {
+/// Decodes the next value, and advances `rest` past it.
+fn read_value<T: DeserializeOwned>(rest: &mut &[u8]) -> Option<T> {
     T::deserialize(&mut rmp_serde::Deserializer::new(rest)).ok()
 }
--- a/crates/config/src/fold/view.rs
+++ b/crates/config/src/fold/view.rs
@@ -1,15 +1,17 @@
-//! Snapshots without a configuration of their own: written from a fold, or checked by one.
+//! Snapshots without a copy of the configuration, for encoding from a fold and for checks.
 
 use pumicecleat_types::encode;
 use serde::{Deserialize, Serialize};
 
 use super::due::SnapshotProgress;
-use super::record::{Change, SettledChange, has_parted, open, seal};
+use super::record::{
+    Change, SettledChange, config_has_several_parts, decode_record, encode_envelope,
+};
 use super::{Fold, RecordError, items};
 use crate::digest::{Digest, Sum};
 use crate::model::Config;
 
-/// Record as a reader in step needs it.
+/// Record as decoded by a reader without a gap.
 #[derive(Deserialize)]
 pub(super) enum RecordView {
     Change(Box<Change>),
@@ -17,8 +19,8 @@
     Checked(Checked),
 }
 
-/// What stands for a snapshot record that its teller has checked, for readers that hold the state:
-/// it never stands in the log.
+/// Replacement for a snapshot record that the sending peer has checked, for readers that have the
+/// state already. Never written to the log.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Checked {
     pub(super) revision: u64,
@@ -28,11 +30,11 @@
 
 impl RecordView {
     pub(super) fn from_bytes(bytes: &[u8]) -> Result<Self, RecordError> {
-        open(bytes)
+        decode_record(bytes)
     }
 }
 
-/// Snapshot whose items are summed only.
+/// Snapshot of which only the sum of the items is kept.
 #[derive(Deserialize)]
 pub(super) struct SnapshotView {
     pub(super) revision: u64,
@@ -44,7 +46,7 @@
     pub(super) mark: SnapshotProgress,
 }
 
-/// Snapshot written from a fold, with the fields of [`super::Snapshot`].
+/// Snapshot encoded from a fold, with the fields of [`super::Snapshot`].
 #[derive(Serialize)]
 struct SnapshotRef<'f> {
     revision: u64,
@@ -56,7 +58,7 @@
     mark: &'f SnapshotProgress,
 }
 
-/// Record written from a fold, with the variant of [`super::Record`].
+/// Record encoded from a fold, with the snapshot variant of [`super::Record`].
 #[derive(Serialize)]
 enum RecordRef<'f> {
     Snapshot(SnapshotRef<'f>),
@@ -64,23 +66,24 @@
 }
 
 impl Fold {
-    /// Whole state, encoded for peers.
+    /// Encodes the complete state for peers.
     #[must_use]
     pub fn snapshot_bytes(&self) -> Vec<u8> {
         encode(&self.view())
     }
 
-    /// Whole state as a record, encoded for the log.
+    /// Encodes the complete state as a record for the log.
     #[must_use]
     pub fn snapshot_record(&self) -> Vec<u8> {
-        let parted = has_parted(self.config());
-        seal(&RecordRef::Snapshot(self.view()), parted)
+        let several_parts = config_has_several_parts(self.config());
+        encode_envelope(&RecordRef::Snapshot(self.view()), several_parts)
     }
 
-    /// Record that stands, at offset `at` in what peers are told, for a snapshot checked here.
+    /// Encodes the record that replaces, at offset `at` in the records sent to peers, a snapshot
+    /// that this fold has checked.
     #[must_use]
     pub fn checked_record(&self, at: u64) -> Vec<u8> {
-        seal(
+        encode_envelope(
             &RecordRef::Checked(Checked {
                 revision: self.revision,
                 next: at,
--- a/crates/config/src/fold/window.rs
+++ b/crates/config/src/fold/window.rs
@@ -1,4 +1,4 @@
-//! Verdicts on the last changes, and digests of the last revisions.
+//! Verdicts on recent changes, and digests of recent revisions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,15 +6,15 @@
 use super::record::{ChangeId, SettledChange};
 use crate::digest::Digest;
 
-/// Changes whose verdicts are remembered: more than half an hour of 39,000 a day.
+/// Number of changes whose verdicts are remembered: more than half an hour at 39,000 per day.
 pub const VERDICT_WINDOW: usize = 1024;
 
-/// Last verdicts, oldest first.
+/// Recent verdicts, oldest first, and the digests of recent revisions.
 #[derive(Clone, Debug)]
 pub(super) struct Window {
     settled: VecDeque<SettledChange>,
     ids: BTreeMap<ChangeId, Verdict>,
-    reached: BTreeMap<u64, Digest>,
+    revisions: BTreeMap<u64, Digest>,
 }
 
 impl Default for Window {
@@ -24,12 +24,12 @@
 }
 
 impl Window {
-    /// Window without verdicts, at a revision.
+    /// Creates a window without verdicts, at a revision.
     pub(super) fn new(revision: u64, digest: Digest) -> Self {
         Self {
             settled: VecDeque::new(),
             ids: BTreeMap::new(),
-            reached: BTreeMap::from([(revision, digest)]),
+            revisions: BTreeMap::from([(revision, digest)]),
         }
     }
 
@@ -46,17 +46,18 @@
         }
     }
 
-    /// Notes a revision's digest.
-    pub(super) fn reach(&mut self, revision: u64, digest: Digest) {
-        self.reached.insert(revision, digest);
-        if self.reached.len() > VERDICT_WINDOW {
-            self.reached.pop_first();
+    /// Adds a revision with its digest.
+    pub(super) fn record_revision(&mut self, revision: u64, digest: Digest) {
+        self.revisions.insert(revision, digest);
+        if self.revisions.len() > VERDICT_WINDOW {
+            self.revisions.pop_first();
         }
     }
 
-    /// Revision in force before the record at `next`, with its digest, if still known.
-    pub(super) fn at(&self, next: u64) -> Option<(u64, Digest)> {
-        let (revision, digest) = self.reached.range(..=next).next_back()?;
+    /// Returns the revision in force before the record at `next` and its digest, if still
+    /// remembered.
+    pub(super) fn revision_at(&self, next: u64) -> Option<(u64, Digest)> {
+        let (revision, digest) = self.revisions.range(..=next).next_back()?;
         Some((*revision, *digest))
     }
 
@@ -64,8 +65,8 @@
         self.settled.iter().cloned().collect()
     }
 
-    /// Whether a window as of `next` may be followed by this one.
-    pub(super) fn follows(&self, earlier: &[SettledChange], next: u64) -> bool {
+    /// Whether this window may result from the window `earlier` as of offset `next`.
+    pub(super) fn extends(&self, earlier: &[SettledChange], next: u64) -> bool {
         let shared = self.settled.iter().take_while(|s| s.offset < next);
         let count = shared.clone().count();
         let Some(skipped) = earlier.len().checked_sub(count) else {
--- a/crates/config/src/key.rs
+++ b/crates/config/src/key.rs
@@ -1,8 +1,8 @@
-//! Bearer keys: kept as SHA-256 only, found by an index, compared in constant time.
+//! Bearer keys: stored as SHA-256 only, looked up in an index, compared in constant time.
 //!
-//! The index is ordered by the first eight bytes of the digest. How long a lookup takes may tell
-//! something of those bytes, which tells nothing of a key: digests of guesses can't be steered.
-//! What the index finds is compared in constant time.
+//! The index is ordered by the first eight bytes of the digest. Lookup time may leak something
+//! about those bytes, but that reveals nothing about a key, as an attacker can't choose the digest
+//! of a guess. Matches in the index are compared in constant time.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +12,11 @@
 
 use crate::model::{Caller, Config};
 
-/// Characters of a SHA-256 in hex.
-pub(crate) const HASH_LEN: usize = 64;
+/// Length of a SHA-256 in hex.
+pub(crate) const HASH_HEX_CHARS: usize = 64;
 
-const PREFIX: usize = 16;
+/// Hex digits of the hash that select a bucket, eight bytes.
+const PREFIX_CHARS: usize = 16;
 
 /// SHA-256 of a bearer key, lower-case hex.
 #[must_use]
@@ -23,7 +24,7 @@
     hex(&Sha256::digest(bearer.as_bytes()))
 }
 
-/// Lower-case hex.
+/// Encodes bytes as lower-case hex.
 pub(crate) fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write as _;
     bytes.iter().fold(String::new(), |mut out, b| {
@@ -32,14 +33,14 @@
     })
 }
 
-/// Callers by the hash of their keys.
+/// Index of callers by the hashes of their keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
     buckets: BTreeMap<String, Vec<(String, CallerId)>>,
 }
 
 impl KeyIndex {
-    /// Index of a configuration's callers.
+    /// Builds the index of a configuration's callers.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let mut index = Self::default();
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes a caller's keys out.
+    /// Removes a caller's keys.
     pub fn remove(&mut self, id: &CallerId, caller: &Caller) {
         for hash in &caller.keys {
             let Some(bucket) = self.buckets.get_mut(prefix(hash)) else {
@@ -70,13 +71,13 @@
         }
     }
 
-    /// Caller that holds a bearer key.
+    /// Returns the caller with this bearer key.
     #[must_use]
     pub fn caller(&self, bearer: &str) -> Option<&CallerId> {
         let hash = hash_key(bearer);
         let bucket = self.buckets.get(prefix(&hash))?;
         bucket.iter().fold(None, |found, (known, id)| {
-            if bool::from(same(known, &hash)) {
+            if bool::from(ct_eq_hash(known, &hash)) {
                 Some(id)
             } else {
                 found
@@ -86,17 +87,17 @@
 }
 
 impl Config {
-    /// Caller that holds a bearer key, by comparing all keys; [`KeyIndex`] is for many lookups.
+    /// Returns the caller with this bearer key, by comparing all keys. Use [`KeyIndex`] for
+    /// repeated lookups.
     #[must_use]
     pub fn caller_by_key(&self, bearer: &str) -> Option<&CallerId> {
         let hash = hash_key(bearer);
         let mut found = None;
         for (id, caller) in &self.callers {
-            let held = caller
-                .keys
-                .iter()
-                .fold(Choice::from(0), |held, known| held | same(known, &hash));
-            if bool::from(held) {
+            let matches = caller.keys.iter().fold(Choice::from(0), |matches, known| {
+                matches | ct_eq_hash(known, &hash)
+            });
+            if bool::from(matches) {
                 found = Some(id);
             }
         }
@@ -104,10 +105,10 @@
     }
 }
 
-fn same(a: &str, b: &str) -> Choice {
+fn ct_eq_hash(a: &str, b: &str) -> Choice {
     a.as_bytes().ct_eq(b.as_bytes())
 }
 
 fn prefix(hash: &str) -> &str {
-    hash.get(..PREFIX).unwrap_or(hash)
+    hash.get(..PREFIX_CHARS).unwrap_or(hash)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! Declarative configuration: parse, check, compare, and the fold over the log that decides what
-//! is in force.
+//! Declarative configuration: parsing, validation, comparison, and the fold over the log that
+//! determines which configuration is in force.
 //!
-//! [`parse`] makes one [`model::Config`] of several TOML files, or reports all faults by file,
-//! line and field. [`diff`] and [`Delta`] tell how two configurations differ, and [`digest`] is
-//! the same for equal ones. A [`Change`] carries a delta through the platform's log; every reader
-//! has a [`Fold`], and all folds come to the same [`Verdict`].
+//! [`parse`] builds one [`model::Config`] from several TOML files, or reports all faults by file,
+//! line and field. [`diff`] and [`Delta`] describe how two configurations differ, and [`digest`]
+//! is the same for equal ones. A [`Change`] carries a delta through the platform's log; every
+//! reader has a [`Fold`], and all folds reach the same [`Verdict`].
 //!
 //! ```
 //! use pumicecleat_config::{Change, ChangeId, Fold, FoldEvent, Record, Source, parse};
--- a/crates/config/src/model/adapter.rs
+++ b/crates/config/src/model/adapter.rs
@@ -8,7 +8,7 @@
 /// Base model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BaseModel {
-    /// Longest context, tokens.
+    /// Maximum context length, tokens.
     pub context: u32,
 }
 
@@ -17,7 +17,7 @@
 pub struct Adapter {
     /// Base model.
     pub base: BaseId,
-    /// Version meant by a `model` that names none.
+    /// Version used for a `model` that names none.
     pub default: Option<VersionId>,
     /// Versions.
     pub versions: Versions,
--- a/crates/config/src/model/caller.rs
+++ b/crates/config/src/model/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: their keys, what they may reach and how much they may claim.
+//! Callers: their keys, permissions and share of capacity.
 
 use std::collections::BTreeSet;
 
@@ -10,36 +10,36 @@
 pub struct Caller {
     /// SHA-256 of each bearer key, lower-case hex.
     pub keys: BTreeSet<String>,
-    /// Claim on capacity, a weight in max-min sharing, from 1.
+    /// Weight in max-min sharing of capacity, from 1.
     pub claim: u32,
-    /// Highest priority it may ask for.
+    /// Highest priority it may request.
     pub priority: u8,
-    /// What it may reach.
+    /// Permissions.
     pub grant: Grant,
 }
 
-/// What a caller may reach.
+/// Adapters and services that a caller may use.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Every adapter.
     pub all: bool,
     /// Adapters by name.
     pub adapters: BTreeSet<AdapterId>,
-    /// Adapters by the start of their name.
+    /// Prefixes of adapter names.
     pub prefixes: BTreeSet<String>,
     /// Plain services.
     pub services: BTreeSet<ServiceId>,
 }
 
 impl Caller {
-    /// Whether it may reach an adapter.
+    /// Whether it may use an adapter.
     #[must_use]
     pub fn may_use_adapter(&self, adapter: &AdapterId) -> bool {
         let grant = &self.grant;
-        grant.all || grant.adapters.contains(adapter) || grant.starts(adapter.as_str())
+        grant.all || grant.adapters.contains(adapter) || grant.matches_prefix(adapter.as_str())
     }
 
-    /// Whether it may reach a service.
+    /// Whether it may use a service.
     #[must_use]
     pub fn may_use_service(&self, service: &ServiceId) -> bool {
         self.grant.services.contains(service)
@@ -47,7 +47,7 @@
 }
 
 impl Grant {
-    fn starts(&self, name: &str) -> bool {
+    fn matches_prefix(&self, name: &str) -> bool {
         self.prefixes.iter().any(|p| name.starts_with(p.as_str()))
     }
 }
--- a/crates/config/src/model/item.rs
+++ b/crates/config/src/model/item.rs
@@ -1,5 +1,5 @@
-//! A configuration seen as a set of items, each under its own key: the grain of digests, deltas
-//! and differences.
+//! A configuration as a set of items with unique keys, on which digests, deltas and differences
+//! operate.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 
 use super::{Adapter, BaseModel, Caller, Config, Limits, Pool, Service, Tuning, Version};
 
-/// Name of an item; displayed as the path of its table.
+/// Key of an item, displayed as the path of its table.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ItemKey {
     /// Base model.
@@ -60,7 +60,7 @@
     },
     /// Version of an adapter.
     Version(AdapterId, VersionId, Version),
-    /// Caller. Boxed, as it is twice as large as any other item, and lists of items are long.
+    /// Caller. Boxed, as it is twice the size of any other item, and lists of items are long.
     Caller(CallerId, Box<Caller>),
     /// Pool.
     Pool(PoolId, Pool),
@@ -98,7 +98,7 @@
 }
 
 impl Config {
-    /// Item under a key.
+    /// Returns the item with this key.
     #[must_use]
     pub fn item(&self, key: &ItemKey) -> Option<Item> {
         match key {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whether an item stands under a key.
+    /// Whether there is an item with this key.
     #[must_use]
     pub fn contains(&self, key: &ItemKey) -> bool {
         match key {
@@ -158,8 +158,8 @@
         self.keys().filter_map(|key| self.item(&key))
     }
 
-    /// Puts an item in, in place of the one under its key. A version needs its adapter: without
-    /// one it is dropped.
+    /// Adds an item or replaces the one with its key. A version whose adapter does not exist is
+    /// dropped.
     pub(crate) fn put(&mut self, item: Item) {
         match item {
             Item::Base(id, base) => drop(self.bases.insert(id, base)),
@@ -182,7 +182,7 @@
     fn put_adapter(&mut self, id: AdapterId, base: BaseId, default: Option<VersionId>) {
         let old = self.adapters.remove(&id);
         let versions = old.map(|a| a.versions).unwrap_or_default();
-        // Ids that stand here already are shared: each of its own would be a piece of memory.
+        // Shares the id that is the key of the base model, to save an allocation per adapter.
         let base = match self.bases.get_key_value(&base) {
             Some((held, _)) => held.clone(),
             None => base,
@@ -195,7 +195,7 @@
         self.adapters.insert(id, adapter);
     }
 
-    /// Takes the item under a key out. Tuning and limits stay: they always stand.
+    /// Removes the item with this key, except tuning and limits, which always exist.
     pub(crate) fn remove(&mut self, key: &ItemKey) {
         match key {
             ItemKey::Base(id) => drop(self.bases.remove(id)),
--- a/crates/config/src/model/mod.rs
+++ b/crates/config/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! What operators declare, checked and ready for use.
+//! Model of the configuration that operators declare.
 
 mod adapter;
 mod caller;
@@ -34,8 +34,8 @@
     pub pools: BTreeMap<PoolId, Pool>,
     /// Plain services.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Weights of the measures.
+    /// Weights of the objectives.
     pub tuning: Tuning,
-    /// Limits of requests.
+    /// Request limits.
     pub limits: Limits,
 }
--- a/crates/config/src/model/pool.rs
+++ b/crates/config/src/model/pool.rs
@@ -1,4 +1,4 @@
-//! Pools: upstreams of one kind, each with a side.
+//! Pools of upstreams of one kind; each upstream has a side.
 
 use pumicecleat_types::BaseId;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 pub struct Pool {
     /// Kind.
     pub kind: PoolKind,
-    /// Requests waiting at one side at most.
+    /// Maximum number of requests waiting at one side.
     pub queue: u32,
 }
 
@@ -17,29 +17,29 @@
 pub enum PoolKind {
     /// Model engines.
     Model {
-        /// Base model they hold.
+        /// Base model they serve.
         base: BaseId,
-        /// Adapter slots of one engine.
+        /// Adapter slots per engine.
         slots: u32,
-        /// Requests one engine batches at most.
+        /// Maximum batch size of one engine.
         batch: u32,
-        /// Engines refuse orders with an old fencing number.
+        /// Whether engines refuse orders with an outdated fencing number.
         fencing: bool,
     },
     /// Plain services.
     Service {
-        /// Calls one upstream takes at once.
+        /// Maximum number of concurrent calls per upstream.
         concurrency: u32,
         /// Parts that the idempotency keys are split into, each with a stream of its own; fixed
         /// for as long as the pool is declared.
-        // Left out where it is the default, so that digests are those of before it came.
+        // Omitted if it is the default, so that digests are the same as before this field existed.
         #[serde(default = "one_part", skip_serializing_if = "is_one_part")]
         parts: u32,
     },
 }
 
 impl Pool {
-    /// Parts of its keys; one for a pool of engines, which has no keys.
+    /// Number of parts of its keys; 1 for a pool of engines, which has no keys.
     #[must_use]
     pub fn parts(&self) -> u32 {
         match self.kind {
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Whether a pool that stands may become `new`: keys are never dealt out anew, as that would
-    /// forget them.
-    pub(crate) fn may_become(&self, new: &Self) -> bool {
+    /// Whether an existing pool may be replaced by `new`. The number of parts is fixed, as
+    /// redistributing the keys would lose those in use.
+    pub(crate) fn can_become(&self, new: &Self) -> bool {
         match (&self.kind, &new.kind) {
             (PoolKind::Service { parts, .. }, PoolKind::Service { parts: next, .. }) => {
                 parts == next
@@ -66,7 +66,7 @@
 
 #[expect(
     clippy::trivially_copy_pass_by_ref,
-    reason = "the form that serde calls"
+    reason = "signature required by serde"
 )]
 fn is_one_part(parts: &u32) -> bool {
     *parts == 1
--- a/crates/config/src/model/tuning.rs
+++ b/crates/config/src/model/tuning.rs
@@ -1,16 +1,16 @@
-//! Weights of the measures, and limits of requests.
+//! Weights of the objectives, and request limits.
 
 use serde::{Deserialize, Serialize};
 
-/// What the deployment weighs, in percent of each other.
+/// Relative weights of the objectives, percent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tuning {
-    /// Weight of load stalls.
+    /// Weight of avoiding load stalls.
     pub stall: u32,
     /// Weight of full batches.
     pub batch: u32,
-    /// Longest time that an idle engine is held for a fuller batch, milliseconds, at full weight of
-    /// batches.
+    /// Longest time that an idle engine is held for a fuller batch at full weight of
+    /// `batch`, milliseconds.
     pub hold_ms: u64,
 }
 
@@ -24,16 +24,16 @@
     }
 }
 
-/// Limits of requests.
+/// Request limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Deadline of a request that names none, milliseconds.
+    /// Default request deadline, milliseconds.
     pub deadline_ms: u64,
-    /// Longest deadline a request may name, milliseconds.
+    /// Longest deadline that a request may set, milliseconds.
     pub longest_ms: u64,
-    /// Longest body of a request, bytes.
+    /// Maximum request body size, bytes.
     pub body: u64,
-    /// How long keys of calls that may not be repeated are remembered, seconds.
+    /// How long idempotency keys are remembered, seconds.
     pub window_s: u64,
 }
 
--- a/crates/config/src/model/versions.rs
+++ b/crates/config/src/model/versions.rs
@@ -1,5 +1,5 @@
-//! Versions of an adapter, in one row of just their length: nearly every adapter has one, for which
-//! a node of a tree would stand mostly empty.
+//! Versions of an adapter, in a sorted vector without spare capacity: nearly every adapter has one
+//! version, for which a B-tree node would be mostly empty.
 
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
@@ -9,10 +9,10 @@
 
 use super::Version;
 
-/// Versions from which on room is left for more.
-const MANY: usize = 8;
+/// Number of versions below which no spare capacity is allocated.
+const EXACT_GROWTH_LIMIT: usize = 8;
 
-/// Versions by name, in its order.
+/// Versions sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "BTreeMap<VersionId, Version>",
@@ -21,29 +21,29 @@
 pub struct Versions(Vec<(VersionId, Version)>);
 
 impl Versions {
-    /// Version of a name.
+    /// Returns the version with this name.
     #[must_use]
     pub fn get<Q: Borrow<str> + ?Sized>(&self, name: &Q) -> Option<&Version> {
         self.get_key_value(name).map(|(_, version)| version)
     }
 
-    /// Version of a name, to change.
+    /// Returns the version with this name, mutably.
     pub fn get_mut<Q: Borrow<str> + ?Sized>(&mut self, name: &Q) -> Option<&mut Version> {
-        let at = self.find(name.borrow()).ok()?;
-        self.0.get_mut(at).map(|(_, version)| version)
+        let index = self.find(name.borrow()).ok()?;
+        self.0.get_mut(index).map(|(_, version)| version)
     }
 
-    /// Version of a name, with the name as held here.
+    /// Returns the version with this name, and the stored name.
     #[must_use]
     pub fn get_key_value<Q: Borrow<str> + ?Sized>(
         &self,
         name: &Q,
     ) -> Option<(&VersionId, &Version)> {
-        let at = self.find(name.borrow()).ok()?;
-        self.0.get(at).map(|(name, version)| (name, version))
+        let index = self.find(name.borrow()).ok()?;
+        self.0.get(index).map(|(name, version)| (name, version))
     }
 
-    /// Whether there is one of that name.
+    /// Whether there is a version with this name.
     #[must_use]
     pub fn contains_key<Q: Borrow<str> + ?Sized>(&self, name: &Q) -> bool {
         self.find(name.borrow()).is_ok()
@@ -60,38 +60,39 @@
         self.0.is_empty()
     }
 
-    /// Puts a version in; gives the one that stood under its name.
+    /// Inserts a version; returns the one that it replaces.
     pub fn insert(&mut self, name: VersionId, version: Version) -> Option<Version> {
         match self.find(name.as_str()) {
-            Ok(at) => {
-                let (_, held) = self.0.get_mut(at)?;
-                Some(std::mem::replace(held, version))
+            Ok(index) => {
+                let (_, existing) = self.0.get_mut(index)?;
+                Some(std::mem::replace(existing, version))
             }
-            Err(at) => {
-                if self.0.len() < MANY {
+            Err(index) => {
+                if self.0.len() < EXACT_GROWTH_LIMIT {
                     self.0.reserve_exact(1);
                 }
-                self.0.insert(at, (name, version));
+                self.0.insert(index, (name, version));
                 None
             }
         }
     }
 
-    /// Takes a version out.
+    /// Removes a version.
     pub fn remove<Q: Borrow<str> + ?Sized>(&mut self, name: &Q) -> Option<Version> {
-        let at = self.find(name.borrow()).ok()?;
-        let (_, version) = self.0.remove(at);
-        self.0.shrink_to(MANY.min(self.0.len()));
+        let index = self.find(name.borrow()).ok()?;
+        let (_, version) = self.0.remove(index);
+        self.0.shrink_to(EXACT_GROWTH_LIMIT.min(self.0.len()));
         Some(version)
     }
 
-    /// Takes all out.
+    /// Removes all versions.
     pub fn clear(&mut self) {
         self.0 = Vec::new();
     }
 
     fn find(&self, name: &str) -> Result<usize, usize> {
-        self.0.binary_search_by(|(held, _)| held.as_str().cmp(name))
+        self.0
+            .binary_search_by(|(existing, _)| existing.as_str().cmp(name))
     }
 }
 
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -1,60 +1,65 @@
-//! A checked configuration with what makes small changes cheap: its sum of digests and the
-//! references between its items.
+//! A validated configuration with its sum of hashes and the references between its items, so that
+//! the cost of a change depends on the size of the change only.
 
 use std::collections::BTreeSet;
 
-use crate::check::{Links, check, check_items};
+use crate::check::{References, check, check_items};
 use crate::delta::{Delta, DeltaError};
 use crate::digest::{Digest, Sum};
 use crate::fault::Fault;
 use crate::model::{Config, Item, ItemKey};
 
-/// Why a delta can't be taken in.
+/// Why a delta can't be applied.
 #[derive(Debug)]
-pub(crate) enum Denial {
-    /// It does not fit.
+pub(crate) enum ApplyError {
+    /// It does not fit the configuration.
     Delta(DeltaError),
-    /// Its result has faults.
+    /// Its result is invalid.
     Faults(Vec<Fault>),
-    /// Its result has another digest.
+    /// The digest of its result differs from the stated one.
     Digest,
 }
 
-/// Item as it was before a step. Boxed, as a first change has very many steps and no such items.
-type Undo = (ItemKey, Option<Box<Item>>);
+/// Item under a key before a step. Boxed to keep the entry small: the first change has very many
+/// steps, and no previous items.
+type UndoEntry = (ItemKey, Option<Box<Item>>);
 
 /// Configuration in force.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct State {
     config: Config,
     sum: Sum,
-    links: Links,
+    references: References,
 }
 
 impl State {
-    /// State of nothing declared.
+    /// State of the empty configuration.
     pub(crate) fn empty() -> Self {
-        Self::index(Config::default())
+        Self::from_checked(Config::default())
     }
 
-    /// State of a configuration, or its faults.
+    /// Validates a configuration and builds its state.
     pub(crate) fn new(config: Config) -> Result<Self, Vec<Fault>> {
         let faults = check(&config);
         if faults.is_empty() {
-            Ok(Self::index(config))
+            Ok(Self::from_checked(config))
         } else {
             Err(faults)
         }
     }
 
-    fn index(config: Config) -> Self {
+    fn from_checked(config: Config) -> Self {
         let mut sum = Sum::default();
-        let mut links = Links::default();
+        let mut references = References::default();
         for item in config.items() {
             sum.add(&item);
-            links.add(&item);
+            references.add(&item);
+        }
+        Self {
+            config,
+            sum,
+            references,
         }
-        Self { config, sum, links }
     }
 
     pub(crate) fn config(&self) -> &Config {
@@ -65,7 +70,7 @@
         self.sum.digest()
     }
 
-    /// Digest after a delta, at the price of the delta.
+    /// Digest that a delta would lead to, computed from the items of the delta only.
     pub(crate) fn digest_after(&self, delta: &Delta) -> Result<Digest, DeltaError> {
         let mut sum = self.sum;
         for step in delta.steps()? {
@@ -79,61 +84,61 @@
         Ok(sum.digest())
     }
 
-    /// Takes a delta in if its result is free of faults and has the digest; else all stays.
-    /// Gives the keys it touched.
-    pub(crate) fn advance(
+    /// Applies a delta if its result is valid and has the digest; otherwise changes nothing.
+    /// Returns the keys it touched, in order.
+    pub(crate) fn apply(
         &mut self,
         delta: &Delta,
         digest: Digest,
-    ) -> Result<Vec<ItemKey>, Denial> {
+    ) -> Result<Vec<ItemKey>, ApplyError> {
         let mut undo = Vec::new();
-        if let Err(denial) = self.try_advance(delta, digest, &mut undo) {
+        if let Err(error) = self.try_apply(delta, digest, &mut undo) {
             for (key, old) in undo.into_iter().rev() {
-                self.set(&key, old.map(|item| *item));
+                self.replace(&key, old.map(|item| *item));
             }
-            return Err(denial);
+            return Err(error);
         }
         let mut touched: Vec<ItemKey> = undo.into_iter().map(|(key, _)| key).collect();
         touched.sort_unstable();
         Ok(touched)
     }
 
-    fn try_advance(
+    fn try_apply(
         &mut self,
         delta: &Delta,
         digest: Digest,
-        undo: &mut Vec<Undo>,
-    ) -> Result<(), Denial> {
-        for step in delta.steps().map_err(Denial::Delta)? {
-            step.fits(&self.config).map_err(Denial::Delta)?;
+        undo: &mut Vec<UndoEntry>,
+    ) -> Result<(), ApplyError> {
+        for step in delta.steps().map_err(ApplyError::Delta)? {
+            step.check(&self.config).map_err(ApplyError::Delta)?;
             let key = step.key();
-            let old = self.set(&key, step.item().cloned());
+            let old = self.replace(&key, step.item().cloned());
             undo.push((key, old.map(Box::new)));
         }
         if self.digest() != digest {
-            return Err(Denial::Digest);
+            return Err(ApplyError::Digest);
         }
-        let mut wide: BTreeSet<ItemKey> = undo.iter().map(|(key, _)| key.clone()).collect();
-        self.links.widen(&self.config, &mut wide);
-        let items = wide.iter().filter_map(|key| self.config.item(key));
-        let faults = check_items(&self.config, &self.links, items);
+        let mut affected: BTreeSet<ItemKey> = undo.iter().map(|(key, _)| key.clone()).collect();
+        self.references.add_dependents(&self.config, &mut affected);
+        let items = affected.iter().filter_map(|key| self.config.item(key));
+        let faults = check_items(&self.config, &self.references, items);
         if faults.is_empty() {
             Ok(())
         } else {
-            Err(Denial::Faults(faults))
+            Err(ApplyError::Faults(faults))
         }
     }
 
-    fn set(&mut self, key: &ItemKey, item: Option<Item>) -> Option<Item> {
+    fn replace(&mut self, key: &ItemKey, item: Option<Item>) -> Option<Item> {
         let old = self.config.item(key);
         if let Some(old) = &old {
             self.sum.sub(old);
-            self.links.remove(old);
+            self.references.remove(old);
         }
         match item {
             Some(item) => {
                 self.sum.add(&item);
-                self.links.add(&item);
+                self.references.add(&item);
                 self.config.put(item);
             }
             None => self.config.remove(key),
