--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -174,7 +174,7 @@
             shared.log.emit(&events::CONFIG_REFUSED, &fields);
         }
         FoldEvent::UnsupportedFormat { format, .. } => {
-            log_unsupported_format(shared, record.offset, *format)
+            log_unsupported_format(shared, record.offset, *format);
         }
         FoldEvent::Malformed { detail, .. } => {
             let fields = [offset, field("error", detail)];
