--- a/crates/config/tests/fold/main.rs
+++ b/crates/config/tests/fold/main.rs
@@ -1,4 +1,5 @@
-//! The fold against a naive one, for all kinds of readers, and mutants of both.
+//! Differential test of the fold against a naive one, for all kinds of readers, with mutants of
+//! both.
 
 mod naive;
 mod reader;
@@ -12,14 +13,14 @@
 use pumicecleat_types::LogRecord;
 
 use naive::{Naive, Rule};
-use reader::{Kind, Reader};
+use reader::{Reader, ReaderKind};
 use world::{World, build, ops};
 
-/// Logs tried for each mutant; each must be found in one of them.
-const TRIES: usize = 200;
+/// Random logs per mutant; at least one must detect it.
+const LOGS_PER_MUTANT: usize = 200;
 
-/// State after as many records as the reader has read.
-fn truth<'w>(world: &'w World, reader: &Reader) -> &'w Naive {
+/// Naive state after as many records as the reader has applied.
+fn expected_state<'w>(world: &'w World, reader: &Reader) -> &'w Naive {
     let count = usize::try_from(reader.fold.next()).unwrap();
     &world.states[count]
 }
@@ -28,61 +29,61 @@
     #[test]
     fn in_order(ops in ops()) {
         let world = build(&ops);
-        let mut reader = Reader::new(Kind::Sound);
-        let mut sliced = Reader::new(Kind::Sliced);
-        let mut told = Reader::new(Kind::Sound);
+        let mut reader = Reader::new(ReaderKind::Correct);
+        let mut scanned = Reader::new(ReaderKind::Scanned);
+        let mut relayed = Reader::new(ReaderKind::Correct);
         for (record, naive) in world.log.iter().zip(&world.states[1..]) {
             let event = reader.apply(record).unwrap();
-            prop_assert_eq!(reader.differs(naive), None);
-            prop_assert_eq!(sliced.apply(record).unwrap(), event.clone());
-            prop_assert_eq!(sliced.differs(naive), None);
+            prop_assert_eq!(reader.difference(naive), None);
+            prop_assert_eq!(scanned.apply(record).unwrap(), event.clone());
+            prop_assert_eq!(scanned.difference(naive), None);
             let mut record = record.clone();
             if event == FoldEvent::Confirmed {
                 record.data = reader.fold.checked_record(record.offset);
             }
-            prop_assert_eq!(told.apply(&record).unwrap(), event);
-            prop_assert_eq!(told.differs(naive), None);
+            prop_assert_eq!(relayed.apply(&record).unwrap(), event);
+            prop_assert_eq!(relayed.difference(naive), None);
         }
     }
 
     #[test]
     fn with_repeats(ops in ops(), order in prop::collection::vec(any::<Index>(), 0..80)) {
         let world = build(&ops);
-        let mut reader = Reader::new(Kind::Sound);
+        let mut reader = Reader::new(ReaderKind::Correct);
         for index in &order {
-            // A gap is an error and changes nothing, unless a snapshot closes it.
+            // A gap is an error and changes nothing, unless a snapshot record covers it.
             let _ = reader.apply(index.get(&world.log));
-            prop_assert_eq!(reader.differs(truth(&world, &reader)), None);
+            prop_assert_eq!(reader.difference(expected_state(&world, &reader)), None);
         }
         reader.read(&world.log, 0);
-        prop_assert_eq!(reader.differs(world.states.last().unwrap()), None);
+        prop_assert_eq!(reader.difference(world.states.last().unwrap()), None);
     }
 
     #[test]
     fn late_on_trimmed_log(ops in ops(), first in any::<Index>()) {
         let world = build(&ops);
-        let mut reader = Reader::new(Kind::Sound);
+        let mut reader = Reader::new(ReaderKind::Correct);
         reader.read(&world.log, first.index(world.log.len()));
-        // It may have found no snapshot to start from, or stand before a gap: never elsewhere.
-        prop_assert_eq!(reader.differs(truth(&world, &reader)), None);
+        // It may have found no snapshot to start from, or have stopped at a gap.
+        prop_assert_eq!(reader.difference(expected_state(&world, &reader)), None);
     }
 
     #[test]
     fn from_peer(ops in ops(), ahead in any::<Index>(), behind in any::<Index>()) {
         let world = build(&ops);
         let log = &world.log;
-        let mut peer = Reader::new(Kind::Sound);
+        let mut peer = Reader::new(ReaderKind::Correct);
         peer.read(&log[..ahead.index(log.len())], 0);
-        let mut reader = Reader::new(Kind::Sound);
+        let mut reader = Reader::new(ReaderKind::Correct);
         reader.read(&log[..behind.index(log.len())], 0);
         let newer = peer.fold.next() > reader.fold.next();
-        let most = peer.fold.next().max(reader.fold.next());
+        let furthest = peer.fold.next().max(reader.fold.next());
         let adopted = reader.fold.adopt_snapshot(&peer.fold.snapshot_bytes()).unwrap();
         prop_assert_eq!(adopted, newer);
-        prop_assert_eq!(reader.fold.next(), most);
-        prop_assert_eq!(reader.differs(truth(&world, &reader)), None);
+        prop_assert_eq!(reader.fold.next(), furthest);
+        prop_assert_eq!(reader.difference(expected_state(&world, &reader)), None);
         reader.read(log, 0);
-        prop_assert_eq!(reader.differs(world.states.last().unwrap()), None);
+        prop_assert_eq!(reader.difference(world.states.last().unwrap()), None);
         let copy = Fold::from_snapshot(&reader.fold.snapshot_bytes()).unwrap();
         let snapshot = reader.fold.snapshot();
         prop_assert_eq!(&copy.snapshot(), &snapshot);
@@ -94,26 +95,26 @@
 /// A broken rule or reader.
 struct Mutant {
     rule: Rule,
-    kind: Kind,
+    kind: ReaderKind,
 }
 
-const fn mutant(rule: Rule, kind: Kind) -> Mutant {
+const fn mutant(rule: Rule, kind: ReaderKind) -> Mutant {
     Mutant { rule, kind }
 }
 
 const MUTANTS: &[Mutant] = &[
-    mutant(Rule::AnyBase, Kind::Sound),
-    mutant(Rule::AnyResult, Kind::Sound),
-    mutant(Rule::AnyDigest, Kind::Sound),
-    mutant(Rule::LastVerdict, Kind::Sound),
-    mutant(Rule::CountRevision, Kind::Sound),
-    mutant(Rule::Sound, Kind::TakeSnapshots),
-    mutant(Rule::Sound, Kind::SkipGaps),
-    mutant(Rule::Sound, Kind::Reread),
+    mutant(Rule::AnyBase, ReaderKind::Correct),
+    mutant(Rule::AnyResult, ReaderKind::Correct),
+    mutant(Rule::AnyDigest, ReaderKind::Correct),
+    mutant(Rule::LastVerdict, ReaderKind::Correct),
+    mutant(Rule::CountRevision, ReaderKind::Correct),
+    mutant(Rule::Correct, ReaderKind::TakeSnapshots),
+    mutant(Rule::Correct, ReaderKind::SkipGaps),
+    mutant(Rule::Correct, ReaderKind::Reread),
 ];
 
-/// Whether a log shows the mutant: read in order, with each record twice, or from the middle on.
-fn shows(log: &[LogRecord], mutant: &Mutant) -> bool {
+/// Whether a log detects the mutant, read in order with each record twice, or from the middle on.
+fn detects(log: &[LogRecord], mutant: &Mutant) -> bool {
     let naive = Naive::fold(log, mutant.rule);
     let mut twice = Reader::new(mutant.kind);
     for record in log {
@@ -127,13 +128,13 @@
         &log[..log.len().min(usize::try_from(late.fold.next()).unwrap())],
         mutant.rule,
     );
-    twice.differs(&naive).is_some() || read && late.differs(&mid).is_some()
+    twice.difference(&naive).is_some() || read && late.difference(&mid).is_some()
 }
 
 fn logs() -> Vec<Vec<LogRecord>> {
     let mut runner = TestRunner::deterministic();
     let mut logs = Vec::new();
-    for _ in 0..TRIES {
+    for _ in 0..LOGS_PER_MUTANT {
         let tree = ops().new_tree(&mut runner).unwrap();
         logs.push(build(&tree.current()).log);
     }
@@ -143,10 +144,10 @@
 #[test]
 fn mutants_are_found() {
     let logs = logs();
-    let sound = mutant(Rule::Sound, Kind::Sound);
-    assert!(!logs.iter().any(|log| shows(log, &sound)));
+    let correct = mutant(Rule::Correct, ReaderKind::Correct);
+    assert!(!logs.iter().any(|log| detects(log, &correct)));
     for mutant in MUTANTS {
-        let found = logs.iter().any(|log| shows(log, mutant));
+        let found = logs.iter().any(|log| detects(log, mutant));
         assert!(found, "{:?} {:?}", mutant.rule, mutant.kind);
     }
 }
--- a/crates/config/tests/fold/naive.rs
+++ b/crates/config/tests/fold/naive.rs
@@ -1,6 +1,6 @@
-//! The fold as one would write it first: keep the whole log, judge all of it from scratch.
+//! Naive reference implementation of the fold: keeps all verdicts and validates each whole result.
 //!
-//! Its rules can be broken one by one, to show that the comparison finds it.
+//! Its rules can be disabled one by one, to test that the comparison detects it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,26 +11,26 @@
 };
 use pumicecleat_types::LogRecord;
 
-const DETAIL_LEN: usize = 200;
+const MAX_DETAIL_CHARS: usize = 200;
 
-/// Rules, sound or with one broken.
+/// Rules, correct or with one broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// All hold.
-    Sound,
-    /// Changes of any base are taken.
+    /// All rules apply.
+    Correct,
+    /// Changes with any base are accepted.
     AnyBase,
-    /// Results with faults are taken.
+    /// Results with faults are accepted.
     AnyResult,
-    /// Results of another digest are taken.
+    /// Results with another digest are accepted.
     AnyDigest,
-    /// The last verdict of a change that comes twice holds.
+    /// The last verdict on a repeated change replaces the first.
     LastVerdict,
-    /// A change counts at its number, not its offset.
+    /// The revision is the number of accepted changes instead of an offset.
     CountRevision,
 }
 
-/// State after a log.
+/// State after applying a log.
 #[derive(Clone, Debug, Default)]
 pub struct Naive {
     pub config: Config,
@@ -40,7 +40,7 @@
 }
 
 impl Naive {
-    /// State after all of `log`.
+    /// Applies all records of `log`.
     pub fn fold(log: &[LogRecord], rule: Rule) -> Self {
         let mut state = Self::default();
         for record in log {
@@ -49,7 +49,7 @@
         state
     }
 
-    /// Judges the next record of the log.
+    /// Applies the next record of the log.
     pub fn step(&mut self, record: &LogRecord, rule: Rule) {
         if let Ok(Record::Change(change)) = Record::from_bytes(&record.data) {
             self.judge(record.offset, &change, rule);
@@ -85,27 +85,27 @@
         }
         let applied = change.delta.apply(&self.config);
         let result = applied.map_err(|e| RefusalCause::Delta {
-            detail: short(&e.to_string()),
+            detail: truncated(&e.to_string()),
         })?;
         assert_eq!(result, rebuild(&self.config, &change.delta));
-        assert!(keeps_parts(&self.config, &result));
+        assert!(parts_unchanged(&self.config, &result));
         if digest(&result) != change.digest && rule != Rule::AnyDigest {
             return Err(RefusalCause::Digest);
         }
         let faults = check(&result);
         if faults.is_empty() {
-            assert!(is_closed(&result));
+            assert!(has_valid_references(&result));
         }
         match faults.first() {
             Some(first) if rule != Rule::AnyResult => Err(RefusalCause::Faulty {
                 count: faults.len() as u64,
-                first: short(&first.to_string()),
+                first: truncated(&first.to_string()),
             }),
             _ => Ok(result),
         }
     }
 
-    /// Snapshot of the state.
+    /// Returns a snapshot of the state.
     pub fn snapshot(&self) -> Snapshot {
         let settle = |(id, (offset, verdict)): (&ChangeId, &(u64, Verdict))| SettledChange {
             id: id.clone(),
@@ -125,11 +125,11 @@
     }
 }
 
-fn short(text: &str) -> String {
-    text.chars().take(DETAIL_LEN).collect()
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_DETAIL_CHARS).collect()
 }
 
-/// Result of a delta, by a list of all items.
+/// Computes the result of a delta by rebuilding the configuration from all items.
 fn rebuild(config: &Config, delta: &Delta) -> Config {
     let mut items: BTreeMap<ItemKey, Item> = config.items().map(|i| (i.key(), i)).collect();
     items.retain(|key, _| !delta.removed.contains(key));
@@ -141,8 +141,8 @@
     all.apply(&Config::default()).unwrap()
 }
 
-/// Whether no pool of a service that stands has its keys dealt out anew.
-fn keeps_parts(old: &Config, new: &Config) -> bool {
+/// Whether the number of key parts is unchanged for all existing service pools.
+fn parts_unchanged(old: &Config, new: &Config) -> bool {
     let parts = |config: &Config, id: &_| match config.pools.get(id)?.kind {
         PoolKind::Service { parts, .. } => Some(parts),
         PoolKind::Model { .. } => None,
@@ -153,8 +153,8 @@
     })
 }
 
-/// Whether every reference has its target and no two callers share a key.
-fn is_closed(config: &Config) -> bool {
+/// Whether the target of every reference exists and no two callers share a key.
+fn has_valid_references(config: &Config) -> bool {
     let adapters = config.adapters.values().all(|a| {
         let default = a.default.iter().all(|v| a.versions.contains_key(v));
         default && !a.versions.is_empty() && config.bases.contains_key(&a.base)
--- a/crates/config/tests/fold/reader.rs
+++ b/crates/config/tests/fold/reader.rs
@@ -1,73 +1,72 @@
-//! Readers of a log: in order or with repeats, from its start, a trimmed log or a peer.
+//! Log readers: in order or with repeats, from the start of the log, a trimmed log or a peer.
 
 use pumicecleat_config::{Fold, FoldEvent, GapError, Record, SnapshotScan};
 use pumicecleat_types::{LogRecord, encode};
 
 use crate::naive::Naive;
 
-/// How a reader treats what it gets; the last three are broken on purpose.
+/// How a reader handles records; the last three are incorrect on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// As the fold says.
-    Sound,
-    /// As the fold says, with snapshots read item by item.
-    Sliced,
-    /// Takes every snapshot at its word.
+pub enum ReaderKind {
+    /// Applies records to the fold.
+    Correct,
+    /// Same, with snapshots scanned item by item.
+    Scanned,
+    /// Accepts every snapshot without a check.
     TakeSnapshots,
-    /// Passes over gaps.
+    /// Ignores gaps.
     SkipGaps,
-    /// Takes records in again that it has seen.
+    /// Applies records again that it has applied before.
     Reread,
 }
 
-/// Reader.
 pub struct Reader {
     pub fold: Fold,
-    kind: Kind,
+    kind: ReaderKind,
 }
 
 impl Reader {
-    pub fn new(kind: Kind) -> Self {
+    pub fn new(kind: ReaderKind) -> Self {
         let fold = Fold::new();
         Self { fold, kind }
     }
 
-    /// Takes a record in; fails if the revision steps back.
+    /// Applies a record; panics if the revision decreases.
     pub fn apply(&mut self, record: &LogRecord) -> Result<FoldEvent, GapError> {
         let before = (self.fold.revision(), self.fold.next());
-        let event = self.apply_as(record);
-        if matches!(self.kind, Kind::Sound | Kind::Sliced) {
+        let event = self.apply_by_kind(record);
+        if matches!(self.kind, ReaderKind::Correct | ReaderKind::Scanned) {
             assert!(before <= (self.fold.revision(), self.fold.next()));
         }
         event
     }
 
-    fn apply_as(&mut self, record: &LogRecord) -> Result<FoldEvent, GapError> {
+    fn apply_by_kind(&mut self, record: &LogRecord) -> Result<FoldEvent, GapError> {
         let next = self.fold.next();
-        let moved = LogRecord {
+        let renumbered = LogRecord {
             offset: next,
             ..record.clone()
         };
-        if self.kind == Kind::Sliced
+        if self.kind == ReaderKind::Scanned
             && let Some(mut scan) = SnapshotScan::open(&record.data)
         {
             while scan.step(1) {}
             return self.fold.apply_scanned(record, scan);
         }
         match (self.kind, Record::from_bytes(&record.data)) {
-            (Kind::TakeSnapshots, Ok(Record::Snapshot(s))) => {
+            (ReaderKind::TakeSnapshots, Ok(Record::Snapshot(s))) => {
                 if let Ok(fold) = Fold::from_snapshot(&encode(&s)) {
                     self.fold = fold;
                 }
                 Ok(FoldEvent::AlreadyApplied)
             }
-            (Kind::SkipGaps, _) if record.offset > next => self.fold.apply(&moved),
-            (Kind::Reread, _) if record.offset < next => self.fold.apply(&moved),
+            (ReaderKind::SkipGaps, _) if record.offset > next => self.fold.apply(&renumbered),
+            (ReaderKind::Reread, _) if record.offset < next => self.fold.apply(&renumbered),
             _ => self.fold.apply(record),
         }
     }
 
-    /// Reads a log that begins at `first`, going back where the fold wants it.
+    /// Reads a log that begins at `first`, going back if the fold requires it.
     pub fn read(&mut self, log: &[LogRecord], first: usize) {
         let mut at = first;
         while let Some(record) = log.get(at) {
@@ -80,13 +79,13 @@
         }
     }
 
-    /// What differs from the naive state, if anything does.
-    pub fn differs(&self, naive: &Naive) -> Option<String> {
+    /// Describes a difference from the naive state, if there is one.
+    pub fn difference(&self, naive: &Naive) -> Option<String> {
         let fold = &self.fold;
-        let mine = (fold.revision(), fold.next(), fold.config());
-        let other = (naive.revision, naive.next, &naive.config);
-        if mine != other {
-            return Some(format!("{mine:?} is not {other:?}"));
+        let actual = (fold.revision(), fold.next(), fold.config());
+        let expected = (naive.revision, naive.next, &naive.config);
+        if actual != expected {
+            return Some(format!("{actual:?} is not {expected:?}"));
         }
         if fold.digest() != pumicecleat_config::digest(&naive.config) {
             return Some("digest".to_owned());
--- a/crates/config/tests/fold/world.rs
+++ b/crates/config/tests/fold/world.rs
@@ -1,4 +1,4 @@
-//! Logs as racing operators, lost replies and faulty writers make them.
+//! Generator of logs with racing operators, lost replies and faulty writers.
 
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -11,7 +11,7 @@
 
 use crate::naive::{Naive, Rule};
 
-/// One edit of a configuration; numbers pick names and targets.
+/// Edit of a configuration; the numbers select names and targets.
 #[derive(Clone, Copy, Debug)]
 pub struct Edit {
     kind: u8,
@@ -19,51 +19,51 @@
     b: u8,
 }
 
-/// What is wrong with a change on purpose.
+/// Deliberate fault in a change.
 #[derive(Clone, Copy, Debug)]
 pub enum Flaw {
-    /// Nothing.
+    /// No fault.
     None,
     /// Digest of another configuration.
     Digest,
-    /// A removal twice.
+    /// Duplicate put and extra removal.
     Order,
-    /// Base that is not reached yet.
+    /// Base revision in the future.
     Future,
 }
 
-/// What is wrong with a snapshot on purpose, such that every reader can see it.
+/// Deliberate fault in a snapshot that every reader can detect.
 #[derive(Clone, Copy, Debug)]
 pub enum Damage {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Body that its digest does not fit.
+    /// Body that does not match its digest.
     Body,
-    /// Offset that is not reached yet.
+    /// Offset in the future.
     Next,
-    /// Window without order.
+    /// Window with duplicates out of order, and a revision in the future.
     Window,
 }
 
-/// Move of the world.
+/// Operation that appends a record.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// An operator appends a change made from the state as of some earlier offset.
+    /// An operator appends a change based on the state at the current or an earlier offset.
     Change {
-        /// How many records back its view is.
+        /// Number of records that its state is behind.
         lag: u8,
         /// Edits.
         edits: Vec<Edit>,
         /// Flaw.
         flaw: Flaw,
     },
-    /// A record is appended once more.
-    Again(Index),
-    /// Bytes that are no record.
+    /// Appends a record again.
+    Repeat(Index),
+    /// Appends bytes that are not a record.
     Garbage(Vec<u8>),
-    /// A snapshot of the state as of some earlier offset.
+    /// Appends a snapshot of the state at the current or an earlier offset.
     Snapshot {
-        /// How many records back.
+        /// Number of records that its state is behind.
         lag: u8,
         /// Damage.
         damage: Damage,
@@ -98,24 +98,24 @@
     let change = (lag, edits, flaw());
     prop_oneof![
         12 => change.prop_map(|(lag, edits, flaw)| Op::Change { lag, edits, flaw }),
-        2 => any::<Index>().prop_map(Op::Again),
+        2 => any::<Index>().prop_map(Op::Repeat),
         1 => prop::collection::vec(any::<u8>(), 0..20).prop_map(Op::Garbage),
         4 => (0..4_u8, damage()).prop_map(|(lag, damage)| Op::Snapshot { lag, damage }),
     ]
 }
 
-/// Moves that make a log.
+/// Generates the operations of a log.
 pub fn ops() -> impl Strategy<Value = Vec<Op>> {
     prop::collection::vec(op(), 1..40)
 }
 
-/// A log, with the state after each number of its records.
+/// A log, and the naive state before and after each of its records.
 pub struct World {
     pub log: Vec<LogRecord>,
     pub states: Vec<Naive>,
 }
 
-/// World that the moves make.
+/// Builds the log and states of a list of operations.
 pub fn build(ops: &[Op]) -> World {
     let mut log = Vec::new();
     let mut states = vec![Naive::default()];
@@ -126,8 +126,8 @@
             at: offset * 10,
             data: bytes(op, offset, &log, &states),
         };
-        let mut state = back(&states, 0).clone();
-        state.step(&record, Rule::Sound);
+        let mut state = state_before(&states, 0).clone();
+        state.step(&record, Rule::Correct);
         states.push(state);
         log.push(record);
     }
@@ -137,20 +137,20 @@
 fn bytes(op: &Op, offset: u64, log: &[LogRecord], states: &[Naive]) -> Vec<u8> {
     match op {
         Op::Change { lag, edits, flaw } => {
-            let change = change(offset, back(states, *lag), edits, *flaw);
+            let change = change(offset, state_before(states, *lag), edits, *flaw);
             Record::Change(Box::new(change)).to_bytes()
         }
-        Op::Again(_) if log.is_empty() => Vec::new(),
-        Op::Again(index) => index.get(log).data.clone(),
+        Op::Repeat(_) if log.is_empty() => Vec::new(),
+        Op::Repeat(index) => index.get(log).data.clone(),
         Op::Garbage(bytes) => bytes.clone(),
         Op::Snapshot { lag, damage } => {
-            let snapshot = spoil(back(states, *lag).snapshot(), *damage);
+            let snapshot = damage_snapshot(state_before(states, *lag).snapshot(), *damage);
             Record::Snapshot(Box::new(snapshot)).to_bytes()
         }
     }
 }
 
-fn back(states: &[Naive], lag: u8) -> &Naive {
+fn state_before(states: &[Naive], lag: u8) -> &Naive {
     &states[states.len().saturating_sub(1 + usize::from(lag))]
 }
 
@@ -177,7 +177,7 @@
     change
 }
 
-fn spoil(mut snapshot: Snapshot, damage: Damage) -> Snapshot {
+fn damage_snapshot(mut snapshot: Snapshot, damage: Damage) -> Snapshot {
     match damage {
         Damage::None => {}
         Damage::Body => snapshot.config.limits.body += 1,
