--- a/crates/config/tests/model/main.rs
+++ b/crates/config/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! Exhaustive search of the real [`Fold`](pumicecleat_config::Fold) in a small world: operators
-//! that race, readers that pause and start late, and a log that trims and fails.
+//! Exhaustive state search of the real [`Fold`](pumicecleat_config::Fold) in a small model: racing
+//! operators, readers that pause and start late, and a log that is trimmed and fails.
 //!
 //! `PUMICECLEAT_DEEP=1` searches larger bounds. docs/CONFIGURATION-MODEL.md names the invariants.
 
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 use search::explore;
-use world::{Budget, Slip, World};
+use world::{Budget, Defect, World};
 
 struct Bound {
     name: &'static str,
@@ -63,7 +63,7 @@
     let start = Instant::now();
     let report = explore(world);
     println!("{name}: {report}, {:.1?}", start.elapsed());
-    assert_eq!(report.breach, None, "{name}");
+    assert_eq!(report.violation, None, "{name}");
 }
 
 fn search_all(bounds: &[Bound]) {
@@ -87,48 +87,51 @@
 }
 
 struct Mutant {
-    slip: Slip,
-    breaks: &'static str,
+    defect: Defect,
+    violates: &'static str,
     budget: Budget,
 }
 
 #[rustfmt::skip]
 const MUTANTS: &[Mutant] = &[
-    Mutant { slip: Slip::TakeSnapshots, breaks: "C1", budget: SNAPSHOT },
-    Mutant { slip: Slip::SkipGap, breaks: "C2", budget: TRIM },
-    Mutant { slip: Slip::AnyBase, breaks: "C3", budget: NONE },
-    Mutant { slip: Slip::ForgetVerdicts, breaks: "C4", budget: LOSS },
-    Mutant { slip: Slip::Renew, breaks: "C4", budget: LOSS },
-    Mutant { slip: Slip::GuessEmpty, breaks: "C5", budget: TRIM },
-    Mutant { slip: Slip::WakeAtEnd, breaks: "C6", budget: NONE },
-    Mutant { slip: Slip::AskNone, breaks: "L1", budget: TRIM },
-    Mutant { slip: Slip::GiveUp, breaks: "L1", budget: LOSS },
+    Mutant { defect: Defect::TakeSnapshots, violates: "C1", budget: SNAPSHOT },
+    Mutant { defect: Defect::SkipGap, violates: "C2", budget: TRIM },
+    Mutant { defect: Defect::AnyBase, violates: "C3", budget: NONE },
+    Mutant { defect: Defect::ForgetVerdicts, violates: "C4", budget: LOSS },
+    Mutant { defect: Defect::Renew, violates: "C4", budget: LOSS },
+    Mutant { defect: Defect::GuessEmpty, violates: "C5", budget: TRIM },
+    Mutant { defect: Defect::WakeAtEnd, violates: "C6", budget: NONE },
+    Mutant { defect: Defect::AskNone, violates: "L1", budget: TRIM },
+    Mutant { defect: Defect::GiveUp, violates: "L1", budget: LOSS },
 ];
 
 #[test]
 fn every_mutant_is_found() {
     for m in MUTANTS {
         let world = World {
-            slip: m.slip,
-            only: Some(m.breaks),
+            defect: m.defect,
+            only: Some(m.violates),
             ..World::new(2, m.budget)
         };
         let report = explore(world);
-        let Some((rule, trace)) = report.breach else {
-            panic!("{:?} not found", m.slip);
+        let Some((rule, trace)) = report.violation else {
+            panic!("{:?} not found", m.defect);
         };
         println!(
             "{:?}: {rule} after {} moves: {trace:?}",
-            m.slip,
+            m.defect,
             trace.len()
         );
-        assert_eq!(rule, m.breaks, "{:?}", m.slip);
+        assert_eq!(rule, m.violates, "{:?}", m.defect);
     }
 }
 
 #[test]
 fn mutants_bounds_hold_without_the_mutant() {
     for m in MUTANTS {
-        run(&format!("bounds of {:?}", m.slip), World::new(2, m.budget));
+        run(
+            &format!("bounds of {:?}", m.defect),
+            World::new(2, m.budget),
+        );
     }
 }
--- a/crates/config/tests/model/moves.rs
+++ b/crates/config/tests/model/moves.rs
@@ -1,43 +1,43 @@
-//! Moves of the small world. Each is one step of a reader, an operator or the log.
+//! Transitions of the model. Each is one step of a reader, an operator or the log.
 
 use std::rc::Rc;
 
 use crate::reader::Reader;
-use crate::world::{Phase, Proposal, Slip, World};
+use crate::world::{Defect, Phase, Proposal, World};
 
 const GARBAGE: &[u8] = b"garbage";
 
-/// Move.
+/// Transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Move {
-    /// An operator makes a change from what a reader shows.
-    Make { operator: usize, reader: usize },
-    /// Its append takes effect, and the reply comes.
+    /// An operator prepares a change based on the state of a reader.
+    Propose { operator: usize, reader: usize },
+    /// Its append takes effect, and it receives the reply.
     Append { operator: usize },
-    /// The reply is lost, of an append that takes effect at once or perhaps later.
-    Lose { operator: usize, lands: bool },
-    /// An append given up on takes effect.
-    Land { stray: usize },
-    /// A reader tells an operator the verdict.
-    Tell { operator: usize, reader: usize },
+    /// The reply to an append is lost; the append takes effect now, or may do so later.
+    LoseReply { operator: usize, takes_effect: bool },
+    /// An append whose reply was lost takes effect.
+    ApplyLate { index: usize },
+    /// A reader reports the verdict to an operator.
+    ReportVerdict { operator: usize, reader: usize },
     /// A reader reads one record.
     Read { reader: usize },
-    /// A reader takes in what a peer holds.
+    /// A reader adopts the snapshot of a peer.
     Adopt { reader: usize, peer: usize },
-    /// A reader appends its state.
+    /// A reader appends a snapshot of its state.
     Snapshot { reader: usize },
-    /// Something else is appended.
+    /// Bytes that are not a record are appended.
     Garbage,
-    /// The log goes away.
-    Down,
-    /// The log comes back.
-    Up,
-    /// The log drops records.
+    /// The log becomes unavailable.
+    LogDown,
+    /// The log becomes available again.
+    LogUp,
+    /// The log trims records before `first`.
     Trim { first: u64 },
 }
 
 impl World {
-    /// Moves that can be made now.
+    /// Moves that are possible in this state.
     pub fn moves(&self) -> Vec<Move> {
         let mut moves = Vec::new();
         (0..self.operators.len()).for_each(|o| self.operator_moves(o, &mut moves));
@@ -46,61 +46,61 @@
         moves
     }
 
-    /// Whether a move is no fault: nothing else is needed for all to end.
+    /// Whether a move is not a fault. Fair moves alone must lead to a converged state.
     pub fn is_fair(&self, step: Move) -> bool {
         match step {
             Move::Append { operator } => {
-                let again = self.operators[operator].phase == Phase::Unsure;
-                !again || self.slip != Slip::GiveUp
+                let again = self.operators[operator].phase == Phase::OutcomeUnknown;
+                !again || self.defect != Defect::GiveUp
             }
             Move::Adopt { reader, .. } => {
-                self.is_behind_gap(&self.readers[reader]) && self.slip != Slip::AskNone
+                self.is_behind_gap(&self.readers[reader]) && self.defect != Defect::AskNone
             }
-            Move::Tell { .. } | Move::Read { .. } | Move::Up => true,
+            Move::ReportVerdict { .. } | Move::Read { .. } | Move::LogUp => true,
             _ => false,
         }
     }
 
-    /// What each fair move raises, so that fair moves come to an end.
+    /// Measure that each fair move increases, so that sequences of fair moves terminate.
     pub fn progress(&self) -> (u64, u64, u64, usize, bool) {
         let next = self.readers.iter().map(|r| r.fold.next()).sum();
         let read = self.readers.iter().map(|r| r.cursor).sum();
         let operators = self.operators.iter();
-        let told = operators.filter(|o| matches!(o.phase, Phase::Told(_)));
-        (self.log.end(), next, read, told.count(), self.log.up)
+        let answered = operators.filter(|o| matches!(o.phase, Phase::Answered(_)));
+        (self.log.end(), next, read, answered.count(), self.log.up)
     }
 
-    /// World after a move.
+    /// Returns the state after a move.
     pub fn after(&self, step: Move) -> Self {
         let mut next = self.clone();
-        next.make(step);
+        next.apply_move(step);
         next
     }
 
     fn operator_moves(&self, operator: usize, moves: &mut Vec<Move>) {
         let o = &self.operators[operator];
         match o.phase {
-            Phase::Idle | Phase::Told(_) if o.made < self.budget.changes[operator] => {
-                self.make_moves(operator, moves);
+            Phase::Idle | Phase::Answered(_) if o.made < self.budget.changes[operator] => {
+                self.propose_moves(operator, moves);
             }
-            Phase::Made | Phase::Unsure => {
+            Phase::Prepared | Phase::OutcomeUnknown => {
                 self.append_moves(operator, moves);
-                self.tell_moves(operator, moves);
+                self.report_moves(operator, moves);
             }
-            Phase::Appended => self.tell_moves(operator, moves),
+            Phase::Appended => self.report_moves(operator, moves),
             _ => {}
         }
     }
 
-    fn make_moves(&self, operator: usize, moves: &mut Vec<Move>) {
+    fn propose_moves(&self, operator: usize, moves: &mut Vec<Move>) {
         let readers = self.distinct(|r| {
             let ready = r.fold.revision() > 0 || !self.is_behind_gap(r);
-            ready.then_some((r.fact.revision, r.fact.digest))
+            ready.then_some((r.visible_state.revision, r.visible_state.digest))
         });
-        moves.extend(readers.map(|reader| Move::Make { operator, reader }));
+        moves.extend(readers.map(|reader| Move::Propose { operator, reader }));
     }
 
-    /// One reader for each thing that readers show.
+    /// One reader for each distinct value of `show`.
     fn distinct<T: PartialEq>(
         &self,
         show: impl Fn(&Reader) -> Option<T>,
@@ -115,15 +115,20 @@
             moves.push(Move::Append { operator });
         }
         if self.budget.losses > 0 {
-            let fates = [true, false].into_iter().filter(|&lands| up || !lands);
-            moves.extend(fates.map(|lands| Move::Lose { operator, lands }));
+            let fates = [true, false]
+                .into_iter()
+                .filter(|&takes_effect| up || !takes_effect);
+            moves.extend(fates.map(|takes_effect| Move::LoseReply {
+                operator,
+                takes_effect,
+            }));
         }
     }
 
-    fn tell_moves(&self, operator: usize, moves: &mut Vec<Move>) {
+    fn report_moves(&self, operator: usize, moves: &mut Vec<Move>) {
         let id = &self.last(operator).change.id;
         let readers = self.distinct(|r| r.fold.verdict(id).cloned());
-        moves.extend(readers.map(|reader| Move::Tell { operator, reader }));
+        moves.extend(readers.map(|reader| Move::ReportVerdict { operator, reader }));
     }
 
     fn reader_moves(&self, reader: usize, moves: &mut Vec<Move>) {
@@ -144,19 +149,19 @@
         }
     }
 
-    // The log keeps a record until some reader has read it.
+    // A record is trimmed only after some reader has read it.
     fn log_moves(&self, moves: &mut Vec<Move>) {
         if !self.log.up {
-            moves.push(Move::Up);
+            moves.push(Move::LogUp);
             return;
         }
         if self.budget.outages > 0 {
-            moves.push(Move::Down);
+            moves.push(Move::LogDown);
         }
         if self.budget.garbage > 0 {
             moves.push(Move::Garbage);
         }
-        moves.extend((0..self.strays.len()).map(|stray| Move::Land { stray }));
+        moves.extend((0..self.late_appends.len()).map(|index| Move::ApplyLate { index }));
         if self.budget.trims > 0 {
             let read = self.readers.iter().map(|r| r.fold.next()).max();
             let firsts = self.log.first + 1..=read.unwrap_or(0);
@@ -164,20 +169,23 @@
         }
     }
 
-    fn make(&mut self, step: Move) {
+    fn apply_move(&mut self, step: Move) {
         match step {
-            Move::Make { operator, reader } => self.propose(operator, reader),
+            Move::Propose { operator, reader } => self.propose(operator, reader),
             Move::Append { operator } => {
                 let data = self.last(operator).data.clone();
                 self.append(data);
                 self.operators[operator].phase = Phase::Appended;
             }
-            Move::Lose { operator, lands } => self.lose(operator, lands),
-            Move::Land { stray } => {
-                let change = self.strays.remove(stray);
+            Move::LoseReply {
+                operator,
+                takes_effect,
+            } => self.lose_reply(operator, takes_effect),
+            Move::ApplyLate { index } => {
+                let change = self.late_appends.remove(index);
                 self.append(change.data.clone());
             }
-            Move::Tell { operator, reader } => self.tell(operator, reader),
+            Move::ReportVerdict { operator, reader } => self.report_verdict(operator, reader),
             Move::Read { reader } => self.read(reader),
             Move::Adopt { reader, peer } => {
                 let bytes = self.readers[peer].fold.snapshot_bytes();
@@ -192,11 +200,11 @@
                 self.budget.garbage -= 1;
                 self.append(GARBAGE.to_vec());
             }
-            Move::Down => {
+            Move::LogDown => {
                 self.budget.outages -= 1;
                 Rc::make_mut(&mut self.log).up = false;
             }
-            Move::Up => Rc::make_mut(&mut self.log).up = true,
+            Move::LogUp => Rc::make_mut(&mut self.log).up = true,
             Move::Trim { first } => {
                 self.budget.trims -= 1;
                 Rc::make_mut(&mut self.log).first = first;
@@ -213,7 +221,7 @@
         let intent = (operator, o.made);
         let change = Rc::new(Proposal::make(intent, &self.readers[reader].fold));
         o.made += 1;
-        o.phase = Phase::Made;
+        o.phase = Phase::Prepared;
         o.last = Some(Rc::clone(&change));
         self.proposals.push(change);
     }
@@ -223,38 +231,38 @@
         Rc::clone(last.as_ref().expect("a change was made"))
     }
 
-    fn lose(&mut self, operator: usize, lands: bool) {
+    fn lose_reply(&mut self, operator: usize, takes_effect: bool) {
         self.budget.losses -= 1;
         let last = self.last(operator);
-        if lands {
+        if takes_effect {
             self.append(last.data.clone());
         } else {
-            self.strays.push(Rc::clone(&last));
+            self.late_appends.push(Rc::clone(&last));
         }
-        self.operators[operator].phase = Phase::Unsure;
-        if self.slip == Slip::Renew {
-            let renewed = Rc::new(last.renewed());
-            self.operators[operator].last = Some(Rc::clone(&renewed));
-            self.proposals.push(renewed);
+        self.operators[operator].phase = Phase::OutcomeUnknown;
+        if self.defect == Defect::Renew {
+            let with_new_id = Rc::new(last.with_new_id());
+            self.operators[operator].last = Some(Rc::clone(&with_new_id));
+            self.proposals.push(with_new_id);
         }
     }
 
-    fn tell(&mut self, operator: usize, reader: usize) {
+    fn report_verdict(&mut self, operator: usize, reader: usize) {
         let id = &self.last(operator).change.id;
         if let Some(verdict) = self.readers[reader].fold.verdict(id) {
-            self.operators[operator].phase = Phase::Told(verdict.clone());
+            self.operators[operator].phase = Phase::Answered(verdict.clone());
         }
     }
 
     fn read(&mut self, reader: usize) {
         let first = self.log.first;
         let mut offset = self.readers[reader].cursor.max(first);
-        if self.slip == Slip::WakeAtEnd {
+        if self.defect == Defect::WakeAtEnd {
             offset = self.log.end() - 1;
         }
         let reader = Rc::make_mut(&mut self.readers[reader]);
         match self.log.records.get(usize::try_from(offset).unwrap()) {
-            Some(record) => reader.read(record, first, self.slip),
+            Some(record) => reader.read(record, first, self.defect),
             None => reader.skip(first),
         }
     }
--- a/crates/config/tests/model/search.rs
+++ b/crates/config/tests/model/search.rs
@@ -1,18 +1,18 @@
-//! Breadth-first search of all states, so that a breach comes with a shortest trace.
+//! Breadth-first search of all states, so that the trace of a violation is as short as possible.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
 use crate::moves::Move;
-use crate::world::{Slip, World};
+use crate::world::{Defect, World};
 
-/// What a search found.
+/// Result of a search.
 pub struct Report {
     pub states: usize,
     pub steps: usize,
     pub depth: usize,
-    /// Broken invariant, and the moves that lead there.
-    pub breach: Option<(&'static str, Vec<Move>)>,
+    /// Violated invariant, and the moves that lead there.
+    pub violation: Option<(&'static str, Vec<Move>)>,
 }
 
 impl fmt::Display for Report {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Searches all states that can be reached.
+/// Searches all reachable states.
 pub fn explore(start: World) -> Report {
     let mut search = Search::default();
     search.add(start, None);
@@ -36,11 +36,11 @@
 
 #[derive(Default)]
 struct Search {
-    /// Parts of states seen so far.
+    /// Interned parts of states, with their numbers.
     parts: BTreeMap<Vec<u8>, u32>,
-    /// States seen so far, as the numbers of their parts.
+    /// Visited states, as the numbers of their parts.
     visited: BTreeSet<Vec<u32>>,
-    /// Parent of each state, and the move from there.
+    /// Parent of each state, and the move from it.
     origins: Vec<Option<(usize, Move)>>,
     queue: VecDeque<(usize, World)>,
     steps: usize,
@@ -67,7 +67,7 @@
     }
 
     fn visit(&mut self, id: usize, world: &World) -> Option<&'static str> {
-        if let Some(rule) = world.breach() {
+        if let Some(rule) = world.violation() {
             return Some(rule);
         }
         let mut ended = true;
@@ -77,13 +77,13 @@
             if world.is_fair(step) {
                 ended = false;
                 let rises = after.progress() > world.progress();
-                assert!(rises || world.slip != Slip::None, "{step:?} can loop");
+                assert!(rises || world.defect != Defect::None, "{step:?} can loop");
             }
             self.add(after, Some((id, step)));
         }
-        // Only faults could change anything here.
-        let unsettled = ended && world.minds("L1") && !world.is_settled();
-        unsettled.then_some("L1")
+        // Only faults could lead to another state.
+        let stuck = ended && world.checks_rule("L1") && !world.is_converged();
+        stuck.then_some("L1")
     }
 
     fn trace(&self, mut id: usize) -> Vec<Move> {
@@ -96,13 +96,13 @@
         trace
     }
 
-    fn report(&self, breach: Option<(&'static str, Vec<Move>)>) -> Report {
+    fn report(&self, violation: Option<(&'static str, Vec<Move>)>) -> Report {
         let states = self.origins.len();
         Report {
             states,
             steps: self.steps,
             depth: self.trace(states - 1).len(),
-            breach,
+            violation,
         }
     }
 }
--- a/crates/config/tests/model/world.rs
+++ b/crates/config/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The small world and its parts.
+//! State of the model and its parts.
 
 use std::rc::Rc;
 
@@ -6,38 +6,38 @@
 use pumicecleat_config::{Change, ChangeId, Fold, Record, Snapshot, Verdict};
 use pumicecleat_types::LogRecord;
 
-use crate::reader::{Reader, fact};
+use crate::reader::{Reader, visible_state};
 
-/// A mistake of a reader or an operator.
+/// Deliberate defect of a reader or an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Slip {
+pub enum Defect {
     None,
-    /// Reader that takes any snapshot of the log, also older ones.
+    /// Reader that applies any snapshot of the log, even an older one.
     TakeSnapshots,
-    /// Reader that passes over a gap.
+    /// Reader that ignores a gap.
     SkipGap,
     /// Reader that ignores a change's base.
     AnyBase,
-    /// Reader that judges a repeated id again.
+    /// Reader that decides again on a repeated id.
     ForgetVerdicts,
-    /// Operator that makes a lost append anew with another id.
+    /// Operator that retries a lost append with a new id.
     Renew,
-    /// Starter that guesses an empty configuration behind a gap.
+    /// New reader that assumes an empty configuration at a gap.
     GuessEmpty,
-    /// Reader that goes on at the log's end.
+    /// Reader that continues at the log's end.
     WakeAtEnd,
-    /// Reader behind a gap that asks no peer.
+    /// Reader at a gap that does not ask a peer for a snapshot.
     AskNone,
-    /// Operator that does not append again after a lost reply.
+    /// Operator that does not retry after a lost reply.
     GiveUp,
 }
 
-/// What may still happen.
+/// Remaining number of events of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     /// Changes of each operator.
     pub changes: [u8; 2],
-    /// Append replies lost.
+    /// Lost replies to appends.
     pub losses: u8,
     pub snapshots: u8,
     pub garbage: u8,
@@ -45,10 +45,10 @@
     pub trims: u8,
 }
 
-/// A change as its operator made it.
+/// A change proposed by an operator.
 #[derive(Debug)]
 pub struct Proposal {
-    /// Operator and count of what it wants; the same under a new id.
+    /// Operator and number of its change; unchanged if retried under a new id.
     pub intent: (usize, u8),
     pub change: Change,
     pub goal: Config,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Change that an operator makes from what a reader shows.
+    /// Prepares the change of an operator based on the state of a reader.
     pub fn make(intent: (usize, u8), fold: &Fold) -> Self {
         let name = format!("{}-{}", intent.0, intent.1);
         let goal = goal(fold.config(), &name);
@@ -75,15 +75,15 @@
         Self::new(intent, change, goal)
     }
 
-    /// The same under another id.
-    pub fn renewed(&self) -> Self {
+    /// Returns the same change under another id.
+    pub fn with_new_id(&self) -> Self {
         let mut change = self.change.clone();
         change.id = ChangeId::try_from(format!("{}-again", change.id)).unwrap();
         Self::new(self.intent, change, self.goal.clone())
     }
 }
 
-// Goals overwrite one item, so that a stale delta still gives the digest it states.
+// All changes overwrite the same item, so that a stale delta still leads to the stated digest.
 fn goal(from: &Config, name: &str) -> Config {
     let mut goal = from.clone();
     goal.bases.insert("m".into(), BaseModel { context: 8 });
@@ -97,37 +97,37 @@
     goal
 }
 
-/// Where an operator stands.
+/// State of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
     Idle,
-    /// Has a change to append.
-    Made,
+    /// Has prepared a change to append.
+    Prepared,
     /// Does not know whether its append took effect.
-    Unsure,
+    OutcomeUnknown,
     /// Waits for the verdict.
     Appended,
-    Told(Verdict),
+    Answered(Verdict),
 }
 
 #[derive(Clone, Debug)]
 pub struct Operator {
     pub phase: Phase,
-    /// Changes made.
+    /// Number of changes prepared.
     pub made: u8,
     /// The last of them.
     pub last: Option<Rc<Proposal>>,
 }
 
-/// Log; trimmed records stay, for the checks.
+/// Log; trimmed records are retained for the checks.
 #[derive(Clone, Debug)]
 pub struct Log {
     pub records: Vec<Rc<LogRecord>>,
     pub first: u64,
     pub up: bool,
-    witness: Fold,
-    /// What a reader of everything tells, by the number of records read.
-    pub truth: Vec<Rc<Snapshot>>,
+    reference: Fold,
+    /// State of a reader of the whole log, by the number of records read.
+    pub expected: Vec<Rc<Snapshot>>,
 }
 
 impl Log {
@@ -135,8 +135,8 @@
         self.records.len() as u64
     }
 
-    /// Whether it holds a snapshot from which a reader can read on.
-    pub fn keeps_snapshot(&self) -> bool {
+    /// Whether it contains a snapshot from which a reader can continue.
+    pub fn has_usable_snapshot(&self) -> bool {
         let kept = &self.records[usize::try_from(self.first).unwrap()..];
         let mut records = kept.iter().map(|r| Record::from_bytes(&r.data));
         records.any(|r| matches!(r, Ok(Record::Snapshot(s)) if s.next >= self.first))
@@ -146,24 +146,24 @@
         let offset = self.end();
         let at = 0;
         let record = LogRecord { offset, at, data };
-        self.witness.apply(&record).unwrap();
-        self.truth.push(Rc::new(fact(&self.witness)));
+        self.reference.apply(&record).unwrap();
+        self.expected.push(Rc::new(visible_state(&self.reference)));
         self.records.push(Rc::new(record));
     }
 }
 
 #[derive(Clone, Debug)]
 pub struct World {
-    pub slip: Slip,
+    pub defect: Defect,
     /// Invariant to check, or `None` for all.
     pub only: Option<&'static str>,
     pub log: Rc<Log>,
     pub readers: Vec<Rc<Reader>>,
     pub operators: [Operator; 2],
-    /// All changes made.
+    /// All changes proposed.
     pub proposals: Vec<Rc<Proposal>>,
-    /// Appends given up on that may still take effect.
-    pub strays: Vec<Rc<Proposal>>,
+    /// Appends without a reply that may still take effect.
+    pub late_appends: Vec<Rc<Proposal>>,
     pub budget: Budget,
 }
 
@@ -174,48 +174,49 @@
             made: 0,
             last: None,
         };
-        let witness = Fold::new();
+        let reference = Fold::new();
         let log = Log {
             records: Vec::new(),
             first: 0,
             up: true,
-            truth: vec![Rc::new(fact(&witness))],
-            witness,
+            expected: vec![Rc::new(visible_state(&reference))],
+            reference,
         };
         Self {
-            slip: Slip::None,
+            defect: Defect::None,
             only: None,
             log: Rc::new(log),
             readers: (0..readers).map(|_| Rc::new(Reader::new())).collect(),
             operators: [idle.clone(), idle],
             proposals: Vec::new(),
-            strays: Vec::new(),
+            late_appends: Vec::new(),
             budget,
         }
     }
 
-    /// Whether a reader lacks records that the log no longer has.
+    /// Whether a reader is missing records that were trimmed.
     pub fn is_behind_gap(&self, reader: &Reader) -> bool {
         reader.fold.next() < self.log.first
     }
 
-    /// What a search must tell apart, in parts that come again. Readers alike may swap places.
+    /// Parts that identify a state and recur in others. Readers are interchangeable, so they are
+    /// sorted.
     pub fn parts(&self) -> Vec<&[u8]> {
         let mut parts: Vec<_> = self.readers.iter().map(|r| r.key.as_slice()).collect();
         parts.sort_unstable();
         for o in &self.operators {
             parts.push(o.last.as_ref().map_or(&[], |p| &p.data));
         }
-        parts.extend(self.strays.iter().map(|p| p.data.as_slice()));
+        parts.extend(self.late_appends.iter().map(|p| p.data.as_slice()));
         parts.extend(self.log.records.iter().map(|r| r.data.as_slice()));
         parts
     }
 
-    /// What else it must tell apart.
+    /// Remaining part that identifies a state.
     pub fn rest(&self) -> Vec<u8> {
         let [a, b] = &self.operators;
         let phases = (&a.phase, a.made, &b.phase, b.made);
-        let counts = (self.strays.len(), self.log.first, self.log.up);
+        let counts = (self.late_appends.len(), self.log.first, self.log.up);
         format!("{phases:?} {counts:?} {:?}", self.budget).into_bytes()
     }
 }
