--- a/crates/config/examples/fold.rs
+++ b/crates/config/examples/fold.rs
@@ -1,7 +1,7 @@
-//! Measures the fold at the size to design for: a day's changes at all adapters.
+//! Benchmarks the fold at the design size: a day's changes with all adapters.
 //!
-//! Prints the time to parse the files, the bytes of a change and of a snapshot, and the time of a
-//! change, of a snapshot's check and of a start from one. Run it with `--release`.
+//! Prints the time to parse the files, the sizes of a change and of a snapshot, and the time to
+//! apply a change, to check a snapshot and to start from one. Run it with `--release`.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 const CHANGES: usize = 39_000;
 
 fn main() {
-    let text = write();
+    let text = write_config();
     let start = Instant::now();
     let name = "all.toml";
     let bytes = text.as_bytes();
@@ -22,8 +22,8 @@
     println!("parse of {} bytes: {:?}", bytes.len(), start.elapsed());
     let mut fold = Fold::new();
     let change = Change::new(id(0), 0, fold.config(), &config, "bench");
-    let (first, took) = apply(&mut fold, Record::Change(Box::new(change)).to_bytes());
-    println!("first change: {first} bytes, {took:?}");
+    let (first, duration) = apply(&mut fold, Record::Change(Box::new(change)).to_bytes());
+    println!("first change: {first} bytes, {duration:?}");
     measure_changes(&mut fold, config);
     measure_snapshot(&mut fold);
 }
@@ -33,9 +33,9 @@
     let mut bytes = 0;
     for i in 1..=CHANGES {
         let record = change(fold, &mut config, i);
-        let (size, took) = apply(fold, record.to_bytes());
+        let (size, duration) = apply(fold, record.to_bytes());
         bytes += size;
-        times.push(took);
+        times.push(duration);
     }
     assert_eq!(digest(&config), fold.digest());
     let total: Duration = times.iter().sum();
@@ -58,12 +58,12 @@
     println!("start from {} bytes: {:?}", bytes.len(), start.elapsed());
     assert_eq!(copy.digest(), fold.digest());
     let record = copy.snapshot_record();
-    let (_, took) = apply(fold, record);
-    println!("check of a snapshot record: {took:?}");
+    let (_, duration) = apply(fold, record);
+    println!("check of a snapshot record: {duration:?}");
 }
 
-/// Next day's version of an adapter, made as an operator's command would, but for its look at the
-/// whole configuration, which is not the fold's.
+/// Creates the change to a new version of an adapter, as an operator's command does, except that it
+/// does not compare the whole configuration.
 fn change(fold: &Fold, config: &mut Config, i: usize) -> Record {
     let name = name(i * 7919 % ADAPTERS);
     let mut small = Config::default();
@@ -78,7 +78,7 @@
     next.adapters.insert(name.clone().into(), new.clone());
     let delta = Delta::between(&small, &next);
     config.adapters.insert(name.into(), new);
-    // The digest is the author's to compute; a fold of its own gives it at the same price.
+    // The author of a change computes its digest; its own fold does so at the same cost.
     let digest = fold.digest_after(&delta).expect("delta fits");
     Record::Change(Box::new(Change {
         id: id(i),
@@ -99,13 +99,13 @@
     };
     let start = Instant::now();
     let event = fold.apply(&record).expect("no gap");
-    let took = start.elapsed();
-    let good = matches!(event, FoldEvent::Accepted { .. } | FoldEvent::Confirmed);
-    assert!(good, "{event:?}");
-    (bytes, took)
+    let duration = start.elapsed();
+    let applied = matches!(event, FoldEvent::Accepted { .. } | FoldEvent::Confirmed);
+    assert!(applied, "{event:?}");
+    (bytes, duration)
 }
 
-fn write() -> String {
+fn write_config() -> String {
     let bases = (0..BASES).map(|i| format!("[base.base-{i}]\ncontext = 8192\n"));
     bases.chain((0..ADAPTERS).map(write_adapter)).collect()
 }
--- a/crates/config/examples/memory.rs
+++ b/crates/config/examples/memory.rs
@@ -1,7 +1,7 @@
-//! Measures the memory of a fold, as the growth of this process's resident pages over some copies.
+//! Measures the memory of a fold by the growth of this process's resident memory over some copies.
 //!
-//! Takes the number of adapters. One size a process: what a larger one left behind would be reused
-//! by the next. Run it with `--release`, on Linux.
+//! The argument is the number of adapters. Each run measures one size, as memory freed by a larger
+//! one would be reused for the next. Run it with `--release`, on Linux.
 
 use pumicecleat_config::model::{Adapter, BaseModel, Config, Version};
 use pumicecleat_config::{Change, ChangeId, Fold, FoldEvent, Record};
@@ -12,18 +12,18 @@
 const COPIES: usize = 16;
 
 fn main() {
-    let asked = std::env::args().nth(1).and_then(|word| word.parse().ok());
-    let adapters = asked.unwrap_or(ADAPTERS);
-    let snapshot = first(&declare(adapters)).snapshot_bytes();
+    let adapters_arg = std::env::args().nth(1).and_then(|word| word.parse().ok());
+    let adapters = adapters_arg.unwrap_or(ADAPTERS);
+    let snapshot = fold_with(&declare(adapters)).snapshot_bytes();
     let build = || Fold::from_snapshot(&snapshot).expect("own snapshot");
-    // The first one fills what making the snapshot has left behind.
+    // The first copy reuses memory that was freed after making the snapshot.
     let mut kept = vec![build()];
-    let before = resident();
+    let before = resident_kb();
     kept.extend((0..COPIES).map(|_| build()));
-    let grown = resident().saturating_sub(before) / COPIES;
+    let growth_kb = resident_kb().saturating_sub(before) / COPIES;
     println!(
-        "{adapters} adapters: {grown} kB, {} bytes an adapter, of {COPIES} copies",
-        grown * 1024 / adapters
+        "{adapters} adapters: {growth_kb} kB, {} bytes an adapter, of {COPIES} copies",
+        growth_kb * 1024 / adapters
     );
 }
 
@@ -50,8 +50,8 @@
     format!("base-{i}")
 }
 
-/// Fold in which a whole configuration is in force.
-fn first(config: &Config) -> Fold {
+/// Returns a fold with the configuration in force.
+fn fold_with(config: &Config) -> Fold {
     let mut fold = Fold::new();
     let id = ChangeId::try_from("first".to_owned()).expect("a short id");
     let change = Change::new(id, 0, fold.config(), config, "operator");
@@ -63,7 +63,7 @@
 }
 
 /// Resident memory of this process, kB.
-fn resident() -> usize {
+fn resident_kb() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let number = line.and_then(|l| l.split_whitespace().next());
--- a/crates/config/tests/back.rs
+++ b/crates/config/tests/back.rs
@@ -1,4 +1,5 @@
-//! No snapshot takes a fold back, however far it says to have read.
+//! A snapshot of an older revision is rejected even if its next offset is larger, as applying it
+//! would revert the fold to that revision.
 
 use pumicecleat_config::model::Config;
 use pumicecleat_config::{Change, ChangeId, Fold, FoldEvent, Record, Source, parse};
@@ -28,7 +29,7 @@
     assert!(matches!(event, FoldEvent::Accepted { .. }), "{event:?}");
 }
 
-/// Fold at revision 2, and one that says to have read further, at revision 1.
+/// Returns a fold at revision 2, and one at revision 1 that has read further.
 fn folds() -> (Fold, Fold) {
     let mut newer = Fold::new();
     change(&mut newer, 1_024);
@@ -46,17 +47,17 @@
 
 struct Case {
     name: &'static str,
-    give: fn(&mut Fold, &Fold) -> bool,
+    offer: fn(&mut Fold, &Fold) -> bool,
 }
 
 const CASES: [Case; 2] = [
     Case {
         name: "from a peer",
-        give: |newer, older| newer.adopt_snapshot(&older.snapshot_bytes()).is_err(),
+        offer: |newer, older| newer.adopt_snapshot(&older.snapshot_bytes()).is_err(),
     },
     Case {
         name: "in the log, behind a gap",
-        give: |newer, older| {
+        offer: |newer, older| {
             let snapshot = Record::Snapshot(Box::new(older.snapshot()));
             let event = newer.apply(&record(9, snapshot.to_bytes()));
             matches!(event, Ok(FoldEvent::Ignored(_)))
@@ -70,7 +71,7 @@
         let (mut newer, older) = folds();
         assert!(older.next() > newer.next());
         let before = (newer.revision(), newer.digest(), newer.next());
-        assert!((case.give)(&mut newer, &older), "{}", case.name);
+        assert!((case.offer)(&mut newer, &older), "{}", case.name);
         let after = (newer.revision(), newer.digest(), newer.next());
         assert_eq!(after, before, "{}", case.name);
     }
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -1,4 +1,4 @@
-//! Arbitrary bytes: neither the parser nor the decoding of records panics.
+//! Neither the parser nor the record decoder panics on arbitrary bytes.
 
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -12,13 +12,13 @@
     include_bytes!("cases/bad/types/a.toml"),
 ];
 
-/// Change of a byte string at a place.
+/// Mutation of a byte string at an offset.
 #[derive(Clone, Debug)]
 enum Mutation {
     Set(u8),
     Insert(Vec<u8>),
-    Cut(u8),
-    Double(u8),
+    Remove(u8),
+    Duplicate(u8),
 }
 
 fn mutation() -> impl Strategy<Value = (Index, Mutation)> {
@@ -26,8 +26,8 @@
     let kind = prop_oneof![
         any::<u8>().prop_map(Mutation::Set),
         words.prop_map(|w| Mutation::Insert(w.as_bytes().to_vec())),
-        any::<u8>().prop_map(Mutation::Cut),
-        any::<u8>().prop_map(Mutation::Double),
+        any::<u8>().prop_map(Mutation::Remove),
+        any::<u8>().prop_map(Mutation::Duplicate),
     ];
     (any::<Index>(), kind)
 }
@@ -38,15 +38,15 @@
     match mutation {
         Mutation::Set(byte) => bytes.iter_mut().skip(at).take(1).for_each(|b| *b = *byte),
         Mutation::Insert(word) => drop(bytes.splice(at..at, word.iter().copied())),
-        Mutation::Cut(len) => drop(bytes.drain(at..end(*len))),
-        Mutation::Double(len) => {
+        Mutation::Remove(len) => drop(bytes.drain(at..end(*len))),
+        Mutation::Duplicate(len) => {
             let part = bytes[at..end(*len)].to_vec();
             bytes.splice(at..at, part);
         }
     }
 }
 
-fn try_parse(bytes: &[u8]) {
+fn check_parse(bytes: &[u8]) {
     let name = "a.toml";
     let source = Source { name, bytes };
     if let Err(faults) = parse(&[source]) {
@@ -57,7 +57,7 @@
     }
 }
 
-fn try_apply(data: Vec<u8>) {
+fn check_apply(data: Vec<u8>) {
     let (offset, at) = (0, 0);
     let mut fold = Fold::new();
     let event = fold.apply(&LogRecord { offset, at, data }).unwrap();
@@ -80,12 +80,12 @@
 proptest! {
     #[test]
     fn parse_takes_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        try_parse(&bytes);
+        check_parse(&bytes);
     }
 
     #[test]
     fn parse_takes_any_text(text in "[a-z.=\\[\\]{}\"'0-9 \n-]{0,200}") {
-        try_parse(text.as_bytes());
+        check_parse(text.as_bytes());
     }
 
     #[test]
@@ -97,13 +97,13 @@
         for (at, mutation) in &mutations {
             mutate(&mut bytes, *at, mutation);
         }
-        try_parse(&bytes);
+        check_parse(&bytes);
     }
 
     #[test]
     fn fold_takes_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Fold::from_snapshot(&bytes);
-        try_apply(bytes);
+        check_apply(bytes);
     }
 
     #[test]
@@ -112,6 +112,6 @@
         for (at, mutation) in &mutations {
             mutate(&mut bytes, *at, mutation);
         }
-        try_apply(bytes);
+        check_apply(bytes);
     }
 }
--- a/crates/config/tests/due.rs
+++ b/crates/config/tests/due.rs
@@ -1,4 +1,4 @@
-//! Snapshots of a log on which nothing was accepted yet.
+//! Snapshots become due even if nothing was accepted yet.
 
 use pumicecleat_config::{DueReason, Fold, FoldEvent};
 use pumicecleat_types::LogRecord;
@@ -18,7 +18,7 @@
     assert_eq!(fold.snapshot_due(DUE - 1, RETENTION), None);
     let due = fold.snapshot_due(DUE, RETENTION);
     assert_eq!(due.map(|d| d.reason), Some(DueReason::Age));
-    // Who starts once the garbage is trimmed has something to start from.
+    // A reader that starts after the garbage is trimmed can start from this snapshot.
     let record = LogRecord {
         offset: 1,
         at: DUE,
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Case files: a folder holds the files of one configuration and what they lead to.
+//! File-based cases: each folder contains the files of one configuration and the expected result.
 
 use std::error::Error;
 use std::fs;
@@ -6,7 +6,7 @@
 
 use pumicecleat_config::{Source, check, digest, parse};
 
-/// A file with its name.
+/// File name and content.
 struct File {
     name: String,
     bytes: Vec<u8>,
@@ -40,7 +40,7 @@
     files.iter().map(File::source).collect()
 }
 
-fn same(expected: &str, found: &str) -> datatest_stable::Result<()> {
+fn check_equal(expected: &str, found: &str) -> datatest_stable::Result<()> {
     if expected.trim() == found.trim() {
         return Ok(());
     }
@@ -53,17 +53,17 @@
         Ok(_) => "no faults".to_owned(),
         Err(faults) => faults.to_string(),
     };
-    same(&fs::read_to_string(path)?, &found)
+    check_equal(&fs::read_to_string(path)?, &found)
 }
 
 fn good(path: &Path) -> datatest_stable::Result<()> {
     let mut files = read_files(path.parent().ok_or("folder")?)?;
     let config = parse(&sources(&files))?;
-    same("[]", &format!("{:?}", check(&config)))?;
-    same(&fs::read_to_string(path)?, &digest(&config).to_string())?;
+    check_equal("[]", &format!("{:?}", check(&config)))?;
+    check_equal(&fs::read_to_string(path)?, &digest(&config).to_string())?;
     files.reverse();
-    let turned = parse(&sources(&files))?;
-    same(&digest(&config).to_string(), &digest(&turned).to_string())
+    let reversed = parse(&sources(&files))?;
+    check_equal(&digest(&config).to_string(), &digest(&reversed).to_string())
 }
 
 datatest_stable::harness! {
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Parts of a service's keys in the configuration.
+//! Configuration of the parts of a service's idempotency keys.
 
 use pumicecleat_config::model::Config;
 use pumicecleat_config::{Change, ChangeId, Fold, FoldEvent, Record, Source, parse};
@@ -23,7 +23,7 @@
 struct PartsCase {
     from: &'static str,
     to: &'static str,
-    /// What refuses the change.
+    /// Part of the error message if the change is refused.
     refused: Option<&'static str>,
     /// Format of the change's record.
     format: u32,
@@ -52,8 +52,8 @@
     PartsCase { from: "kind = 'service'\nconcurrency = 1\nparts = 8", to: "", refused: None, format: 1 },
 ];
 
-/// The number of parts can't change while the pool stands; readers that know of no parts stop at
-/// records that have some.
+/// The number of parts is fixed while the pool exists; records with several parts have a format at
+/// which older readers stop.
 #[test]
 fn parts_are_fixed() {
     let config = |pool: &str| {
--- a/crates/config/tests/tables.rs
+++ b/crates/config/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Tables of cases: routes, grants, keys, stamps, differences, snapshots.
+//! Table-driven tests of routes, grants, keys, stamps, differences and snapshots.
 
 use std::collections::BTreeSet;
 
@@ -108,7 +108,7 @@
         assert_eq!(config.caller_by_key(case.bearer), want.as_ref());
         assert_eq!(index.caller(case.bearer), want.as_ref());
     }
-    // A hash that starts like the key's is not the key's.
+    // A hash that shares only its prefix with that of the key does not match.
     let near = format!("{:0<64}", &hash_key("near key")[..16]);
     let mut caller = config.callers["front-desk"].clone();
     caller.keys = [near].into();
@@ -123,9 +123,9 @@
 struct EditCase {
     name: &'static str,
     edit: fn(&mut Config),
-    /// Lines of the difference, by their start.
+    /// Prefixes of the lines of the difference.
     lines: &'static [&'static str],
-    /// The stamp of itinerary v7 stays.
+    /// Whether the stamp of itinerary v7 is unchanged.
     same_stamp: bool,
 }
 
@@ -183,9 +183,9 @@
 }
 
 struct DeltaCase {
-    /// Keys taken out.
+    /// Keys of removed items.
     removed: fn() -> Vec<ItemKey>,
-    /// Keys of the sample whose items are put in again.
+    /// Keys of items of the sample that are put.
     put: fn() -> Vec<ItemKey>,
     want: Result<(), &'static str>,
 }
@@ -274,7 +274,7 @@
     want: fn(&FoldEvent) -> bool,
 }
 
-/// Snapshots that hold together but for others than the readers that know better.
+/// Snapshots applied by a reader that knows the state they cover.
 #[rustfmt::skip]
 const SNAPSHOTS: &[SnapshotCase] = &[
     SnapshotCase { edit: |_| {}, want: |e| *e == FoldEvent::Confirmed },
@@ -328,11 +328,11 @@
 
 struct PeerCase {
     edit: fn(&mut Snapshot),
-    /// Whether it is taken in, or `None` for an error.
+    /// Whether it is adopted, or `None` for an error.
     want: Option<bool>,
 }
 
-/// Snapshots from peers, for a reader that holds the state at `next` 1.
+/// Snapshots from peers, for a reader whose `next` is 1.
 #[rustfmt::skip]
 const PEERS: &[PeerCase] = &[
     PeerCase { edit: |_| {}, want: Some(false) },
@@ -367,7 +367,7 @@
     assert!(origin.clone().adopt_snapshot(b"garbage").is_err());
 }
 
-/// Readers agree also on verdicts that have left the window.
+/// The window is bounded, and all readers drop the same verdicts from it.
 #[test]
 fn window_is_bounded() {
     let mut fold = Fold::new();
@@ -389,7 +389,7 @@
     assert_eq!(fold.snapshot().window.len(), VERDICT_WINDOW);
     let id = ChangeId::try_from("change-0".to_owned()).unwrap();
     assert_eq!(fold.verdict(&id), None);
-    // A repeat from before the window is stale, so it still can't take effect twice.
+    // A repeated change that has left the window is stale, so it still can't be applied twice.
     let again = LogRecord {
         offset: fold.next(),
         ..first
@@ -399,12 +399,12 @@
 
 struct EnvelopeCase {
     data: Vec<u8>,
-    /// Stops the fold; else it is garbage, which the fold passes over.
+    /// Whether the record stops the fold; otherwise it is malformed and skipped.
     stops: bool,
 }
 
-/// A record of a later format stops the fold until the process is upgraded, whatever follows;
-/// stray bytes don't.
+/// A record of a newer format stops the fold until the process is upgraded, whatever follows it;
+/// malformed records don't.
 #[test]
 fn later_format_stops() {
     let envelope = |magic, format| {
@@ -442,7 +442,7 @@
 const RETENTION: u64 = 400_000;
 
 struct DueCase {
-    /// Changes refused after the first, one a millisecond.
+    /// Changes refused after the first, one per millisecond.
     records: u64,
     now: u64,
     want: Option<(DueReason, u64)>,
@@ -483,7 +483,7 @@
         let record = snapshot(&fold, case.now, fold.snapshot());
         assert_eq!(fold.apply(&record), Ok(FoldEvent::Confirmed));
         assert_eq!(fold.snapshot_due(case.now, RETENTION), None);
-        // A second entry's copy does no harm.
+        // A duplicate appended by another entry is accepted.
         let copy = LogRecord {
             offset: fold.next(),
             ..record
