--- a/crates/config/src/fold/adopt.rs
+++ b/crates/config/src/fold/adopt.rs
@@ -24,10 +24,10 @@
         source: CodecError,
     },
     /// An inconsistent or invalid snapshot.
-    #[snafu(display("step snapshot: {objection}"))]
+    #[snafu(display("step snapshot: {rejection}"))]
     Unusable {
         /// Why.
-        objection: SnapshotRejection,
+        rejection: SnapshotRejection,
     },
 }
 
@@ -38,7 +38,7 @@
     /// [`SnapshotError`] if it is malformed, inconsistent or has faults.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let snapshot = decode::<Snapshot>(bytes).context(MalformedSnafu)?;
-        Self::build(snapshot).map_err(|objection| SnapshotError::Unusable { objection })
+        Self::build(snapshot).map_err(|rejection| SnapshotError::Unusable { rejection })
     }
 
     /// Replaces the state by a peer's snapshot if that is newer; returns whether it was.
@@ -51,7 +51,7 @@
             return Ok(false);
         }
         self.replace_state(snapshot)
-            .map_err(|objection| SnapshotError::Unusable { objection })?;
+            .map_err(|rejection| SnapshotError::Unusable { rejection })?;
         Ok(true)
     }
 
@@ -65,8 +65,8 @@
         if next <= self.next || next > record.offset {
             return self.gap(record);
         }
-        if let Err(objection) = self.replace_state(snapshot) {
-            return Ok(FoldEvent::Ignored(objection));
+        if let Err(rejection) = self.replace_state(snapshot) {
+            return Ok(FoldEvent::Ignored(rejection));
         }
         self.mark.reset_at(next, record.at);
         let revision = self.revision;
@@ -79,8 +79,8 @@
         record: &LogRecord,
         snapshot: &SnapshotView,
     ) -> FoldEvent {
-        if let Some(objection) = self.find_conflict(record.offset, snapshot) {
-            return FoldEvent::Ignored(objection);
+        if let Some(rejection) = self.find_conflict(record.offset, snapshot) {
+            return FoldEvent::Ignored(rejection);
         }
         self.mark.reset_at(snapshot.next, record.at);
         FoldEvent::Confirmed
