--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -32,9 +32,8 @@
 /// Authenticates the caller of a request.
 pub(super) fn identify(shared: &Shared, incoming: &Incoming) -> Result<CallerId, ApiError> {
     let caller = bearer_key(incoming).and_then(|key| shared.config.caller_by_key(key));
-    caller.ok_or_else(|| {
-        ApiError::rejected(401, "invalid_api_key", "no known API key in Authorization")
-    })
+    caller
+        .ok_or_else(|| ApiError::rejected(401, "invalid_api_key", "no known key in Authorization"))
 }
 
 fn bearer_key(incoming: &Incoming) -> Option<&str> {
--- a/crates/entry/src/caller/headers.rs
+++ b/crates/entry/src/caller/headers.rs
@@ -51,7 +51,7 @@
     match read_number::<u64>(value) {
         Some(ms) if ms > 0 => Ok(Millis(ms.min(limits.longest_ms))),
         _ => {
-            let message = "X-Deadline-Ms is not a positive number of milliseconds";
+            let message = "X-Deadline-Ms is not a number of milliseconds from 1";
             Err(ApiError::rejected(400, "bad_deadline", message))
         }
     }
@@ -88,7 +88,7 @@
     };
     let text = value.to_str().ok().filter(|_| values.next().is_none());
     let Some(text) = text else {
-        let message = "Idempotency-Key is not a single header of ASCII text";
+        let message = "Idempotency-Key is not one line of ASCII";
         return Err(ApiError::rejected(400, "key_invalid", message));
     };
     Ok(Some(text.to_owned()))
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -115,7 +115,7 @@
         (_, CHAT_PATH | MODELS_PATH) => Err(ApiError::rejected(
             405,
             "method_not_allowed",
-            "method not allowed for this path",
+            "no such method here",
         )),
         _ => Box::pin(service::handle(shared, call)).await,
     }
--- a/crates/entry/src/caller/service.rs
+++ b/crates/entry/src/caller/service.rs
@@ -71,7 +71,7 @@
         (false, Some(_), _) => Ok(RetryMode::OnceByKey),
         (false, None, KeyRule::Optional) => Ok(RetryMode::Never),
         (false, None, KeyRule::Required) => {
-            let message = "this route requires an Idempotency-Key";
+            let message = "this route wants an Idempotency-Key";
             Err(ApiError::rejected(400, "key_required", message))
         }
     }
--- a/crates/entry/src/request/buffered.rs
+++ b/crates/entry/src/request/buffered.rs
@@ -146,7 +146,7 @@
             return Ok(response);
         }
         let message = engine_error_message(&response.body);
-        let message = message.unwrap_or_else(|| "the engine rejected the request body".to_owned());
+        let message = message.unwrap_or_else(|| "the engine can't take this body".to_owned());
         let fault = ApiError::rejected(response.status, "engine_refused", message);
         Err(self.history.raise_ran(fault))
     }
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -118,7 +118,7 @@
     /// Fault returned when the time limit of the entry expires.
     pub(crate) fn deadline_fault(&self) -> ApiError {
         let ran = self.history.ran();
-        let message = "no complete response before the deadline";
+        let message = "no whole answer before the deadline";
         ApiError {
             status: 504,
             ran,
--- a/crates/entry/src/request/failure.rs
+++ b/crates/entry/src/request/failure.rs
@@ -69,7 +69,7 @@
     pub(crate) fn to_fault(&self) -> ApiError {
         match self {
             Self::NoUpstream { retry_after } => {
-                ApiError::unavailable("no_upstream", "no upstream is available", *retry_after)
+                ApiError::unavailable("no_upstream", "no upstream may take work", *retry_after)
             }
             Self::DeadlineUnreachable { retry_after } => ApiError {
                 status: 429,
@@ -82,7 +82,7 @@
             Self::Refused(refusal) => ApiError::from_refusal(refusal),
             Self::Lost(loss) => Self::loss_fault(loss),
             Self::Mismatch { .. } => {
-                ApiError::outcome_unknown("the upstream's response does not match the request")
+                ApiError::outcome_unknown("the upstream answered another request")
             }
         }
     }
@@ -102,10 +102,7 @@
         }
         ApiError {
             ran: loss.ran,
-            ..ApiError::outcome_unknown(format!(
-                "the upstream's response was interrupted: {}",
-                loss.step
-            ))
+            ..ApiError::outcome_unknown(format!("the upstream's answer broke off: {}", loss.step))
         }
     }
 }
--- a/crates/entry/src/request/resolve.rs
+++ b/crates/entry/src/request/resolve.rs
@@ -84,7 +84,7 @@
 
 /// Fault for a model that does not exist or that the caller may not use; both get the same message.
 fn model_not_found(model: &str) -> ApiError {
-    let message = format!("model {model:?} does not exist or is not available to this caller");
+    let message = format!("model {model:?} does not exist or is not open to this caller");
     ApiError::rejected(404, "model_not_found", message)
 }
 
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -143,7 +143,7 @@
         let fault = ApiError {
             code: "stream_broken",
             ran: Ran::Yes,
-            ..ApiError::outcome_unknown("the response was interrupted and cannot be resumed")
+            ..ApiError::outcome_unknown("the answer broke off and can't be gone on with")
         };
         self.exchange.record_broken_stream(&fault, error);
         let mut event = b"data: ".to_vec();
--- a/crates/side/src/config.rs
+++ b/crates/side/src/config.rs
@@ -219,10 +219,9 @@
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
         match self.config.pool(self.pool()) {
             Some(_) => self.readiness.hold(CONFIG_CONDITION),
-            None => self.readiness.fail(
-                CONFIG_CONDITION,
-                "the configuration does not declare this side's pool",
-            ),
+            None => self
+                .readiness
+                .fail(CONFIG_CONDITION, "it does not declare this side's pool"),
         }
         self.apply_options();
     }
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -183,10 +183,9 @@
             ];
             self.state.log.emit(&events::ORDER_FENCED, &fields);
             // A newer side process gives orders to this engine, so this one must give no more.
-            self.state.readiness.fail(
-                UPSTREAM_CONDITION,
-                "the upstream takes orders from a newer side only",
-            );
+            self.state
+                .readiness
+                .fail(UPSTREAM_CONDITION, "it takes orders of a newer side");
             self.state.leave("fencing number");
             return;
         }
--- a/crates/side/src/watch.rs
+++ b/crates/side/src/watch.rs
@@ -103,7 +103,7 @@
             }
         } else {
             self.readiness
-                .fail(UPSTREAM_CONDITION, "the upstream does not answer");
+                .fail(UPSTREAM_CONDITION, "it does not answer");
             backend.dispatcher.close(Reason::UpstreamDown);
         }
         self.request_reports();
