--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -16,7 +16,7 @@
 /// still meet the objective. With one half, one response in thirty is slower than this.
 const ATTEMPT_TIMEOUT_PART: f64 = 0.5;
 
-/// Minimum timeout of such an attempt: two round trips between data centres and the mean response time.
+/// Minimum timeout of such an attempt: one round trip between data centres and the mean response time.
 const MIN_ATTEMPT_TIMEOUT: Millis = Millis(60);
 
 /// Retry time returned if all upstreams of a service are full: one response time.
