--- a/crates/side/src/run/admission.rs
+++ b/crates/side/src/run/admission.rs
@@ -36,7 +36,7 @@
             ));
         }
         match self.backend() {
-            Some(work) if self.accepts_work() => Ok(work),
+            Some(backend) if self.accepts_work() => Ok(backend),
             _ => Err(refusal(
                 Reason::UpstreamDown,
                 DEFAULT_RETRY_MS,
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -34,15 +34,15 @@
 type Frames = std::pin::Pin<Box<dyn futures_util::Stream<Item = Frame>>>;
 
 async fn start(state: Rc<State>, request: RunRequest) -> Frames {
-    let work = match state.admit(&request.head).await {
-        Ok(work) => work,
+    let backend = match state.admit(&request.head).await {
+        Ok(backend) => backend,
         Err(refusal) => return single_frame(state.refusal_frame(&request.head, refusal)),
     };
-    match (&request.head.target, &work.upstream) {
+    match (&request.head.target, &backend.upstream) {
         (Target::Model(target), Upstream::Model(engine)) => {
             let lora = admission::lora_of(target);
             let engine = Rc::clone(engine);
-            model::run(state, work, engine, lora, request)
+            model::run(state, backend, engine, lora, request)
         }
         (Target::Service(target), Upstream::Service(service, keys)) => {
             let target = target.clone();
@@ -50,7 +50,7 @@
                 service: Rc::clone(service),
                 keys: keys.clone(),
             };
-            service::run(state, work, destination, target, request)
+            service::run(state, backend, destination, target, request)
         }
         _ => single_frame(state.refusal_frame(
             &request.head,
--- a/crates/side/src/run/model/mod.rs
+++ b/crates/side/src/run/model/mod.rs
@@ -26,7 +26,7 @@
 /// Frames of one attempt.
 pub(super) fn run(
     state: Rc<State>,
-    work: Backend,
+    backend: Backend,
     engine: Rc<dyn Engine>,
     lora: Lora,
     request: RunRequest,
@@ -37,7 +37,7 @@
         guard: state.drain.enter(&request.head.request),
         engine_name: lora.engine_name(),
         state,
-        work,
+        backend,
         engine,
         lora,
         request,
@@ -52,7 +52,7 @@
 
 struct ModelRun {
     state: Rc<State>,
-    work: Backend,
+    backend: Backend,
     engine: Rc<dyn Engine>,
     request: RunRequest,
     lora: Lora,
@@ -125,7 +125,7 @@
             tokens: self.state.answer_lengths.expected_tokens(head.tokens),
         };
         let queued_at = self.state.timer.now();
-        let submitted = self.work.dispatcher.submit(&spec);
+        let submitted = self.backend.dispatcher.submit(&spec);
         let mut ticket = submitted.map_err(|r| self.refuse_job(r.reason, r.retry_after))?;
         let decision = ticket.wait().await;
         let waited = self.state.timer.now().since(queued_at);
--- a/crates/side/src/run/model/relay.rs
+++ b/crates/side/src/run/model/relay.rs
@@ -72,7 +72,7 @@
         self.state.answer_lengths.record(relay.events);
         self.state.metrics.completed.inc();
         let end = Frame::End {
-            load: Some(self.work.dispatcher.figures()),
+            load: Some(self.backend.dispatcher.figures()),
         };
         self.step = Step::Remaining(VecDeque::from([end]));
     }
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -33,7 +33,7 @@
 /// Frames of one attempt.
 pub(super) fn run(
     state: Rc<State>,
-    work: Backend,
+    backend: Backend,
     destination: Destination,
     target: ServiceTarget,
     request: RunRequest,
@@ -42,7 +42,7 @@
     let run = ServiceRun {
         deadline: state.timer.now() + Millis(request.head.left_ms),
         state,
-        work,
+        backend,
         destination,
         target,
         request,
@@ -78,7 +78,7 @@
 
 struct ServiceRun {
     state: Rc<State>,
-    work: Backend,
+    backend: Backend,
     destination: Destination,
     target: ServiceTarget,
     request: RunRequest,
@@ -150,7 +150,7 @@
             tokens: 1,
         };
         let detail = "the queue can't meet it";
-        let submitted = self.work.dispatcher.submit(&spec);
+        let submitted = self.backend.dispatcher.submit(&spec);
         let mut ticket = submitted.map_err(|r| refusal(r.reason, r.retry_after.0, detail))?;
         match ticket.wait().await {
             Decision::Send => Ok(ticket),
