--- a/crates/entry/src/caller/chat.rs
+++ b/crates/entry/src/caller/chat.rs
@@ -5,7 +5,7 @@
 use http::header::{CACHE_CONTROL, CONTENT_TYPE};
 use http::{HeaderMap, HeaderValue};
 use pumicecleat_net::{Body, Reply};
-use pumicecleat_upstream::{BodyFault, ChatBody, ChatLimits};
+use pumicecleat_upstream::{ChatBody, ChatBodyError, ChatLimits};
 use serde::Deserialize;
 
 use super::headers::{insert_attempt_headers, read_deadline, read_priority};
@@ -53,16 +53,16 @@
         ..ChatLimits::default()
     };
     let parsed = ChatBody::parse(bytes, &limits);
-    parsed.map_err(|fault| ApiError::rejected(400, body_fault_code(&fault), fault.to_string()))
+    parsed.map_err(|error| ApiError::rejected(400, body_error_code(&error), error.to_string()))
 }
 
-fn body_fault_code(fault: &BodyFault) -> &'static str {
-    match fault {
-        BodyFault::TooLong { .. } => "body_too_long",
-        BodyFault::Encoding { .. } => "body_not_utf8",
-        BodyFault::Json { .. } => "body_not_json",
-        BodyFault::TooDeep { .. } => "body_too_deep",
-        BodyFault::Field { .. } => "bad_field",
+fn body_error_code(error: &ChatBodyError) -> &'static str {
+    match error {
+        ChatBodyError::TooLong { .. } => "body_too_long",
+        ChatBodyError::Encoding { .. } => "body_not_utf8",
+        ChatBodyError::Json { .. } => "body_not_json",
+        ChatBodyError::TooDeep { .. } => "body_too_deep",
+        ChatBodyError::Field { .. } => "bad_field",
     }
 }
 
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -6,7 +6,7 @@
 use pumicecleat_net::{FrameError, FrameReader, NetError, Sent, Stall};
 use pumicecleat_policy::AttemptOutcome;
 use pumicecleat_types::{Frame, HeaderField, LoadFigures, Ran};
-use pumicecleat_upstream::Expect;
+use pumicecleat_upstream::ExpectedResponse;
 
 use super::attempt_guard::AttemptGuard;
 use super::failure::Loss;
@@ -124,8 +124,8 @@
         &'a self,
         job: &'a Job,
         engine_name: &'a str,
-    ) -> Expect<'a> {
-        Expect {
+    ) -> ExpectedResponse<'a> {
+        ExpectedResponse {
             peer: &self.destination.address,
             model: engine_name,
             request: Some(job.request_id.as_str()),
--- a/crates/entry/src/request/buffered.rs
+++ b/crates/entry/src/request/buffered.rs
@@ -1,7 +1,7 @@
 //! Responses that are not streamed. They are returned to the caller only once complete.
 
 use pumicecleat_types::{HeaderField, Ran};
-use pumicecleat_upstream::{AnswerError, AnswerFault, Whole, check_whole};
+use pumicecleat_upstream::{CompletionSummary, ResponseError, ResponseErrorKind, check_completion};
 use serde::Deserialize;
 
 use super::attempt::{BodyPart, lost_failure};
@@ -124,7 +124,7 @@
         attempt: &Attempt,
         head: &ResponseHead,
         body: &[u8],
-    ) -> Result<Option<Whole>, Failure> {
+    ) -> Result<Option<CompletionSummary>, Failure> {
         let Some(engine_name) = self.job.engine_name() else {
             return Ok(None);
         };
@@ -132,7 +132,7 @@
             return Ok(None);
         }
         let expect = attempt.expected_response(&self.job, engine_name);
-        let checked = check_whole(expect, body);
+        let checked = check_completion(expect, body);
         checked.map(Some).map_err(|e| response_failure(&e))
     }
 
@@ -153,14 +153,13 @@
 }
 
 /// Failure of an attempt whose response did not pass the checks.
-pub(crate) fn response_failure(error: &AnswerError) -> Failure {
+pub(crate) fn response_failure(error: &ResponseError) -> Failure {
     match &error.source {
-        AnswerFault::Model { expected, found } | AnswerFault::Crossed { expected, found } => {
-            Failure::Mismatch {
-                expected: expected.clone(),
-                found: found.clone(),
-            }
-        }
+        ResponseErrorKind::ModelMismatch { expected, found }
+        | ResponseErrorKind::IdMismatch { expected, found } => Failure::Mismatch {
+            expected: expected.clone(),
+            found: found.clone(),
+        },
         _ => lost_failure(Ran::Unknown, "check answer", error.to_string()),
     }
 }
--- a/crates/entry/src/request/prompt.rs
+++ b/crates/entry/src/request/prompt.rs
@@ -9,10 +9,10 @@
 
 /// Prompt affinity of a chat request. `seed` distinguishes the prefix caches of engines.
 pub(crate) fn prompt_affinity(chat: &ChatBody, seed: u64) -> PromptAffinity {
-    let thread = chat.thread(seed);
-    let earlier_tokens = thread.earlier / BYTES_PER_TOKEN;
+    let conversation = chat.conversation(seed);
+    let earlier_tokens = conversation.history_bytes / BYTES_PER_TOKEN;
     PromptAffinity {
-        conversation_hash: thread.root,
+        conversation_hash: conversation.root_hash,
         earlier_tokens: u32::try_from(earlier_tokens).unwrap_or(u32::MAX),
     }
 }
--- a/crates/entry/src/stream/event_reader.rs
+++ b/crates/entry/src/stream/event_reader.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the events of one attempt.
 
 use pumicecleat_types::Ran;
-use pumicecleat_upstream::{AnswerError, Chunk, StreamCheck, StreamEvent, Usage};
+use pumicecleat_upstream::{Chunk, ResponseError, StreamCheck, StreamEvent, Usage};
 
 use crate::request::{Attempt, BodyPart, Failure, Job, lost_failure, response_failure};
 use crate::shared::Shared;
@@ -77,7 +77,7 @@
         self.attempt.fail(failure)
     }
 
-    fn scan(&mut self) -> Result<Vec<Chunk>, AnswerError> {
+    fn scan(&mut self) -> Result<Vec<Chunk>, ResponseError> {
         let mut chunks = Vec::with_capacity(1);
         while let Some(event) = self.check.scan_event()? {
             match event {
--- a/crates/fuzz/src/targets/chat.rs
+++ b/crates/fuzz/src/targets/chat.rs
@@ -69,7 +69,10 @@
     require(again.stops() == body.stops(), "stop strings changed")?;
     let same = raw_messages(&rendered) == raw_messages(input);
     require(same, "messages changed")?;
-    require(again.thread(1) == body.thread(1), "conversation changed")
+    require(
+        again.conversation(1) == body.conversation(1),
+        "conversation changed",
+    )
 }
 
 /// Messages as written.
--- a/crates/fuzz/src/targets/metrics.rs
+++ b/crates/fuzz/src/targets/metrics.rs
@@ -4,13 +4,13 @@
 use std::sync::mpsc::{Receiver, Sender};
 
 use pumicecleat_net::{Client, ClientOptions, Timer, run};
-use pumicecleat_upstream::{Engine, Running, VllmEngine};
+use pumicecleat_upstream::{Engine, EngineMetrics, VllmEngine};
 
 use super::page::{Page, SPAN};
 use super::{Broken, Target, require};
 
 /// What the client said of a page: `None` if it could not be read.
-type Said = Option<Running>;
+type Said = Option<EngineMetrics>;
 
 /// A metrics page.
 pub(super) struct MetricsPage(Page<Said>);
@@ -44,12 +44,12 @@
     }
 
     fn check(&self, input: &[u8]) -> Result<bool, Broken> {
-        let Some(running) = self.0.read(input)? else {
+        let Some(metrics) = self.0.read(input)? else {
             return Ok(false);
         };
-        let named = running.loras.iter().all(|l| !l.is_empty());
+        let named = metrics.loras.iter().all(|l| !l.is_empty());
         require(named, "a LoRA without a name")?;
-        let ordered = running.loras.is_sorted_by(|a, b| a < b);
+        let ordered = metrics.loras.is_sorted_by(|a, b| a < b);
         require(ordered, "LoRAs out of order or twice")?;
         Ok(true)
     }
@@ -61,8 +61,8 @@
         let client = Client::new_ext(ClientOptions::default(), &Timer::start());
         let engine = VllmEngine::new(&client, &address.to_string(), SPAN);
         while asked.recv().is_ok() {
-            let running = engine.running().await.ok();
-            if said.send(running).is_err() {
+            let metrics = engine.metrics().await.ok();
+            if said.send(metrics).is_err() {
                 return;
             }
         }
--- a/crates/fuzz/src/targets/stream.rs
+++ b/crates/fuzz/src/targets/stream.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use pumicecleat_upstream::{Chunk, Expect, StreamCheck, StreamEvent, check_whole};
+use pumicecleat_upstream::{Chunk, ExpectedResponse, StreamCheck, StreamEvent, check_completion};
 use serde_json::value::RawValue;
 
 use super::{Broken, Target, cuts, require};
 
 const LIMIT: usize = 2 << 10;
-const EXPECT: Expect<'_> = Expect {
+const EXPECT: ExpectedResponse<'_> = ExpectedResponse {
     peer: "10.0.0.1:8000",
     model: "sowing@v3",
     request: Some("r-1"),
@@ -163,7 +163,7 @@
     }
 
     fn check(&self, input: &[u8]) -> Result<bool, Broken> {
-        let Ok(whole) = check_whole(EXPECT, input) else {
+        let Ok(whole) = check_completion(EXPECT, input) else {
             return Ok(false);
         };
         let Ok(fields) = serde_json::from_slice::<Fields<'_>>(input) else {
--- a/crates/side/src/orders.rs
+++ b/crates/side/src/orders.rs
@@ -9,7 +9,7 @@
 use pumicecleat_ops::{events, field};
 use pumicecleat_policy::{Bid, LoadOutcome};
 use pumicecleat_types::{LoadBid, LoadTurn, Lora, Millis};
-use pumicecleat_upstream::{Engine, Order as EngineOrder, OrderError, load_confirmed};
+use pumicecleat_upstream::{Engine, Order as EngineOrder, OrderError, load_and_confirm};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dispatch::{Dispatcher, Order};
@@ -106,7 +106,7 @@
         self.state.log.emit(&events::LOAD_STARTED, &fields);
         let order = self.order(name, path);
         let timeout = self.state.settings.load_limit.0;
-        match load_confirmed(self.engine.as_ref(), order, timeout).await {
+        match load_and_confirm(self.engine.as_ref(), order, timeout).await {
             Ok(_) => LoadOutcome::Done,
             Err(e) => {
                 self.handle_order_error("load", name, &e);
@@ -132,8 +132,8 @@
     /// of an earlier side process. If the engine does not answer, the adapter counts as in use, so
     /// that no unload is ordered.
     async fn is_in_use(&self, name: &str) -> bool {
-        match self.engine.running().await {
-            Ok(running) => running.loras.iter().any(|l| l == name),
+        match self.engine.metrics().await {
+            Ok(metrics) => metrics.loras.iter().any(|l| l == name),
             Err(_) => true,
         }
     }
--- a/crates/side/src/run/model/relay.rs
+++ b/crates/side/src/run/model/relay.rs
@@ -6,7 +6,9 @@
 use pumicecleat_net::{BodyError, Stall};
 use pumicecleat_ops::{events, field};
 use pumicecleat_types::{Frame, Ran};
-use pumicecleat_upstream::{Answer, AnswerError, AnswerFault, StreamCheck, StreamEvent};
+use pumicecleat_upstream::{
+    ChatResponse, ResponseError, ResponseErrorKind, StreamCheck, StreamEvent,
+};
 
 use super::{ModelRun, Step};
 use crate::dispatch::Ticket;
@@ -19,7 +21,7 @@
 /// A stream that is passed on.
 pub(super) struct Relay {
     pub(super) ticket: Ticket,
-    pub(super) answer: Box<dyn Answer>,
+    pub(super) answer: Box<dyn ChatResponse>,
     pub(super) check: StreamCheck,
     pub(super) stall: Stall,
     /// Number of events passed on; about one per token.
@@ -89,8 +91,8 @@
         self.broken_frame(Ran::Yes, "read stream", &error.to_string())
     }
 
-    pub(super) fn invalid_answer(&self, error: &AnswerError) -> Frame {
-        if let AnswerFault::Model { expected, found } = &error.source {
+    pub(super) fn invalid_answer(&self, error: &ResponseError) -> Frame {
+        if let ResponseErrorKind::ModelMismatch { expected, found } = &error.source {
             self.state.metrics.mismatched.inc();
             let head = &self.request.head;
             let fields = [
@@ -107,7 +109,7 @@
 
 impl Relay {
     /// Bytes of all whole events received, concatenated.
-    fn scan_events(&mut self) -> Result<Vec<u8>, AnswerError> {
+    fn scan_events(&mut self) -> Result<Vec<u8>, ResponseError> {
         let mut bytes = Vec::new();
         while let Some(event) = self.check.scan_event()? {
             self.events = self.events.saturating_add(1);
--- a/crates/side/src/run/model/whole.rs
+++ b/crates/side/src/run/model/whole.rs
@@ -2,7 +2,9 @@
 
 use pumicecleat_net::Stall;
 use pumicecleat_types::{Frame, Ran, Reason};
-use pumicecleat_upstream::{Answer, Expect, StreamCheck, check_whole, read_answer};
+use pumicecleat_upstream::{
+    ChatResponse, ExpectedResponse, StreamCheck, check_completion, read_body,
+};
 
 use super::relay::{MAX_EVENT_BYTES, Relay};
 use super::{ModelRun, Step};
@@ -11,7 +13,11 @@
 
 impl ModelRun {
     /// First frame of an answer whose head was received.
-    pub(super) async fn begin_answer(&mut self, ticket: Ticket, answer: Box<dyn Answer>) -> Frame {
+    pub(super) async fn begin_answer(
+        &mut self,
+        ticket: Ticket,
+        answer: Box<dyn ChatResponse>,
+    ) -> Frame {
         match answer.status() {
             200 if self.request.head.stream => {
                 let check = StreamCheck::new(self.expect(answer.peer()), MAX_EVENT_BYTES);
@@ -29,16 +35,16 @@
         }
     }
 
-    async fn read_whole(&mut self, mut ticket: Ticket, mut answer: Box<dyn Answer>) -> Frame {
+    async fn read_whole(&mut self, mut ticket: Ticket, mut answer: Box<dyn ChatResponse>) -> Frame {
         let peer = answer.peer().to_owned();
-        let reading = read_answer(answer.as_mut(), MAX_ANSWER_BYTES);
+        let reading = read_body(answer.as_mut(), MAX_ANSWER_BYTES);
         let body = match self.state.timer.within(self.time_left(), reading).await {
             Ok(Ok(body)) => body,
             Ok(Err(e)) => return self.broken_frame(Ran::Unknown, "read answer", &e.to_string()),
             Err(_) => return self.broken_frame(Ran::Unknown, "read answer", "deadline passed"),
         };
         ticket.finish(true);
-        match check_whole(self.expect(&peer), &body) {
+        match check_completion(self.expect(&peer), &body) {
             Ok(whole) => self.record_length(whole.usage.map(|u| u.completion)),
             Err(e) => return self.invalid_answer(&e),
         }
@@ -48,8 +54,8 @@
     }
 
     /// What the answer must name. Engines end its id with the id of the request.
-    fn expect<'a>(&'a self, peer: &'a str) -> Expect<'a> {
-        Expect {
+    fn expect<'a>(&'a self, peer: &'a str) -> ExpectedResponse<'a> {
+        ExpectedResponse {
             peer,
             model: &self.engine_name,
             request: Some(self.request.head.request.as_str()),
@@ -68,10 +74,10 @@
     async fn read_error(
         &mut self,
         mut ticket: Ticket,
-        mut answer: Box<dyn Answer>,
+        mut answer: Box<dyn ChatResponse>,
         status: u16,
     ) -> Frame {
-        let body = read_answer(answer.as_mut(), MAX_ANSWER_BYTES)
+        let body = read_body(answer.as_mut(), MAX_ANSWER_BYTES)
             .await
             .unwrap_or_default();
         ticket.finish(false);
--- a/crates/side/src/run/service.rs
+++ b/crates/side/src/run/service.rs
@@ -14,7 +14,7 @@
 use pumicecleat_types::{
     Frame, HeaderField, Millis, Ran, Reason, Refusal, RunRequest, ServiceTarget,
 };
-use pumicecleat_upstream::{CallError, Service, ServiceAnswer, ServiceCall};
+use pumicecleat_upstream::{CallError, Service, ServiceCall, ServiceResponse};
 
 use super::{DEFAULT_RETRY_MS, Frames, body_frames, refusal};
 use crate::dispatch::{Decision, JobSpec, Ticket};
@@ -267,7 +267,7 @@
             .broken_frame(&self.request.head, Ran::Yes, "replay answer", &detail)
     }
 
-    async fn send(&self) -> Result<ServiceAnswer, CallError> {
+    async fn send(&self) -> Result<ServiceResponse, CallError> {
         let head = &self.request.head;
         let call = ServiceCall {
             request: head.request.clone(),
--- a/crates/side/src/watch.rs
+++ b/crates/side/src/watch.rs
@@ -149,8 +149,8 @@
         listed: &[String],
         watched: &mut WatchState,
     ) -> Result<(), CallError> {
-        let running = engine.running().await?;
-        for name in &running.loras {
+        let metrics = engine.metrics().await?;
+        for name in &metrics.loras {
             self.log
                 .emit(&events::LORA_UNACCOUNTED, &[field("lora", name)]);
         }
@@ -173,8 +173,8 @@
         if watched.unaccounted.is_empty() || self.timer.now() < watched.figures_settled_at {
             return Ok(());
         }
-        let running = engine.running().await?;
-        let is_running = |l: &Lora| running.loras.contains(&l.engine_name());
+        let metrics = engine.metrics().await?;
+        let is_running = |l: &Lora| metrics.loras.contains(&l.engine_name());
         let (in_use, unused): (Vec<_>, Vec<_>) =
             watched.unaccounted.drain(..).partition(is_running);
         watched.unaccounted = in_use;
--- a/crates/upstream/benches/stream.rs
+++ b/crates/upstream/benches/stream.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use pumicecleat_upstream::{Expect, StreamCheck};
+use pumicecleat_upstream::{ExpectedResponse, StreamCheck};
 
 /// Events of one stream.
 const EVENTS: u32 = 2_000;
@@ -30,7 +30,7 @@
 fn time_event(stream: &[u8], piece: usize) -> f64 {
     let start = Instant::now();
     for _ in 0..STREAMS {
-        let expect = Expect {
+        let expect = ExpectedResponse {
             peer: "bench",
             model: "sowing@v3",
             request: Some("0192f3c4"),
--- a/crates/upstream/src/call/error.rs
+++ b/crates/upstream/src/call/error.rs
@@ -8,9 +8,9 @@
 
 /// When to come back, by the upstream's word.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Retry(pub Option<Duration>);
+pub struct RetryAfter(pub Option<Duration>);
 
-impl Retry {
+impl RetryAfter {
     /// Span of a `Retry-After` in seconds; a date is not read.
     #[must_use]
     pub fn read(headers: &HeaderMap) -> Self {
@@ -44,17 +44,17 @@
         /// HTTP status.
         status: u16,
         /// When to come back.
-        retry: Retry,
+        retry: RetryAfter,
     },
     /// Answer ends with its connection, so that it can't be told from one cut short.
     #[snafu(display("step read answer, peer {peer}: neither length nor chunks"))]
-    Endless {
+    UnframedBody {
         /// Peer.
         peer: String,
     },
     /// Answer belongs to another request or attempt.
     #[snafu(display("step match answer, peer {peer}: for {found:?}, not {expected:?}"))]
-    Crossed {
+    IdMismatch {
         /// Peer.
         peer: String,
         /// Id sent.
@@ -64,7 +64,7 @@
     },
     /// Answer lacks what it should tell.
     #[snafu(display("step read answer, peer {peer}: {detail}"))]
-    Content {
+    InvalidContent {
         /// Peer.
         peer: String,
         /// What it lacks.
--- a/crates/upstream/src/call/exchange.rs
+++ b/crates/upstream/src/call/exchange.rs
@@ -9,9 +9,9 @@
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
 
-use super::error::{EndlessSnafu, JsonSnafu, NetSnafu, RequestSnafu, StatusSnafu};
+use super::error::{JsonSnafu, NetSnafu, RequestSnafu, StatusSnafu, UnframedBodySnafu};
 use super::{CallIds, ends_by_close};
-use crate::{CallError, Retry};
+use crate::{CallError, RetryAfter};
 
 /// Client of one upstream.
 #[derive(Clone)]
@@ -70,7 +70,7 @@
         let headers = response.headers().clone();
         let peer = self.peer.clone();
         if !bodiless && ends_by_close(status, &headers) {
-            return EndlessSnafu { peer }.fail();
+            return UnframedBodySnafu { peer }.fail();
         }
         let left = Duration::from_millis(end.saturating_sub(timer.now().0));
         let body = response.read(limit, left).await.context(NetSnafu)?;
@@ -96,7 +96,7 @@
         if self.status == 200 {
             return Ok(self);
         }
-        let retry = Retry::read(&self.headers);
+        let retry = RetryAfter::read(&self.headers);
         StatusSnafu {
             peer: self.peer,
             status: self.status,
--- a/crates/upstream/src/call/ids.rs
+++ b/crates/upstream/src/call/ids.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-use super::error::{CrossedSnafu, RequestSnafu};
+use super::error::{IdMismatchSnafu, RequestSnafu};
 use crate::CallError;
 
 /// Request id, the same in each attempt.
@@ -40,7 +40,7 @@
         for (name, expected) in &self.list {
             for found in headers.get_all(name) {
                 if found != expected {
-                    return CrossedSnafu {
+                    return IdMismatchSnafu {
                         peer,
                         expected: text_of(expected),
                         found: text_of(found),
--- a/crates/upstream/src/call/mod.rs
+++ b/crates/upstream/src/call/mod.rs
@@ -6,8 +6,8 @@
 mod ids;
 mod whole;
 
-pub use error::{CallError, Retry};
-pub(crate) use error::{ContentSnafu, EndlessSnafu, NetSnafu, RequestSnafu};
+pub use error::{CallError, RetryAfter};
+pub(crate) use error::{InvalidContentSnafu, NetSnafu, RequestSnafu, UnframedBodySnafu};
 pub(crate) use exchange::{Exchange, WholeAnswer, build};
 pub(crate) use headers::{pass_back, pass_on};
 pub(crate) use ids::{CallIds, IDEMPOTENCY_KEY};
--- a/crates/upstream/src/chat/body.rs
+++ b/crates/upstream/src/chat/body.rs
@@ -5,7 +5,7 @@
 use super::depth::nesting;
 use super::fields::{Fields, read_raw};
 use super::message::check_message;
-use super::{BodyFault, ChatLimits, FieldIssue};
+use super::{ChatBodyError, ChatLimits, FieldIssue};
 
 /// A chat body in the OpenAI form. Fields that are not read here are kept as they were written.
 #[derive(Clone, Debug)]
@@ -23,8 +23,8 @@
     /// Body in `bytes`, if it is one within `limits`.
     ///
     /// # Errors
-    /// [`BodyFault`], by what is wrong and where.
-    pub fn parse(bytes: &[u8], limits: &ChatLimits) -> Result<Self, BodyFault> {
+    /// [`ChatBodyError`], by what is wrong and where.
+    pub fn parse(bytes: &[u8], limits: &ChatLimits) -> Result<Self, ChatBodyError> {
         let text = check_text(bytes, limits)?;
         let fields = Fields::parse(text)?;
         let messages = read_messages(&fields, limits)?;
@@ -61,44 +61,49 @@
     }
 }
 
-fn check_text<'a>(bytes: &'a [u8], limits: &ChatLimits) -> Result<&'a str, BodyFault> {
+fn check_text<'a>(bytes: &'a [u8], limits: &ChatLimits) -> Result<&'a str, ChatBodyError> {
     let limit = limits.bytes;
     if bytes.len() > limit {
-        return Err(BodyFault::TooLong { limit });
+        return Err(ChatBodyError::TooLong { limit });
     }
-    let text = std::str::from_utf8(bytes).map_err(|e| BodyFault::Encoding {
+    let text = std::str::from_utf8(bytes).map_err(|e| ChatBodyError::Encoding {
         at: e.valid_up_to(),
     })?;
     let limit = limits.depth;
     if nesting(text) > limit {
-        return Err(BodyFault::TooDeep { limit });
+        return Err(ChatBodyError::TooDeep { limit });
     }
     Ok(text)
 }
 
-fn read_model(fields: &Fields) -> Result<String, BodyFault> {
+fn read_model(fields: &Fields) -> Result<String, ChatBodyError> {
     let model: Option<String> = fields.read("model", "a string")?;
     match model {
-        None => Err(BodyFault::field("model", FieldIssue::Missing)),
-        Some(model) if model.is_empty() => Err(BodyFault::field("model", FieldIssue::Empty)),
+        None => Err(ChatBodyError::field("model", FieldIssue::Missing)),
+        Some(model) if model.is_empty() => Err(ChatBodyError::field("model", FieldIssue::Empty)),
         Some(model) => Ok(model),
     }
 }
 
-fn read_messages(fields: &Fields, limits: &ChatLimits) -> Result<Vec<Box<RawValue>>, BodyFault> {
+fn read_messages(
+    fields: &Fields,
+    limits: &ChatLimits,
+) -> Result<Vec<Box<RawValue>>, ChatBodyError> {
     let name = "messages";
     let limit = limits.messages;
     let messages: Option<Vec<Box<RawValue>>> = fields.read(name, "an array")?;
     match messages {
-        None => Err(BodyFault::field(name, FieldIssue::Missing)),
-        Some(m) if m.is_empty() => Err(BodyFault::field(name, FieldIssue::Empty)),
-        Some(m) if m.len() > limit => Err(BodyFault::field(name, FieldIssue::TooMany { limit })),
+        None => Err(ChatBodyError::field(name, FieldIssue::Missing)),
+        Some(m) if m.is_empty() => Err(ChatBodyError::field(name, FieldIssue::Empty)),
+        Some(m) if m.len() > limit => {
+            Err(ChatBodyError::field(name, FieldIssue::TooMany { limit }))
+        }
         Some(m) => Ok(m),
     }
 }
 
 /// Role of the last message, if all are messages.
-fn check_messages(messages: &[Box<RawValue>]) -> Result<String, BodyFault> {
+fn check_messages(messages: &[Box<RawValue>]) -> Result<String, ChatBodyError> {
     let mut last = String::new();
     for (at, message) in messages.iter().enumerate() {
         last = check_message(message, &format!("messages[{at}]"))?;
@@ -106,7 +111,7 @@
     Ok(last)
 }
 
-fn read_stops(fields: &Fields, limits: &ChatLimits) -> Result<Vec<String>, BodyFault> {
+fn read_stops(fields: &Fields, limits: &ChatLimits) -> Result<Vec<String>, ChatBodyError> {
     let name = "stop";
     let limit = limits.stops;
     let Some(raw) = fields.get(name) else {
@@ -117,7 +122,7 @@
     }
     let stops: Vec<String> = read_raw(raw, name, "a string or an array of strings")?;
     if stops.len() > limit {
-        return Err(BodyFault::field(name, FieldIssue::TooMany { limit }));
+        return Err(ChatBodyError::field(name, FieldIssue::TooMany { limit }));
     }
     Ok(stops)
 }
--- a/crates/upstream/src/chat/thread.rs
+++ b/crates/upstream/src/chat/conversation.rs
@@ -20,11 +20,11 @@
 
 /// Conversation of a chat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ChatThread {
+pub struct Conversation {
     /// Hash that all its turns share: of the tools, the opening and the message after it.
-    pub root: u64,
+    pub root_hash: u64,
     /// Length of the texts up to the last answer, bytes; 0 in a first turn.
-    pub earlier: u64,
+    pub history_bytes: u64,
 }
 
 #[derive(Deserialize)]
@@ -40,14 +40,14 @@
 impl ChatBody {
     /// Conversation, with a hash that differs by `seed`.
     #[must_use]
-    pub fn thread(&self, seed: u64) -> ChatThread {
-        ChatThread {
-            root: self.root(seed),
-            earlier: self.earlier(),
+    pub fn conversation(&self, seed: u64) -> Conversation {
+        Conversation {
+            root_hash: self.root_hash(seed),
+            history_bytes: self.history_bytes(),
         }
     }
 
-    fn root(&self, seed: u64) -> u64 {
+    fn root_hash(&self, seed: u64) -> u64 {
         let mut hash = Xxh3::with_seed(seed);
         let tools = self.fields.get(TOOLS);
         update(&mut hash, tools.map_or("", RawValue::get));
@@ -64,7 +64,7 @@
         hash.digest()
     }
 
-    fn earlier(&self) -> u64 {
+    fn history_bytes(&self) -> u64 {
         let answer = |raw: &RawValue| {
             let read = serde_json::from_str::<Message<'_>>(raw.get());
             read.is_ok_and(|message| message.role == ASSISTANT)
--- a/crates/upstream/src/chat/fault.rs
+++ b/crates/upstream/src/chat/fault.rs
@@ -5,7 +5,7 @@
 /// A body that is no chat request.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum BodyFault {
+pub enum ChatBodyError {
     /// Too long.
     #[snafu(display("step check body: over {limit} bytes"))]
     TooLong {
@@ -72,7 +72,7 @@
     },
 }
 
-impl BodyFault {
+impl ChatBodyError {
     pub(crate) fn field(path: impl Into<String>, issue: FieldIssue) -> Self {
         let path = path.into();
         Self::Field { path, issue }
--- a/crates/upstream/src/chat/fields.rs
+++ b/crates/upstream/src/chat/fields.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 use serde_with::{Map, serde_as};
 
-use super::{BodyFault, FieldIssue};
+use super::{ChatBodyError, FieldIssue};
 
 /// Fields of a JSON object.
 #[serde_as]
@@ -18,19 +18,19 @@
 
 impl Fields {
     /// Fields of the object in `text`.
-    pub(super) fn parse(text: &str) -> Result<Self, BodyFault> {
-        let fields: Self = serde_json::from_str(text).map_err(|e| BodyFault::Json {
+    pub(super) fn parse(text: &str) -> Result<Self, ChatBodyError> {
+        let fields: Self = serde_json::from_str(text).map_err(|e| ChatBodyError::Json {
             detail: e.to_string(),
         })?;
         fields.check_unique()?;
         Ok(fields)
     }
 
-    fn check_unique(&self) -> Result<(), BodyFault> {
+    fn check_unique(&self) -> Result<(), ChatBodyError> {
         let mut names: Vec<&str> = self.list.iter().map(|(name, _)| name.as_str()).collect();
         names.sort_unstable();
         match names.windows(2).find(|w| w[0] == w[1]) {
-            Some(twice) => Err(BodyFault::field(twice[0], FieldIssue::Duplicate)),
+            Some(twice) => Err(ChatBodyError::field(twice[0], FieldIssue::Duplicate)),
             None => Ok(()),
         }
     }
@@ -47,7 +47,7 @@
         &self,
         name: &str,
         expected: &'static str,
-    ) -> Result<Option<T>, BodyFault> {
+    ) -> Result<Option<T>, ChatBodyError> {
         let Some(raw) = self.get(name) else {
             return Ok(None);
         };
@@ -55,10 +55,10 @@
     }
 
     /// Number from 1 to `high`, if there is one.
-    pub(super) fn read_count(&self, name: &str, high: u64) -> Result<Option<u64>, BodyFault> {
+    pub(super) fn read_count(&self, name: &str, high: u64) -> Result<Option<u64>, ChatBodyError> {
         match self.read::<u64>(name, "a whole number")? {
             Some(n) if n == 0 || n > high => {
-                Err(BodyFault::field(name, FieldIssue::Range { high }))
+                Err(ChatBodyError::field(name, FieldIssue::Range { high }))
             }
             count => Ok(count),
         }
@@ -78,7 +78,7 @@
     raw: &'a RawValue,
     path: &str,
     expected: &'static str,
-) -> Result<T, BodyFault> {
+) -> Result<T, ChatBodyError> {
     let read = serde_json::from_str(raw.get());
-    read.map_err(|_| BodyFault::field(path, FieldIssue::Type { expected }))
+    read.map_err(|_| ChatBodyError::field(path, FieldIssue::Type { expected }))
 }
--- a/crates/upstream/src/chat/message.rs
+++ b/crates/upstream/src/chat/message.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 
 use super::fields::read_raw;
-use super::{BodyFault, FieldIssue};
+use super::{ChatBodyError, FieldIssue};
 
 const OBJECT: FieldIssue = FieldIssue::Type {
     expected: "an object",
@@ -32,7 +32,7 @@
 }
 
 /// Role of the message at `path`, if it is one.
-pub(super) fn check_message(raw: &RawValue, path: &str) -> Result<String, BodyFault> {
+pub(super) fn check_message(raw: &RawValue, path: &str) -> Result<String, ChatBodyError> {
     let message: RawMessage<'_> = read_object(raw, path)?;
     let role_path = format!("{path}.role");
     let role = read_text(message.role, &role_path)?;
@@ -40,7 +40,7 @@
     match message.content {
         Some(content) => check_content(content, &content_path)?,
         None if role == ASSISTANT && message.has_calls() => {}
-        None => return Err(BodyFault::field(content_path, FieldIssue::Missing)),
+        None => return Err(ChatBodyError::field(content_path, FieldIssue::Missing)),
     }
     Ok(role)
 }
@@ -51,7 +51,7 @@
     }
 }
 
-fn check_content(content: &RawValue, path: &str) -> Result<(), BodyFault> {
+fn check_content(content: &RawValue, path: &str) -> Result<(), ChatBodyError> {
     if !content.get().starts_with('[') {
         return read_raw::<String>(content, path, "a string or an array").map(|_| ());
     }
@@ -64,21 +64,21 @@
     Ok(())
 }
 
-fn read_text(raw: Option<&RawValue>, path: &str) -> Result<String, BodyFault> {
+fn read_text(raw: Option<&RawValue>, path: &str) -> Result<String, ChatBodyError> {
     let Some(raw) = raw else {
-        return Err(BodyFault::field(path, FieldIssue::Missing));
+        return Err(ChatBodyError::field(path, FieldIssue::Missing));
     };
     let text: String = read_raw(raw, path, TEXT)?;
     if text.is_empty() {
-        return Err(BodyFault::field(path, FieldIssue::Empty));
+        return Err(ChatBodyError::field(path, FieldIssue::Empty));
     }
     Ok(text)
 }
 
 /// Reads an object; the derived reader alone would also take an array of its fields.
-fn read_object<'a, T: Deserialize<'a>>(raw: &'a RawValue, path: &str) -> Result<T, BodyFault> {
+fn read_object<'a, T: Deserialize<'a>>(raw: &'a RawValue, path: &str) -> Result<T, ChatBodyError> {
     if !raw.get().starts_with('{') {
-        return Err(BodyFault::field(path, OBJECT));
+        return Err(ChatBodyError::field(path, OBJECT));
     }
     read_raw(raw, path, "an object with each field once")
 }
--- a/crates/upstream/src/chat/mod.rs
+++ b/crates/upstream/src/chat/mod.rs
@@ -1,6 +1,7 @@
 //! Callers' chat bodies: checked, kept as they are, and rendered for an engine.
 
 mod body;
+mod conversation;
 mod depth;
 mod fault;
 mod fields;
@@ -8,10 +9,9 @@
 mod message;
 mod render;
 mod resume;
-mod thread;
 
 pub use body::ChatBody;
-pub use fault::{BodyFault, FieldIssue};
+pub use conversation::Conversation;
+pub use fault::{ChatBodyError, FieldIssue};
 pub use limits::ChatLimits;
-pub use resume::ResumeBarrier;
-pub use thread::ChatThread;
+pub use resume::ResumeError;
--- a/crates/upstream/src/chat/render.rs
+++ b/crates/upstream/src/chat/render.rs
@@ -5,7 +5,7 @@
 
 use super::fields::Fields;
 use super::message::ASSISTANT;
-use super::{ChatBody, ResumeBarrier};
+use super::{ChatBody, ResumeError};
 use crate::Progress;
 
 /// Fields that limit the tokens of an answer.
@@ -31,13 +31,13 @@
     /// Body that makes an engine go on after `progress`.
     ///
     /// # Errors
-    /// [`ResumeBarrier`] if the answer would not be what one engine had given.
+    /// [`ResumeError`] if the answer would not be what one engine had given.
     pub fn render_resumed(
         &self,
         model: &str,
         priority: i32,
         progress: &Progress,
-    ) -> Result<Vec<u8>, ResumeBarrier> {
+    ) -> Result<Vec<u8>, ResumeError> {
         self.resumable()?;
         self.check_progress(progress)?;
         let mut fields = self.fields_for(model, priority);
@@ -71,12 +71,12 @@
     }
 }
 
-fn lower_limit(fields: &mut Fields, name: &str, tokens: u64) -> Result<(), ResumeBarrier> {
+fn lower_limit(fields: &mut Fields, name: &str, tokens: u64) -> Result<(), ResumeError> {
     let Ok(Some(limit)) = fields.read::<u64>(name, "") else {
         return Ok(());
     };
     if limit <= tokens {
-        return Err(ResumeBarrier::Spent);
+        return Err(ResumeError::Spent);
     }
     fields.set(name, raw(&(limit - tokens)));
     Ok(())
--- a/crates/upstream/src/chat/resume.rs
+++ b/crates/upstream/src/chat/resume.rs
@@ -11,7 +11,7 @@
 
 /// Why an answer can't be gone on with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum ResumeBarrier {
+pub enum ResumeError {
     /// More than one choice.
     #[snafu(display("more than one choice"))]
     Choices,
@@ -93,31 +93,31 @@
     /// Whether this body allows another engine to go on with a broken answer.
     ///
     /// # Errors
-    /// [`ResumeBarrier`], the first found.
-    pub fn resumable(&self) -> Result<(), ResumeBarrier> {
+    /// [`ResumeError`], the first found.
+    pub fn resumable(&self) -> Result<(), ResumeError> {
         if self.choices != 1 {
-            return Err(ResumeBarrier::Choices);
+            return Err(ResumeError::Choices);
         }
         if self.last_role == ASSISTANT {
-            return Err(ResumeBarrier::LastMessage);
+            return Err(ResumeError::LastMessage);
         }
         match BARRIERS.iter().find(|b| self.has(b)) {
-            Some(found) => Err(ResumeBarrier::Field { field: found.field }),
+            Some(found) => Err(ResumeError::Field { field: found.field }),
             None => Ok(()),
         }
     }
 
     /// Whether the answer can be gone on with from here.
-    pub(super) fn check_progress(&self, progress: &Progress) -> Result<(), ResumeBarrier> {
+    pub(super) fn check_progress(&self, progress: &Progress) -> Result<(), ResumeError> {
         if progress.extra {
-            return Err(ResumeBarrier::Extra);
+            return Err(ResumeError::Extra);
         }
         if self
             .stops()
             .iter()
             .any(|s| may_be_within(s, &progress.text))
         {
-            return Err(ResumeBarrier::Stop);
+            return Err(ResumeError::Stop);
         }
         Ok(())
     }
--- a/crates/upstream/src/check/expect.rs
+++ b/crates/upstream/src/check/expect.rs
@@ -1,12 +1,12 @@
 //! What an answer must say of itself.
 
-use super::AnswerFault;
-use super::fault::{CrossedSnafu, ModelSnafu};
-use super::raw::RawAnswer;
+use super::ResponseErrorKind;
+use super::fault::{IdMismatchSnafu, ModelMismatchSnafu};
+use super::raw::RawResponse;
 
 /// What an answer must say of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Expect<'a> {
+pub struct ExpectedResponse<'a> {
     /// Peer that answers, for errors.
     pub peer: &'a str,
     /// Engine name that must have run.
@@ -16,11 +16,11 @@
     pub request: Option<&'a str>,
 }
 
-impl Expect<'_> {
-    pub(super) fn check(&self, answer: &RawAnswer<'_>) -> Result<(), AnswerFault> {
+impl ExpectedResponse<'_> {
+    pub(super) fn check(&self, answer: &RawResponse<'_>) -> Result<(), ResponseErrorKind> {
         let found = answer.model();
         if found != self.model {
-            return ModelSnafu {
+            return ModelMismatchSnafu {
                 expected: self.model,
                 found,
             }
@@ -34,10 +34,10 @@
 }
 
 /// Accepts `REQUEST` and `PREFIX-REQUEST`.
-fn check_request(found: &str, expected: &str) -> Result<(), AnswerFault> {
+fn check_request(found: &str, expected: &str) -> Result<(), ResponseErrorKind> {
     let prefix = found.strip_suffix(expected);
     if prefix.is_some_and(|p| p.is_empty() || p.ends_with('-')) {
         return Ok(());
     }
-    CrossedSnafu { expected, found }.fail()
+    IdMismatchSnafu { expected, found }.fail()
 }
--- a/crates/upstream/src/check/fault.rs
+++ b/crates/upstream/src/check/fault.rs
@@ -5,17 +5,17 @@
 /// A wrong answer of a peer.
 #[derive(Debug, Snafu)]
 #[snafu(display("step check answer, peer {peer}: {source}"))]
-pub struct AnswerError {
+pub struct ResponseError {
     /// Peer.
     pub peer: String,
     /// What is wrong.
-    pub source: AnswerFault,
+    pub source: ResponseErrorKind,
 }
 
 /// What is wrong with an answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum AnswerFault {
+pub enum ResponseErrorKind {
     /// Not UTF-8.
     #[snafu(display("not UTF-8"))]
     Encoding,
@@ -33,7 +33,7 @@
     },
     /// Of another model than asked for.
     #[snafu(display("model {found:?}, not {expected:?}"))]
-    Model {
+    ModelMismatch {
         /// Model asked for.
         expected: String,
         /// Model named, empty if none.
@@ -41,7 +41,7 @@
     },
     /// An event belongs to another answer.
     #[snafu(display("event of {found:?} in {expected:?}"))]
-    Crossed {
+    IdMismatch {
         /// Id of the first event.
         expected: String,
         /// Id of this event.
--- a/crates/upstream/src/check/mod.rs
+++ b/crates/upstream/src/check/mod.rs
@@ -9,8 +9,8 @@
 mod whole;
 
 pub use chunk::{Chunk, PromptDetails, StreamEvent, Usage};
-pub use expect::Expect;
-pub use fault::{AnswerError, AnswerFault};
+pub use expect::ExpectedResponse;
+pub use fault::{ResponseError, ResponseErrorKind};
 pub use progress::Progress;
 pub use stream::StreamCheck;
-pub use whole::{Whole, check_whole};
+pub use whole::{CompletionSummary, check_completion};
--- a/crates/upstream/src/check/raw.rs
+++ b/crates/upstream/src/check/raw.rs
@@ -8,7 +8,7 @@
 use snafu::ResultExt;
 
 use super::fault::{EncodingSnafu, EngineSnafu, JsonSnafu};
-use super::{AnswerFault, Usage};
+use super::{ResponseErrorKind, Usage};
 
 /// Engine's words kept in an error, characters.
 const DETAIL_LIMIT: usize = 200;
@@ -20,7 +20,7 @@
 
 /// An answer, or an event of one.
 #[derive(Deserialize)]
-pub(super) struct RawAnswer<'a> {
+pub(super) struct RawResponse<'a> {
     #[serde(borrow)]
     id: Option<Text<'a>>,
     #[serde(borrow)]
@@ -73,7 +73,7 @@
     }
 }
 
-impl RawAnswer<'_> {
+impl RawResponse<'_> {
     /// Id, empty if there is none.
     pub(super) fn id(&self) -> &str {
         self.id.as_ref().map_or("", |id| id.0.as_ref())
@@ -86,7 +86,7 @@
 }
 
 /// Answer in `data`, if it is one and no error.
-pub(super) fn read_answer(data: &[u8]) -> Result<RawAnswer<'_>, AnswerFault> {
+pub(super) fn read_response(data: &[u8]) -> Result<RawResponse<'_>, ResponseErrorKind> {
     // Skipped strings are not checked by the parser.
     let Ok(text) = std::str::from_utf8(data) else {
         return EncodingSnafu.fail();
@@ -99,7 +99,7 @@
 }
 
 /// Parses an object; the derived reader alone would also take an array of its fields.
-fn parse_object(text: &str) -> Result<RawAnswer<'_>, AnswerFault> {
+fn parse_object(text: &str) -> Result<RawResponse<'_>, ResponseErrorKind> {
     if text.trim_start().starts_with('[') {
         let wrong = serde::de::Error::custom("an array, not an object");
         return Err(wrong).context(JsonSnafu);
@@ -107,7 +107,7 @@
     serde_json::from_str(text).context(JsonSnafu)
 }
 
-fn error_of(answer: &RawAnswer<'_>, text: &str) -> Option<String> {
+fn error_of(answer: &RawResponse<'_>, text: &str) -> Option<String> {
     let words = match answer.error {
         Some(error) => error.get(),
         None if answer.object.as_ref().is_some_and(|o| o.0 == "error") => text,
--- a/crates/upstream/src/check/stream.rs
+++ b/crates/upstream/src/check/stream.rs
@@ -3,11 +3,11 @@
 use pumicecleat_net::{SseEvent, SseScanner};
 
 use super::fault::{
-    AfterDoneSnafu, CrossedSnafu, IndexSnafu, NoChoicesSnafu, NoFinishSnafu, NotDoneSnafu,
+    AfterDoneSnafu, IdMismatchSnafu, IndexSnafu, NoChoicesSnafu, NoFinishSnafu, NotDoneSnafu,
     TooLongSnafu,
 };
-use super::raw::{RawAnswer, RawChoice, Text, read_answer};
-use super::{AnswerError, AnswerFault, Chunk, Expect, StreamEvent};
+use super::raw::{RawChoice, RawResponse, Text, read_response};
+use super::{Chunk, ExpectedResponse, ResponseError, ResponseErrorKind, StreamEvent};
 
 /// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
@@ -31,7 +31,7 @@
 impl StreamCheck {
     /// Check of an answer with events of at most `limit` bytes.
     #[must_use]
-    pub fn new(expect: Expect<'_>, limit: usize) -> Self {
+    pub fn new(expect: ExpectedResponse<'_>, limit: usize) -> Self {
         Self {
             scanner: SseScanner::new(limit),
             peer: expect.peer.to_owned(),
@@ -53,8 +53,8 @@
     /// keep a connection open, are passed over.
     ///
     /// # Errors
-    /// [`AnswerError`] if the answer is wrong; nothing after it can be trusted.
-    pub fn scan_event(&mut self) -> Result<Option<StreamEvent>, AnswerError> {
+    /// [`ResponseError`] if the answer is wrong; nothing after it can be trusted.
+    pub fn scan_event(&mut self) -> Result<Option<StreamEvent>, ResponseError> {
         let result = self.scan();
         result.map_err(|source| self.error(source))
     }
@@ -68,15 +68,15 @@
     /// Checks that the stream may end here.
     ///
     /// # Errors
-    /// [`AnswerError`] if the answer is not whole.
-    pub fn finish(&self) -> Result<(), AnswerError> {
+    /// [`ResponseError`] if the answer is not whole.
+    pub fn finish(&self) -> Result<(), ResponseError> {
         if self.done {
             return Ok(());
         }
         Err(self.error(NotDoneSnafu.build()))
     }
 
-    fn scan(&mut self) -> Result<Option<StreamEvent>, AnswerFault> {
+    fn scan(&mut self) -> Result<Option<StreamEvent>, ResponseErrorKind> {
         loop {
             let event = match self.scanner.scan_event() {
                 Ok(Some(event)) => event,
@@ -93,13 +93,13 @@
         }
     }
 
-    fn read(&mut self, event: SseEvent) -> Result<StreamEvent, AnswerFault> {
+    fn read(&mut self, event: SseEvent) -> Result<StreamEvent, ResponseErrorKind> {
         if event.data() == DONE {
             self.check_finished()?;
             self.done = true;
             return Ok(StreamEvent::Done { raw: event.raw });
         }
-        let answer = read_answer(event.data())?;
+        let answer = read_response(event.data())?;
         self.expect().check(&answer)?;
         check_id(&mut self.id, answer.id())?;
         let mut chunk = read_chunk(&answer);
@@ -111,15 +111,15 @@
         Ok(StreamEvent::Chunk(chunk))
     }
 
-    fn expect(&self) -> Expect<'_> {
-        Expect {
+    fn expect(&self) -> ExpectedResponse<'_> {
+        ExpectedResponse {
             peer: &self.peer,
             model: &self.model,
             request: self.request.as_deref(),
         }
     }
 
-    fn count(&mut self, choice: &RawChoice<'_>) -> Result<(), AnswerFault> {
+    fn count(&mut self, choice: &RawChoice<'_>) -> Result<(), ResponseErrorKind> {
         let index = choice.index;
         let Some(bit) = 1_u64.checked_shl(index) else {
             return IndexSnafu { index }.fail();
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    fn check_finished(&self) -> Result<(), AnswerFault> {
+    fn check_finished(&self) -> Result<(), ResponseErrorKind> {
         if self.seen == 0 {
             return NoChoicesSnafu.fail();
         }
@@ -143,26 +143,26 @@
         NoFinishSnafu { index }.fail()
     }
 
-    fn error(&self, source: AnswerFault) -> AnswerError {
+    fn error(&self, source: ResponseErrorKind) -> ResponseError {
         let peer = self.peer.clone();
-        AnswerError { peer, source }
+        ResponseError { peer, source }
     }
 }
 
 /// Accepts the same id in each event.
-fn check_id(known: &mut Option<String>, found: &str) -> Result<(), AnswerFault> {
+fn check_id(known: &mut Option<String>, found: &str) -> Result<(), ResponseErrorKind> {
     match known {
         None => *known = Some(found.to_owned()),
         Some(expected) if expected == found => {}
         Some(expected) => {
             let expected = expected.as_str();
-            return CrossedSnafu { expected, found }.fail();
+            return IdMismatchSnafu { expected, found }.fail();
         }
     }
     Ok(())
 }
 
-fn read_chunk(answer: &RawAnswer<'_>) -> Chunk {
+fn read_chunk(answer: &RawResponse<'_>) -> Chunk {
     let mut chunk = Chunk {
         usage: answer.usage,
         ..Chunk::default()
--- a/crates/upstream/src/check/whole.rs
+++ b/crates/upstream/src/check/whole.rs
@@ -1,12 +1,12 @@
 //! Check of an answer that is not streamed.
 
 use super::fault::{NoChoicesSnafu, NoFinishSnafu};
-use super::raw::{RawChoice, read_answer};
-use super::{AnswerError, AnswerFault, Expect, Usage};
+use super::raw::{RawChoice, read_response};
+use super::{ExpectedResponse, ResponseError, ResponseErrorKind, Usage};
 
 /// What a whole answer tells of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompletionSummary {
     /// Choices.
     pub choices: usize,
     /// Tokens, if the engine tells.
@@ -16,16 +16,22 @@
 /// Checks that `body` is one whole answer.
 ///
 /// # Errors
-/// [`AnswerError`] if it is not.
-pub fn check_whole(expect: Expect<'_>, body: &[u8]) -> Result<Whole, AnswerError> {
-    check(&expect, body).map_err(|source| AnswerError {
+/// [`ResponseError`] if it is not.
+pub fn check_completion(
+    expect: ExpectedResponse<'_>,
+    body: &[u8],
+) -> Result<CompletionSummary, ResponseError> {
+    check(&expect, body).map_err(|source| ResponseError {
         peer: expect.peer.to_owned(),
         source,
     })
 }
 
-fn check(expect: &Expect<'_>, body: &[u8]) -> Result<Whole, AnswerFault> {
-    let answer = read_answer(body)?;
+fn check(
+    expect: &ExpectedResponse<'_>,
+    body: &[u8],
+) -> Result<CompletionSummary, ResponseErrorKind> {
+    let answer = read_response(body)?;
     expect.check(&answer)?;
     if answer.choices.is_empty() {
         return NoChoicesSnafu.fail();
@@ -33,13 +39,13 @@
     for choice in &answer.choices {
         check_choice(choice)?;
     }
-    Ok(Whole {
+    Ok(CompletionSummary {
         choices: answer.choices.len(),
         usage: answer.usage,
     })
 }
 
-fn check_choice(choice: &RawChoice<'_>) -> Result<(), AnswerFault> {
+fn check_choice(choice: &RawChoice<'_>) -> Result<(), ResponseErrorKind> {
     if choice.message.is_none() {
         return NoChoicesSnafu.fail();
     }
--- a/crates/upstream/src/engine/answer.rs
+++ b/crates/upstream/src/engine/answer.rs
@@ -5,12 +5,12 @@
 use pumicecleat_net::{BodyError, NetError, Response};
 use snafu::IntoError;
 
-use crate::call::{EndlessSnafu, NetSnafu, ends_by_close};
+use crate::call::{NetSnafu, UnframedBodySnafu, ends_by_close};
 use crate::{CallError, Local};
 
 /// Answer whose body is still to be read. Dropping it before its end aborts the work at the
 /// engine.
-pub trait Answer {
+pub trait ChatResponse {
     /// HTTP status.
     fn status(&self) -> u16;
 
@@ -24,7 +24,7 @@
     fn next(&mut self) -> Local<'_, Option<Result<Bytes, BodyError>>>;
 }
 
-impl Answer for Response {
+impl ChatResponse for Response {
     fn status(&self) -> u16 {
         Response::status(self)
     }
@@ -46,10 +46,10 @@
 ///
 /// # Errors
 /// [`CallError`] if the body is not provably whole, or too long.
-pub async fn read_answer(answer: &mut dyn Answer, limit: u64) -> Result<Vec<u8>, CallError> {
+pub async fn read_body(answer: &mut dyn ChatResponse, limit: u64) -> Result<Vec<u8>, CallError> {
     let peer = answer.peer().to_owned();
     if ends_by_close(answer.status(), answer.headers()) {
-        return EndlessSnafu { peer }.fail();
+        return UnframedBodySnafu { peer }.fail();
     }
     let mut all = Vec::new();
     while let Some(piece) = answer.next().await {
--- a/crates/upstream/src/engine/confirm.rs
+++ b/crates/upstream/src/engine/confirm.rs
@@ -7,33 +7,36 @@
 
 /// A LoRA that the engine shows as resident.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Loaded {
+pub struct ConfirmedLoad {
     /// All engine names resident then.
     pub resident: Vec<String>,
     /// Engine had not accepted this order: the LoRA was there already, or the reply was lost.
-    pub earlier: bool,
+    pub already_resident: bool,
 }
 
 /// Orders a load and asks the engine whether it is resident, whatever the engine said.
 ///
 /// # Errors
 /// [`OrderError`] if the LoRA is not shown as resident.
-pub async fn load_confirmed(
+pub async fn load_and_confirm(
     engine: &dyn Engine,
     order: Order<'_>,
     span: Duration,
-) -> Result<Loaded, OrderError> {
+) -> Result<ConfirmedLoad, OrderError> {
     let said = engine.load(order, span).await;
     let doubtful = OrderError::is_doubtful;
     if said.as_ref().is_err_and(|e| !doubtful(e)) {
-        return said.map(|()| Loaded::default());
+        return said.map(|()| ConfirmedLoad::default());
     }
     let shown = engine.resident().await;
     let accepted = said.is_ok();
     match shown {
         Ok(resident) if resident.iter().any(|r| r == order.lora) => {
-            let earlier = !accepted;
-            Ok(Loaded { resident, earlier })
+            let already_resident = !accepted;
+            Ok(ConfirmedLoad {
+                resident,
+                already_resident,
+            })
         }
         Ok(_) => {
             said?;
--- a/crates/upstream/src/engine/metrics.rs
+++ b/crates/upstream/src/engine/metrics.rs
@@ -1,6 +1,6 @@
 //! What an engine's metrics page says of its work.
 
-use super::Running;
+use super::EngineMetrics;
 
 const RUNNING: &str = "vllm:num_requests_running";
 const WAITING: &str = "vllm:num_requests_waiting";
@@ -14,7 +14,7 @@
 }
 
 /// Figures of the page; `None` if it lacks those of running or waiting requests.
-pub(crate) fn read_metrics(page: &str) -> Option<Running> {
+pub(crate) fn read_metrics(page: &str) -> Option<EngineMetrics> {
     let mut running = None;
     let mut waiting = None;
     let mut latest: Option<Sample<'_>> = None;
@@ -30,7 +30,7 @@
         }
     }
     let labels = latest.map_or("", |s| s.labels);
-    Some(Running {
+    Some(EngineMetrics {
         requests: running?,
         waiting: waiting?,
         slots: read_label(labels, "max_lora").and_then(|t| t.parse().ok()),
--- a/crates/upstream/src/engine/mod.rs
+++ b/crates/upstream/src/engine/mod.rs
@@ -12,14 +12,14 @@
 use pumicecleat_types::RequestId;
 
 use crate::{CallError, Local};
-pub use answer::{Answer, read_answer};
-pub use confirm::{Loaded, load_confirmed};
+pub use answer::{ChatResponse, read_body};
+pub use confirm::{ConfirmedLoad, load_and_confirm};
 pub use order::{Order, OrderError};
 pub use vllm::VllmEngine;
 
 /// What an engine says of its work, a moment late.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Running {
+pub struct EngineMetrics {
     /// Requests running.
     pub requests: u32,
     /// Requests waiting.
@@ -49,7 +49,7 @@
     fn peer(&self) -> &str;
 
     /// Orders it to load a LoRA, and waits up to `span` for its word. An engine may lie:
-    /// [`load_confirmed`] asks it for what is resident.
+    /// [`load_and_confirm`] asks it for what is resident.
     ///
     /// # Errors
     /// [`OrderError`], by what is known of the order.
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// [`CallError`] if there is no usable answer.
-    fn running(&self) -> Local<'_, Result<Running, CallError>>;
+    fn metrics(&self) -> Local<'_, Result<EngineMetrics, CallError>>;
 
     /// Whether it is ready.
     ///
@@ -84,6 +84,9 @@
     ///
     /// # Errors
     /// [`CallError`] if there is none, or it is another call's.
-    fn chat(&self, call: ChatCall, span: Duration)
-    -> Local<'_, Result<Box<dyn Answer>, CallError>>;
+    fn chat(
+        &self,
+        call: ChatCall,
+        span: Duration,
+    ) -> Local<'_, Result<Box<dyn ChatResponse>, CallError>>;
 }
--- a/crates/upstream/src/engine/vllm.rs
+++ b/crates/upstream/src/engine/vllm.rs
@@ -10,8 +10,8 @@
 
 use super::metrics::read_metrics;
 use super::order::{FailedSnafu, NoSlotSnafu, NoWeightsSnafu, StaleSnafu};
-use super::{Answer, ChatCall, Engine, Order, OrderError, Running};
-use crate::call::{CallIds, ContentSnafu, Exchange, WholeAnswer, build};
+use super::{ChatCall, ChatResponse, Engine, EngineMetrics, Order, OrderError};
+use crate::call::{CallIds, Exchange, InvalidContentSnafu, WholeAnswer, build};
 use crate::{CallError, Local};
 
 /// Fencing number of an order.
@@ -127,12 +127,12 @@
         Ok(loras.map(|m| m.id).collect())
     }
 
-    async fn get_metrics(&self) -> Result<Running, CallError> {
+    async fn get_metrics(&self) -> Result<EngineMetrics, CallError> {
         let answer = self.get("/metrics").await?;
         let page = String::from_utf8_lossy(&answer.body);
         match read_metrics(&page) {
             Some(running) => Ok(running),
-            None => ContentSnafu {
+            None => InvalidContentSnafu {
                 peer: answer.peer,
                 detail: "metrics lack requests running or waiting",
             }
@@ -144,7 +144,7 @@
         &self,
         call: ChatCall,
         span: Duration,
-    ) -> Result<Box<dyn Answer>, CallError> {
+    ) -> Result<Box<dyn ChatResponse>, CallError> {
         let ids = CallIds::new(&self.exchange.peer, call.request.as_str(), call.attempt)?;
         let mut request = self.request(Method::POST, "/v1/chat/completions", call.body)?;
         if call.stream {
@@ -182,7 +182,7 @@
         Box::pin(self.get_models())
     }
 
-    fn running(&self) -> Local<'_, Result<Running, CallError>> {
+    fn metrics(&self) -> Local<'_, Result<EngineMetrics, CallError>> {
         Box::pin(self.get_metrics())
     }
 
@@ -194,7 +194,7 @@
         &self,
         call: ChatCall,
         span: Duration,
-    ) -> Local<'_, Result<Box<dyn Answer>, CallError>> {
+    ) -> Local<'_, Result<Box<dyn ChatResponse>, CallError>> {
         Box::pin(self.post_chat(call, span))
     }
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Engine`] and [`Service`] are what the rest of the system sees, as trait objects;
 //! [`VllmEngine`] and [`HttpService`] speak the HTTP forms of `docs/PLATFORM.md`. Errors tell
 //! whether the upstream may have acted. [`ChatBody`] checks what callers send and renders it for an
-//! engine; [`StreamCheck`] and [`check_whole`] check what engines answer.
+//! engine; [`StreamCheck`] and [`check_completion`] check what engines answer.
 //!
 //! ```
 //! use std::time::Duration;
@@ -25,15 +25,15 @@
 mod engine;
 mod service;
 
-pub use call::{CallError, Retry};
-pub use chat::{BodyFault, ChatBody, ChatLimits, ChatThread, FieldIssue, ResumeBarrier};
+pub use call::{CallError, RetryAfter};
+pub use chat::{ChatBody, ChatBodyError, ChatLimits, Conversation, FieldIssue, ResumeError};
 pub use check::{
-    AnswerError, AnswerFault, Chunk, Expect, Progress, PromptDetails, StreamCheck, StreamEvent,
-    Usage, Whole, check_whole,
+    Chunk, CompletionSummary, ExpectedResponse, Progress, PromptDetails, ResponseError,
+    ResponseErrorKind, StreamCheck, StreamEvent, Usage, check_completion,
 };
 pub use engine::{
-    Answer, ChatCall, Engine, Loaded, Order, OrderError, Running, VllmEngine, load_confirmed,
-    read_answer,
+    ChatCall, ChatResponse, ConfirmedLoad, Engine, EngineMetrics, Order, OrderError, VllmEngine,
+    load_and_confirm, read_body,
 };
 pub use pumicecleat_net::Local;
-pub use service::{HttpService, Service, ServiceAnswer, ServiceCall};
+pub use service::{HttpService, Service, ServiceCall, ServiceResponse};
--- a/crates/upstream/src/service/http.rs
+++ b/crates/upstream/src/service/http.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, HeaderValue, Method};
 use pumicecleat_net::Client;
 
-use super::{Service, ServiceAnswer, ServiceCall};
+use super::{Service, ServiceCall, ServiceResponse};
 use crate::call::{CallIds, Exchange, IDEMPOTENCY_KEY, RequestSnafu, build, pass_back, pass_on};
 use crate::{CallError, Local};
 
@@ -37,13 +37,13 @@
         &self,
         call: &ServiceCall,
         span: Duration,
-    ) -> Result<ServiceAnswer, CallError> {
+    ) -> Result<ServiceResponse, CallError> {
         let peer = &self.exchange.peer;
         let ids = CallIds::new(peer, call.request.as_str(), call.attempt)?;
         let request = self.request(call)?;
         let asked = self.exchange.ask(request, Some(&ids), self.limit, span);
         let answer = asked.await?;
-        Ok(ServiceAnswer {
+        Ok(ServiceResponse {
             status: answer.status,
             headers: pass_back(&answer.headers),
             body: answer.body,
@@ -89,7 +89,7 @@
         &'a self,
         call: &'a ServiceCall,
         span: Duration,
-    ) -> Local<'a, Result<ServiceAnswer, CallError>> {
+    ) -> Local<'a, Result<ServiceResponse, CallError>> {
         Box::pin(self.send_call(call, span))
     }
 
--- a/crates/upstream/src/service/mod.rs
+++ b/crates/upstream/src/service/mod.rs
@@ -31,7 +31,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers for the caller; those of one hop are left out.
@@ -51,7 +51,7 @@
         &'a self,
         call: &'a ServiceCall,
         span: Duration,
-    ) -> Local<'a, Result<ServiceAnswer, CallError>>;
+    ) -> Local<'a, Result<ServiceResponse, CallError>>;
 
     /// Whether it is ready.
     ///
--- a/crates/upstream/tests/chat.rs
+++ b/crates/upstream/tests/chat.rs
@@ -1,7 +1,9 @@
 //! Callers' chat bodies: what is refused, what is kept, what is gone on with.
 
 use proptest::prelude::*;
-use pumicecleat_upstream::{BodyFault, ChatBody, ChatLimits, FieldIssue, Progress, ResumeBarrier};
+use pumicecleat_upstream::{
+    ChatBody, ChatBodyError, ChatLimits, FieldIssue, Progress, ResumeError,
+};
 use serde_json::{Value, json};
 
 const LIMITS: ChatLimits = ChatLimits {
@@ -17,7 +19,7 @@
  {"role":"user","content":[{"type":"text","text":"When to sow?"}]}],
  "stream":true,"max_tokens":10,"temperature":0.70,"metadata":{"z":1,"a":[1E2,"\u0d24"]}}"#;
 
-fn parse(text: &str) -> Result<ChatBody, BodyFault> {
+fn parse(text: &str) -> Result<ChatBody, ChatBodyError> {
     ChatBody::parse(text.as_bytes(), &LIMITS)
 }
 
@@ -75,7 +77,12 @@
     for case in cases {
         let error = parse(&format!("{{{before}{}}}", case.fields)).expect_err(case.fields);
         let (path, issue) = (case.path.to_owned(), case.issue);
-        assert_eq!(error, BodyFault::Field { path, issue }, "{}", case.fields);
+        assert_eq!(
+            error,
+            ChatBodyError::Field { path, issue },
+            "{}",
+            case.fields
+        );
     }
 }
 
@@ -134,16 +141,22 @@
     let quoted = SOUND.replace("Be brief.", &r#"[{\"["#.repeat(9));
     assert!(parse(&quoted).is_ok());
     let long = format!(r#"{{"a":"{}"}}"#, "a".repeat(2_000));
-    assert_eq!(parse(&deep).unwrap_err(), BodyFault::TooDeep { limit: 8 });
+    assert_eq!(
+        parse(&deep).unwrap_err(),
+        ChatBodyError::TooDeep { limit: 8 }
+    );
     assert_eq!(
         parse(&long).unwrap_err(),
-        BodyFault::TooLong { limit: 2_000 }
+        ChatBodyError::TooLong { limit: 2_000 }
     );
     let error = ChatBody::parse(b"{\"a\":\"\xff\"}", &LIMITS).unwrap_err();
-    assert_eq!(error, BodyFault::Encoding { at: 6 });
+    assert_eq!(error, ChatBodyError::Encoding { at: 6 });
     for text in ["", "[]", "3", "{", "{\"a\":}", "{} {}", "{\"a\":1,}"] {
         let error = parse(text).unwrap_err();
-        assert!(matches!(error, BodyFault::Json { .. }), "{text}: {error}");
+        assert!(
+            matches!(error, ChatBodyError::Json { .. }),
+            "{text}: {error}"
+        );
     }
 }
 
@@ -179,31 +192,31 @@
     let fresh = body.render_resumed("m@1", 1, &Progress::default()).unwrap();
     assert_eq!(fresh, body.render("m@1", 1));
     let spent = body.render_resumed("m@1", 1, &progress("a", 10));
-    assert_eq!(spent.unwrap_err(), ResumeBarrier::Spent);
+    assert_eq!(spent.unwrap_err(), ResumeError::Spent);
     for text in ["a E", "a EN", "a END", "END b"] {
         let split = body.render_resumed("m@1", 1, &progress(text, 1));
-        assert_eq!(split.unwrap_err(), ResumeBarrier::Stop, "{text}");
+        assert_eq!(split.unwrap_err(), ResumeError::Stop, "{text}");
     }
     let extra = Progress {
         extra: true,
         ..progress("a", 1)
     };
     let error = body.render_resumed("m@1", 1, &extra).unwrap_err();
-    assert_eq!(error, ResumeBarrier::Extra);
+    assert_eq!(error, ResumeError::Extra);
 }
 
 #[test]
 fn barriers_are_told() {
     struct Case {
         fields: &'static str,
-        barrier: Option<ResumeBarrier>,
+        barrier: Option<ResumeError>,
     }
-    let field = |field| Some(ResumeBarrier::Field { field });
+    let field = |field| Some(ResumeError::Field { field });
     #[rustfmt::skip]
     let cases = [
         Case { fields: "", barrier: None },
         Case { fields: r#","n":1,"seed":null,"tools":[],"logprobs":false,"temperature":0.2"#, barrier: None },
-        Case { fields: r#","n":2"#, barrier: Some(ResumeBarrier::Choices) },
+        Case { fields: r#","n":2"#, barrier: Some(ResumeError::Choices) },
         Case { fields: r#","tools":[{"type":"function"}]"#, barrier: field("tools") },
         Case { fields: r#","tool_choice":"auto""#, barrier: field("tool_choice") },
         Case { fields: r#","logprobs":true"#, barrier: field("logprobs") },
@@ -219,10 +232,10 @@
     }
     let last = r#"{"model":"m","messages":[{"role":"assistant","content":"a"}]}"#;
     let found = parse(last).unwrap().resumable();
-    assert_eq!(found, Err(ResumeBarrier::LastMessage));
+    assert_eq!(found, Err(ResumeError::LastMessage));
 }
 
-struct Thread {
+struct ConversationCase {
     name: &'static str,
     messages: &'static str,
     more: &'static str,
@@ -231,8 +244,8 @@
     earlier: bool,
 }
 
-const fn thread(name: &'static str, messages: &'static str, same: bool) -> Thread {
-    Thread {
+const fn conversation(name: &'static str, messages: &'static str, same: bool) -> ConversationCase {
+    ConversationCase {
         name,
         messages,
         more: "",
@@ -242,34 +255,39 @@
     }
 }
 
-const THREAD: &str = r#"{"role":"system","content":"é"},{"role":"user","content":"1"}"#;
+const CONVERSATION: &str = r#"{"role":"system","content":"é"},{"role":"user","content":"1"}"#;
 
 #[rustfmt::skip]
-const THREADS: &[Thread] = &[
-    thread("the same", THREAD, true),
-    Thread { earlier: true, ..thread("next turn", r#"{"role":"system","content":"é"},{"role":"user","content":"1"},{"role":"assistant","content":"a"},{"role":"user","content":"2"}"#, true) },
-    thread("written otherwise", r#"{ "content":"\u00e9", "role":"system"},{"role":"user","name":"x","content":"1"}"#, true),
-    thread("another question", r#"{"role":"system","content":"é"},{"role":"user","content":"2"}"#, false),
-    thread("another opening", r#"{"role":"system","content":"e"},{"role":"user","content":"1"}"#, false),
-    thread("another role", r#"{"role":"developer","content":"é"},{"role":"user","content":"1"}"#, false),
-    thread("texts run together", r#"{"role":"system","content":"é1"},{"role":"user","content":""}"#, false),
-    thread("parts", r#"{"role":"system","content":"é"},{"role":"user","content":[{"type":"text","text":"1"}]}"#, false),
-    thread("no opening", r#"{"role":"user","content":"1"}"#, false),
-    Thread { more: r#","tools":[{"type":"function"}]"#, ..thread("tools", THREAD, false) },
-    Thread { seed: 8, ..thread("another adapter", THREAD, false) },
+const CONVERSATIONS: &[ConversationCase] = &[
+    conversation("the same", CONVERSATION, true),
+    ConversationCase { earlier: true, ..conversation("next turn", r#"{"role":"system","content":"é"},{"role":"user","content":"1"},{"role":"assistant","content":"a"},{"role":"user","content":"2"}"#, true) },
+    conversation("written otherwise", r#"{ "content":"\u00e9", "role":"system"},{"role":"user","name":"x","content":"1"}"#, true),
+    conversation("another question", r#"{"role":"system","content":"é"},{"role":"user","content":"2"}"#, false),
+    conversation("another opening", r#"{"role":"system","content":"e"},{"role":"user","content":"1"}"#, false),
+    conversation("another role", r#"{"role":"developer","content":"é"},{"role":"user","content":"1"}"#, false),
+    conversation("texts run together", r#"{"role":"system","content":"é1"},{"role":"user","content":""}"#, false),
+    conversation("parts", r#"{"role":"system","content":"é"},{"role":"user","content":[{"type":"text","text":"1"}]}"#, false),
+    conversation("no opening", r#"{"role":"user","content":"1"}"#, false),
+    ConversationCase { more: r#","tools":[{"type":"function"}]"#, ..conversation("tools", CONVERSATION, false) },
+    ConversationCase { seed: 8, ..conversation("another adapter", CONVERSATION, false) },
 ];
 
 #[test]
 fn turns_of_a_conversation_share_their_root() {
     let of = |messages: &str, more: &str, seed| {
         let text = format!(r#"{{"model":"m","messages":[{messages}]{more}}}"#);
-        parse(&text).expect(&text).thread(seed)
+        parse(&text).expect(&text).conversation(seed)
     };
-    let first = of(THREAD, "", 7);
-    for case in THREADS {
+    let first = of(CONVERSATION, "", 7);
+    for case in CONVERSATIONS {
         let found = of(case.messages, case.more, case.seed);
-        assert_eq!(found.root == first.root, case.same, "{}", case.name);
-        assert_eq!(found.earlier > 0, case.earlier, "{}", case.name);
+        assert_eq!(
+            found.root_hash == first.root_hash,
+            case.same,
+            "{}",
+            case.name
+        );
+        assert_eq!(found.history_bytes > 0, case.earlier, "{}", case.name);
     }
 }
 
--- a/crates/upstream/tests/engine.rs
+++ b/crates/upstream/tests/engine.rs
@@ -12,8 +12,9 @@
     expected_tokens,
 };
 use pumicecleat_upstream::{
-    AnswerFault, ChatBody, ChatCall, ChatLimits, Engine, Expect, Order, OrderError, Progress,
-    StreamCheck, StreamEvent, VllmEngine, check_whole, load_confirmed, read_answer,
+    ChatBody, ChatCall, ChatLimits, Engine, ExpectedResponse, Order, OrderError, Progress,
+    ResponseErrorKind, StreamCheck, StreamEvent, VllmEngine, check_completion, load_and_confirm,
+    read_body,
 };
 
 const LIMIT: usize = 1 << 16;
@@ -35,9 +36,9 @@
 }
 
 async fn load(engine: &VllmEngine, lora: &str, fence: u64) -> Result<bool, OrderError> {
-    let loaded = load_confirmed(engine, order(lora, fence), SPAN).await?;
+    let loaded = load_and_confirm(engine, order(lora, fence), SPAN).await?;
     assert!(loaded.resident.iter().any(|r| r == lora));
-    Ok(loaded.earlier)
+    Ok(loaded.already_resident)
 }
 
 fn body(stream: bool) -> ChatBody {
@@ -57,8 +58,8 @@
     }
 }
 
-fn expect(request: &str) -> Expect<'_> {
-    Expect {
+fn expect(request: &str) -> ExpectedResponse<'_> {
+    ExpectedResponse {
         peer: "engine",
         model: LORA,
         request: Some(request),
@@ -181,7 +182,7 @@
             let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}");
             let (address, _) = answer_once(reply);
             let engine = VllmEngine::new(&client, &address.to_string(), SPAN);
-            let running = engine.running().await;
+            let running = engine.metrics().await;
             assert_eq!(running.is_ok(), sound);
             if let Ok(running) = running {
                 assert_eq!((running.requests, running.waiting), (3, 7));
@@ -252,16 +253,19 @@
             ..chat(request, body(false).render(LORA, 0))
         };
         let mut answer = engine.chat(call("r-1"), SPAN).await.unwrap();
-        let whole = read_answer(answer.as_mut(), 1 << 20).await.unwrap();
-        let checked = check_whole(expect("r-1"), &whole).unwrap();
+        let whole = read_body(answer.as_mut(), 1 << 20).await.unwrap();
+        let checked = check_completion(expect("r-1"), &whole).unwrap();
         assert_eq!(checked.usage.unwrap().completion, TOKENS);
-        let crossed = check_whole(expect("r-2"), &whole).unwrap_err();
-        assert!(matches!(crossed.source, AnswerFault::Crossed { .. }));
+        let crossed = check_completion(expect("r-2"), &whole).unwrap_err();
+        assert!(matches!(
+            crossed.source,
+            ResponseErrorKind::IdMismatch { .. }
+        ));
         let mut answer = engine.chat(call("r-1"), SPAN).await.unwrap();
-        assert!(read_answer(answer.as_mut(), 10).await.is_err());
+        assert!(read_body(answer.as_mut(), 10).await.is_err());
         standin.inject(|f| f.truncate = 1);
         let mut answer = engine.chat(call("r-1"), SPAN).await.unwrap();
-        assert!(read_answer(answer.as_mut(), 1 << 20).await.is_err());
+        assert!(read_body(answer.as_mut(), 1 << 20).await.is_err());
     });
 }
 
@@ -274,14 +278,14 @@
         let long = long.replace(&format!("\"max_tokens\":{TOKENS}"), "\"max_tokens\":100000");
         let mut answer = engine.chat(chat("r-1", long.into()), SPAN).await.unwrap();
         answer.next().await.unwrap().unwrap();
-        let running = engine.running().await.unwrap();
+        let running = engine.metrics().await.unwrap();
         assert_eq!(
             (running.requests, running.loras),
             (1, vec![LORA.to_owned()])
         );
         drop(answer);
         let idle = async {
-            while engine.running().await.unwrap().requests > 0 {
+            while engine.metrics().await.unwrap().requests > 0 {
                 client.timer().sleep(Duration::from_millis(5)).await;
             }
         };
--- a/crates/upstream/tests/service.rs
+++ b/crates/upstream/tests/service.rs
@@ -105,9 +105,9 @@
         Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", error: answer },
         Case { reply: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", error: answer },
         Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789", error: answer },
-        Case { reply: "HTTP/1.1 200 OK\r\n\r\nok", error: |e| matches!(e, CallError::Endless { .. }) },
-        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Request-Id: r-2\r\n\r\nok", error: |e| matches!(e, CallError::Crossed { .. }) },
-        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt: 1\r\n\r\nok", error: |e| matches!(e, CallError::Crossed { .. }) },
+        Case { reply: "HTTP/1.1 200 OK\r\n\r\nok", error: |e| matches!(e, CallError::UnframedBody { .. }) },
+        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Request-Id: r-2\r\n\r\nok", error: |e| matches!(e, CallError::IdMismatch { .. }) },
+        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt: 1\r\n\r\nok", error: |e| matches!(e, CallError::IdMismatch { .. }) },
     ];
     for case in cases {
         with_client(|client| async move {
--- a/crates/upstream/tests/stream.rs
+++ b/crates/upstream/tests/stream.rs
@@ -2,11 +2,12 @@
 
 use proptest::prelude::*;
 use pumicecleat_upstream::{
-    AnswerError, AnswerFault, Chunk, Expect, Progress, StreamCheck, StreamEvent, Usage, check_whole,
+    Chunk, ExpectedResponse, Progress, ResponseError, ResponseErrorKind, StreamCheck, StreamEvent,
+    Usage, check_completion,
 };
 
 const LIMIT: usize = 512;
-const EXPECT: Expect<'_> = Expect {
+const EXPECT: ExpectedResponse<'_> = ExpectedResponse {
     peer: "10.0.0.1:8000",
     model: "sowing@v3",
     request: Some("r-1"),
@@ -50,7 +51,7 @@
 }
 
 /// Events of a stream that arrives in `pieces`, to its end.
-fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> Result<Vec<StreamEvent>, AnswerError> {
+fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> Result<Vec<StreamEvent>, ResponseError> {
     let mut check = StreamCheck::new(EXPECT, LIMIT);
     let mut events = Vec::new();
     for piece in pieces {
@@ -66,10 +67,10 @@
 struct Case {
     name: &'static str,
     stream: String,
-    fault: fn(&AnswerFault) -> bool,
+    fault: fn(&ResponseErrorKind) -> bool,
 }
 
-fn case(name: &'static str, parts: &[String], fault: fn(&AnswerFault) -> bool) -> Case {
+fn case(name: &'static str, parts: &[String], fault: fn(&ResponseErrorKind) -> bool) -> Case {
     let stream = parts.concat();
     Case {
         name,
@@ -80,18 +81,18 @@
 
 #[test]
 fn wrong_streams_are_told() {
-    use AnswerFault as F;
+    use ResponseErrorKind as F;
     let renamed = |from: &str, to: &str| token("a").replace(from, to);
     let second = chunk(r#"[{"index":1,"delta":{"content":"b"},"finish_reason":null}]"#);
     let far = chunk(r#"[{"index":64,"delta":{"content":"b"}}]"#);
     let twice = renamed(r#""model""#, r#""model":"sowing@v3","model""#);
     #[rustfmt::skip]
     let cases = [
-        case("model", &[renamed("@v3", "@v2")], |f| matches!(f, F::Model { found, .. } if found == "sowing@v2")),
-        case("no model", &[event(r#"{"choices":[]}"#)], |f| matches!(f, F::Model { .. })),
-        case("id of another request", &[renamed("r-1", "r-11")], |f| matches!(f, F::Crossed { .. })),
-        case("id within an id", &[renamed("l-r-1", "lr-1")], |f| matches!(f, F::Crossed { .. })),
-        case("id changes", &[token("a"), renamed("chatcmpl", "other")], |f| matches!(f, F::Crossed { .. })),
+        case("model", &[renamed("@v3", "@v2")], |f| matches!(f, F::ModelMismatch { found, .. } if found == "sowing@v2")),
+        case("no model", &[event(r#"{"choices":[]}"#)], |f| matches!(f, F::ModelMismatch { .. })),
+        case("id of another request", &[renamed("r-1", "r-11")], |f| matches!(f, F::IdMismatch { .. })),
+        case("id within an id", &[renamed("l-r-1", "lr-1")], |f| matches!(f, F::IdMismatch { .. })),
+        case("id changes", &[token("a"), renamed("chatcmpl", "other")], |f| matches!(f, F::IdMismatch { .. })),
         case("cut JSON", &[event(r#"{"id":"chatcmpl-r-1","mod"#)], |f| matches!(f, F::Json { .. })),
         case("trailing", &[event(&format!("{HEAD}[]}} {{}}"))], |f| matches!(f, F::Json { .. })),
         case("array", &[event(r#"["chatcmpl-r-1",null,"sowing@v3",[]]"#)], |f| matches!(f, F::Json { .. })),
@@ -172,31 +173,34 @@
 
 #[test]
 fn whole_answers_are_checked() {
-    use AnswerFault as F;
+    use ResponseErrorKind as F;
     struct Case {
         body: String,
-        fault: fn(&AnswerFault) -> bool,
+        fault: fn(&ResponseErrorKind) -> bool,
     }
     let body = |choices: &str| format!("{HEAD}{choices}}}");
     let sound = body(
         r#"[{"index":0,"message":{"role":"assistant","content":"a"},"finish_reason":"length"}]"#,
     );
-    assert_eq!(check_whole(EXPECT, sound.as_bytes()).unwrap().choices, 1);
+    assert_eq!(
+        check_completion(EXPECT, sound.as_bytes()).unwrap().choices,
+        1
+    );
     let unfinished = body(r#"[{"index":0,"message":{"content":"a"},"finish_reason":null}]"#);
     let delta = body(r#"[{"index":0,"delta":{"content":"a"},"finish_reason":"stop"}]"#);
     #[rustfmt::skip]
     let cases = [
         Case { body: String::new(), fault: |f| matches!(f, F::Json { .. }) },
         Case { body: sound[..sound.len() - 1].into(), fault: |f| matches!(f, F::Json { .. }) },
-        Case { body: sound.replace("@v3", "@v4"), fault: |f| matches!(f, F::Model { .. }) },
-        Case { body: sound.replace("r-1", "r-2"), fault: |f| matches!(f, F::Crossed { .. }) },
+        Case { body: sound.replace("@v3", "@v4"), fault: |f| matches!(f, F::ModelMismatch { .. }) },
+        Case { body: sound.replace("r-1", "r-2"), fault: |f| matches!(f, F::IdMismatch { .. }) },
         Case { body: body("[]"), fault: |f| matches!(f, F::NoChoices) },
         Case { body: unfinished, fault: |f| matches!(f, F::NoFinish { index: 0 }) },
         Case { body: delta, fault: |f| matches!(f, F::NoChoices) },
         Case { body: r#"{"object":"error","message":"no"}"#.into(), fault: |f| matches!(f, F::Engine { .. }) },
     ];
     for case in cases {
-        let error = check_whole(EXPECT, case.body.as_bytes()).expect_err(&case.body);
+        let error = check_completion(EXPECT, case.body.as_bytes()).expect_err(&case.body);
         assert!((case.fault)(&error.source), "{}: {error}", case.body);
     }
 }
@@ -223,7 +227,7 @@
     #[test]
     fn any_bytes_are_read_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = read(bytes.chunks(9));
-        let _ = check_whole(EXPECT, &bytes);
+        let _ = check_completion(EXPECT, &bytes);
     }
 
     #[test]
@@ -263,7 +267,7 @@
         let usage = format!(r#""usage":{{"prompt_tokens":3{details},"completion_tokens":2}}"#);
         let choice = r#"[{"index":0,"message":{"content":"a"},"finish_reason":"stop"}]"#;
         let body = format!("{HEAD}{choice},{usage}}}");
-        let whole = check_whole(EXPECT, body.as_bytes()).expect(details);
+        let whole = check_completion(EXPECT, body.as_bytes()).expect(details);
         let told = whole.usage.expect(details);
         assert_eq!((told.prompt, told.completion), (3, 2), "{details}");
         assert_eq!(told.details.cached, cached, "{details}");
