--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -165,7 +165,7 @@
             if self.first_event.is_empty() {
                 self.first_event.clone_from(&chunk.raw);
             }
-            self.finished |= chunk.finish.is_some();
+            self.finished |= chunk.finish_reason.is_some();
             self.progress.add(&chunk);
             if out.is_empty() {
                 out = chunk.raw;
--- a/crates/entry/src/stream/splice.rs
+++ b/crates/entry/src/stream/splice.rs
@@ -79,7 +79,7 @@
 /// Whether an event is empty without its role.
 fn is_empty_event(event: &Map<String, Value>, chunk: &Chunk) -> bool {
     let usage = event.get("usage").is_some_and(|u| !u.is_null());
-    chunk.content.is_empty() && chunk.finish.is_none() && !chunk.extra && !usage
+    chunk.content.is_empty() && chunk.finish_reason.is_none() && !chunk.non_text && !usage
 }
 
 fn read_event(raw: &[u8]) -> Option<Map<String, Value>> {
--- a/crates/fuzz/src/targets/stream.rs
+++ b/crates/fuzz/src/targets/stream.rs
@@ -142,8 +142,7 @@
     }
     let done = matches!(reading.events.last(), Some(StreamEvent::Done { .. }));
     require(done, "whole without its end")?;
-    let finish =
-        |e: &StreamEvent| matches!(e, StreamEvent::Chunk(c) if c.finish.is_some() || c.extra);
+    let finish = |e: &StreamEvent| matches!(e, StreamEvent::Chunk(c) if c.finish_reason.is_some() || c.non_text);
     require(
         reading.events.iter().any(finish),
         "whole without a finish reason",
--- a/crates/upstream/src/chat/resume.rs
+++ b/crates/upstream/src/chat/resume.rs
@@ -26,7 +26,7 @@
     LastMessage,
     /// More than text was passed on.
     #[snafu(display("more than text was passed on"))]
-    Extra,
+    NonText,
     /// Text so far may end within a stop string.
     #[snafu(display("text may end within a stop string"))]
     Stop,
@@ -109,8 +109,8 @@
 
     /// Whether the answer can be gone on with from here.
     pub(super) fn check_progress(&self, progress: &Progress) -> Result<(), ResumeError> {
-        if progress.extra {
-            return Err(ResumeError::Extra);
+        if progress.non_text {
+            return Err(ResumeError::NonText);
         }
         if self
             .stops()
--- a/crates/upstream/src/check/chunk.rs
+++ b/crates/upstream/src/check/chunk.rs
@@ -47,9 +47,9 @@
     /// Text of the first choice.
     pub content: String,
     /// Finish reason of the first choice.
-    pub finish: Option<String>,
+    pub finish_reason: Option<String>,
     /// Tokens so far, if the engine tells.
     pub usage: Option<Usage>,
     /// Holds more than text of the first choice: tool calls, reasoning, further choices.
-    pub extra: bool,
+    pub non_text: bool,
 }
--- a/crates/upstream/src/check/raw.rs
+++ b/crates/upstream/src/check/raw.rs
@@ -61,7 +61,7 @@
 
 impl RawMessage<'_> {
     /// Whether it holds more than text.
-    pub(super) fn has_extra(&self) -> bool {
+    pub(super) fn has_non_text(&self) -> bool {
         let parts = [
             &self.tool_calls,
             &self.function_call,
--- a/crates/upstream/src/check/stream.rs
+++ b/crates/upstream/src/check/stream.rs
@@ -175,16 +175,16 @@
 
 fn add_choice(chunk: &mut Chunk, choice: &RawChoice<'_>) {
     if choice.index != 0 {
-        chunk.extra = true;
+        chunk.non_text = true;
         return;
     }
     if let Some(delta) = &choice.delta {
-        chunk.extra |= delta.has_extra();
+        chunk.non_text |= delta.has_non_text();
         if let Some(Text(content)) = &delta.content {
             chunk.content.push_str(content);
         }
     }
     if let Some(Text(finish)) = &choice.finish_reason {
-        chunk.finish = Some(finish.to_string());
+        chunk.finish_reason = Some(finish.to_string());
     }
 }
--- a/crates/upstream/tests/chat.rs
+++ b/crates/upstream/tests/chat.rs
@@ -198,11 +198,11 @@
         assert_eq!(split.unwrap_err(), ResumeError::Stop, "{text}");
     }
     let extra = Progress {
-        extra: true,
+        non_text: true,
         ..progress("a", 1)
     };
     let error = body.render_resumed("m@1", 1, &extra).unwrap_err();
-    assert_eq!(error, ResumeError::Extra);
+    assert_eq!(error, ResumeError::NonText);
 }
 
 #[test]
--- a/crates/upstream/tests/stream.rs
+++ b/crates/upstream/tests/stream.rs
@@ -131,7 +131,7 @@
         match event {
             StreamEvent::Chunk(chunk) => {
                 progress.add(chunk);
-                finish = chunk.finish.clone().or(finish);
+                finish = chunk.finish_reason.clone().or(finish);
                 raw.extend_from_slice(&chunk.raw);
             }
             StreamEvent::Done { raw: bytes } => raw.extend_from_slice(bytes),
@@ -166,7 +166,7 @@
         let event = check.scan_event().unwrap();
         assert!(matches!(
             event,
-            Some(StreamEvent::Chunk(Chunk { extra: true, .. }))
+            Some(StreamEvent::Chunk(Chunk { non_text: true, .. }))
         ));
     }
 }
