--- a/crates/upstream/benches/stream.rs
+++ b/crates/upstream/benches/stream.rs
@@ -1,18 +1,18 @@
-//! Time of one event in [`StreamCheck`], by the size of the pieces that arrive.
+//! Time per event in [`StreamCheck`], by the size of the received chunks.
 
 use std::hint::black_box;
 use std::time::Instant;
 
 use pumicecleat_upstream::{ExpectedResponse, StreamCheck};
 
-/// Events of one stream.
-const EVENTS: u32 = 2_000;
+/// Number of events per stream.
+const EVENTS_PER_STREAM: u32 = 2_000;
 
-/// Streams of one figure.
+/// Number of streams per measurement.
 const STREAMS: u32 = 100;
 
-/// Longest event, bytes.
-const LIMIT: usize = 1 << 20;
+/// Maximum length of an event, bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 fn main() {
     let event = concat!(
@@ -20,14 +20,14 @@
         "\"created\":1760000000,\"model\":\"sowing@v3\",\"choices\":[{\"index\":0,",
         "\"delta\":{\"content\":\" വിത്ത്\"},\"logprobs\":null,\"finish_reason\":null}]}\n\n"
     );
-    let stream = event.repeat(EVENTS as usize);
-    for piece in [64, event.len(), 1_400, 4_096, 16_384, 65_536] {
-        let ns = time_event(stream.as_bytes(), piece);
-        println!("pieces of {piece} bytes: {ns:.0} ns an event");
+    let stream = event.repeat(EVENTS_PER_STREAM as usize);
+    for chunk_bytes in [64, event.len(), 1_400, 4_096, 16_384, 65_536] {
+        let ns = time_event(stream.as_bytes(), chunk_bytes);
+        println!("pieces of {chunk_bytes} bytes: {ns:.0} ns an event");
     }
 }
 
-fn time_event(stream: &[u8], piece: usize) -> f64 {
+fn time_event(stream: &[u8], chunk_bytes: usize) -> f64 {
     let start = Instant::now();
     for _ in 0..STREAMS {
         let expect = ExpectedResponse {
@@ -35,14 +35,14 @@
             model: "sowing@v3",
             request: Some("0192f3c4"),
         };
-        let mut check = StreamCheck::new(expect, LIMIT);
-        for bytes in stream.chunks(piece) {
+        let mut check = StreamCheck::new(expect, MAX_EVENT_BYTES);
+        for bytes in stream.chunks(chunk_bytes) {
             check.push(bytes);
-            while let Some(event) = check.scan_event().expect("events are sound") {
+            while let Some(event) = check.scan_event().expect("events are valid") {
                 black_box(event);
             }
         }
     }
-    let events = f64::from(EVENTS * STREAMS);
+    let events = f64::from(EVENTS_PER_STREAM * STREAMS);
     start.elapsed().as_secs_f64() * 1e9 / events
 }
--- a/crates/upstream/src/call/exchange.rs
+++ b/crates/upstream/src/call/client.rs
@@ -1,4 +1,4 @@
-//! One request and its whole answer.
+//! Sends requests to one upstream.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use snafu::ResultExt;
 
 use super::error::{JsonSnafu, NetSnafu, RequestSnafu, StatusSnafu, UnframedBodySnafu};
-use super::{CallIds, ends_by_close};
+use super::{CallIds, is_close_delimited};
 use crate::{CallError, RetryAfter};
 
 /// Client of one upstream.
 #[derive(Clone)]
-pub(crate) struct Exchange {
+pub(crate) struct UpstreamClient {
     client: Client,
     pub(crate) peer: String,
 }
 
-/// An answer read whole.
-pub(crate) struct WholeAnswer {
+/// A response with its complete body.
+pub(crate) struct BufferedResponse {
     pub(crate) peer: String,
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Exchange {
+impl UpstreamClient {
     pub(crate) fn new(client: &Client, peer: &str) -> Self {
         Self {
             client: client.clone(),
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Head of the answer, once it proved to be that of this call.
+    /// Sends a request and returns the response once its head has arrived and its ids match `ids`.
     pub(crate) async fn send(
         &self,
         mut request: http::Request<Bytes>,
         ids: Option<&CallIds>,
-        span: Duration,
+        timeout: Duration,
     ) -> Result<Response, CallError> {
         if let Some(ids) = ids {
             ids.write(request.headers_mut());
         }
-        let response = self.client.send(&self.peer, request, span).await;
+        let response = self.client.send(&self.peer, request, timeout).await;
         let response = response.context(NetSnafu)?;
         if let Some(ids) = ids {
             ids.check(&self.peer, response.headers())?;
@@ -54,27 +54,27 @@
         Ok(response)
     }
 
-    /// Answer of at most `limit` bytes, if it is provably whole within `span`.
-    pub(crate) async fn ask(
+    /// Sends a request and reads a complete body of at most `max_bytes` bytes within `timeout`.
+    pub(crate) async fn send_buffered(
         &self,
         request: http::Request<Bytes>,
         ids: Option<&CallIds>,
-        limit: u64,
-        span: Duration,
-    ) -> Result<WholeAnswer, CallError> {
-        let bodiless = request.method() == Method::HEAD;
+        max_bytes: u64,
+        timeout: Duration,
+    ) -> Result<BufferedResponse, CallError> {
+        let is_head = request.method() == Method::HEAD;
         let timer = self.client.timer();
-        let end = timer.now().0.saturating_add(as_ms(span));
-        let mut response = self.send(request, ids, span).await?;
+        let end = timer.now().0.saturating_add(to_millis(timeout));
+        let mut response = self.send(request, ids, timeout).await?;
         let status = response.status();
         let headers = response.headers().clone();
         let peer = self.peer.clone();
-        if !bodiless && ends_by_close(status, &headers) {
+        if !is_head && is_close_delimited(status, &headers) {
             return UnframedBodySnafu { peer }.fail();
         }
         let left = Duration::from_millis(end.saturating_sub(timer.now().0));
-        let body = response.read(limit, left).await.context(NetSnafu)?;
-        Ok(WholeAnswer {
+        let body = response.read(max_bytes, left).await.context(NetSnafu)?;
+        Ok(BufferedResponse {
             peer,
             status,
             headers,
@@ -83,16 +83,16 @@
     }
 }
 
-impl WholeAnswer {
-    /// Value in the JSON of a successful answer.
-    pub(crate) fn decode<T: DeserializeOwned>(self) -> Result<T, CallError> {
-        let answer = self.succeed()?;
-        let peer = answer.peer;
-        serde_json::from_slice(&answer.body).context(JsonSnafu { peer })
+impl BufferedResponse {
+    /// Decodes the JSON body of a successful response.
+    pub(crate) fn decode_json<T: DeserializeOwned>(self) -> Result<T, CallError> {
+        let response = self.check_success()?;
+        let peer = response.peer;
+        serde_json::from_slice(&response.body).context(JsonSnafu { peer })
     }
 
-    /// Answer, if its status is success.
-    pub(crate) fn succeed(self) -> Result<Self, CallError> {
+    /// Returns the response if its status is 200.
+    pub(crate) fn check_success(self) -> Result<Self, CallError> {
         if self.status == 200 {
             return Ok(self);
         }
@@ -106,8 +106,8 @@
     }
 }
 
-/// Request for a path of the peer itself, with a JSON body or with none.
-pub(crate) fn build(
+/// Builds a request in origin form, with a JSON body or an empty one.
+pub(crate) fn build_request(
     peer: &str,
     method: Method,
     path: &str,
@@ -129,6 +129,6 @@
     Ok(request)
 }
 
-fn as_ms(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn to_millis(timeout: Duration) -> u64 {
+    u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/upstream/src/call/error.rs
+++ b/crates/upstream/src/call/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a call, and whether the upstream may have acted.
+//! Errors of a call, which tell whether the upstream may have processed the request.
 
 use std::time::Duration;
 
@@ -6,74 +6,74 @@
 use pumicecleat_net::{NetError, Sent, retry_after};
 use snafu::Snafu;
 
-/// When to come back, by the upstream's word.
+/// Delay that the upstream asks for before a retry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryAfter(pub Option<Duration>);
 
 impl RetryAfter {
-    /// Span of a `Retry-After` in seconds; a date is not read.
+    /// Reads a `Retry-After` header in seconds; a date is ignored.
     #[must_use]
     pub fn read(headers: &HeaderMap) -> Self {
         Self(retry_after(headers))
     }
 }
 
-/// A call without a usable answer.
+/// A call without a usable response.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CallError {
-    /// Request can't be built, so nothing was sent.
+    /// The request can't be built, so nothing was sent.
     #[snafu(display("step build request, peer {peer}: {detail}"))]
     Request {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
         /// Cause.
         detail: String,
     },
-    /// Network failed, or the answer was not whole.
+    /// The network failed, or the response was incomplete.
     #[snafu(display("{source}"))]
     Net {
-        /// Cause, with step and peer.
+        /// Cause, with the step and the peer.
         source: NetError,
     },
-    /// Answer has a status other than success.
+    /// The response has a status other than 200.
     #[snafu(display("step read answer, peer {peer}: status {status}"))]
     Status {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
         /// HTTP status.
         status: u16,
-        /// When to come back.
+        /// Delay before a retry.
         retry: RetryAfter,
     },
-    /// Answer ends with its connection, so that it can't be told from one cut short.
+    /// The response is delimited by the end of the connection, so a truncated one can't be detected.
     #[snafu(display("step read answer, peer {peer}: neither length nor chunks"))]
     UnframedBody {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
     },
-    /// Answer belongs to another request or attempt.
+    /// The response belongs to another request or attempt.
     #[snafu(display("step match answer, peer {peer}: for {found:?}, not {expected:?}"))]
     IdMismatch {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
-        /// Id sent.
+        /// Id that was sent.
         expected: String,
-        /// Id in the answer.
+        /// Id in the response.
         found: String,
     },
-    /// Answer lacks what it should tell.
+    /// The response lacks required content.
     #[snafu(display("step read answer, peer {peer}: {detail}"))]
     InvalidContent {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
-        /// What it lacks.
+        /// The missing content.
         detail: String,
     },
-    /// Answer is not the JSON expected.
+    /// The response is not the expected JSON.
     #[snafu(display("step decode answer, peer {peer}: {source}"))]
     Json {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
         /// Cause.
         source: serde_json::Error,
--- a/crates/upstream/src/call/headers.rs
+++ b/crates/upstream/src/call/headers.rs
@@ -1,7 +1,8 @@
-//! Headers that pass an upstream's border, and those that belong to one connection only.
+//! Forwarding of headers to and from upstreams.
 //!
-//! RFC 9110, section 7.6.1: the fields of one hop, and those that `Connection` names, are not
-//! passed on. `Authorization` ends here too: the caller showed it to us, not to the upstream.
+//! Hop-by-hop fields and fields named by `Connection` are not forwarded (RFC 9110, section 7.6.1).
+//! `Authorization` isn't either: it holds the caller's credentials for this system, not for the
+//! upstream.
 
 use http::header::{
     AUTHORIZATION, CONNECTION, CONTENT_LENGTH, EXPECT, HOST, PROXY_AUTHENTICATE,
@@ -13,8 +14,8 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Fields of one hop. Length and host are set anew on the next.
-const HOP_FIELDS: [HeaderName; 12] = [
+/// Hop-by-hop fields, and `Content-Length` and `Host`, which are set anew for the next hop.
+const HOP_BY_HOP: [HeaderName; 12] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -29,28 +30,31 @@
     UPGRADE,
 ];
 
-/// Headers of a caller that go to the upstream.
-pub(crate) fn pass_on(fields: &[HeaderField]) -> Result<HeaderMap, String> {
-    let all = read_fields(fields)?;
-    let named = named_by_connection(&all);
+/// Headers of a caller's request that are forwarded to the upstream.
+pub(crate) fn forward_to_upstream(fields: &[HeaderField]) -> Result<HeaderMap, String> {
+    let all = parse_fields(fields)?;
+    let options = connection_options(&all);
     let mut headers = HeaderMap::new();
     for (name, value) in &all {
-        if !is_hop(name, &named) && name != AUTHORIZATION {
+        if !is_hop_by_hop(name, &options) && name != AUTHORIZATION {
             headers.append(name, value.clone());
         }
     }
     Ok(headers)
 }
 
-/// Headers of an upstream that go to the caller; one that is not UTF-8 is left out.
-pub(crate) fn pass_back(all: &HeaderMap) -> Vec<HeaderField> {
-    let named = named_by_connection(all);
-    let kept = all.iter().filter(|(name, _)| !is_hop(name, &named));
-    kept.filter_map(|(name, value)| field(name, value))
+/// Headers of an upstream's response that are forwarded to the caller. Values that are not UTF-8
+/// are left out.
+pub(crate) fn forward_to_caller(all: &HeaderMap) -> Vec<HeaderField> {
+    let options = connection_options(all);
+    let kept = all
+        .iter()
+        .filter(|(name, _)| !is_hop_by_hop(name, &options));
+    kept.filter_map(|(name, value)| header_field(name, value))
         .collect()
 }
 
-fn read_fields(fields: &[HeaderField]) -> Result<HeaderMap, String> {
+fn parse_fields(fields: &[HeaderField]) -> Result<HeaderMap, String> {
     let mut all = HeaderMap::new();
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
@@ -63,18 +67,18 @@
     Ok(all)
 }
 
-fn named_by_connection(all: &HeaderMap) -> Vec<String> {
-    let texts = all.get_all(CONNECTION).into_iter();
-    let texts = texts.filter_map(|v| v.to_str().ok());
-    let names = texts.flat_map(|t| t.split(','));
+fn connection_options(all: &HeaderMap) -> Vec<String> {
+    let values = all.get_all(CONNECTION).into_iter();
+    let values = values.filter_map(|v| v.to_str().ok());
+    let names = values.flat_map(|t| t.split(','));
     names.map(|n| n.trim().to_ascii_lowercase()).collect()
 }
 
-fn is_hop(name: &HeaderName, named: &[String]) -> bool {
-    HOP_FIELDS.contains(name) || named.iter().any(|n| n == name.as_str())
+fn is_hop_by_hop(name: &HeaderName, options: &[String]) -> bool {
+    HOP_BY_HOP.contains(name) || options.iter().any(|n| n == name.as_str())
 }
 
-fn field(name: &HeaderName, value: &HeaderValue) -> Option<HeaderField> {
+fn header_field(name: &HeaderName, value: &HeaderValue) -> Option<HeaderField> {
     Some(HeaderField {
         name: name.as_str().to_owned(),
         value: std::str::from_utf8(value.as_bytes()).ok()?.to_owned(),
--- a/crates/upstream/src/call/ids.rs
+++ b/crates/upstream/src/call/ids.rs
@@ -1,17 +1,17 @@
-//! Ids that every call carries and that an answer must not contradict.
+//! Ids sent with every call, which a response must not contradict.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 
 use super::error::{IdMismatchSnafu, RequestSnafu};
 use crate::CallError;
 
-/// Request id, the same in each attempt.
+/// Header with the request id, which is the same in each attempt.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Attempt, from 1.
+/// Header with the attempt number, starting at 1.
 const ATTEMPT: HeaderName = HeaderName::from_static("x-attempt");
 
-/// Caller's idempotency key.
+/// Header with the caller's idempotency key.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// Ids of one call.
@@ -35,15 +35,15 @@
         }
     }
 
-    /// Accepts an answer that echoes these ids, or leaves them out.
+    /// Accepts a response that echoes these ids or omits them.
     pub(crate) fn check(&self, peer: &str, headers: &HeaderMap) -> Result<(), CallError> {
         for (name, expected) in &self.list {
             for found in headers.get_all(name) {
                 if found != expected {
                     return IdMismatchSnafu {
                         peer,
-                        expected: text_of(expected),
-                        found: text_of(found),
+                        expected: to_text(expected),
+                        found: to_text(found),
                     }
                     .fail();
                 }
@@ -53,6 +53,6 @@
     }
 }
 
-fn text_of(value: &HeaderValue) -> String {
+fn to_text(value: &HeaderValue) -> String {
     String::from_utf8_lossy(value.as_bytes()).into_owned()
 }
--- a/crates/upstream/src/call/mod.rs
+++ b/crates/upstream/src/call/mod.rs
@@ -1,14 +1,14 @@
-//! What calls of engines and services share: errors, ids on each call, proof of a whole answer.
+//! Parts shared by calls to engines and services: errors, ids of each call, response framing.
 
+mod client;
 mod error;
-mod exchange;
+mod framing;
 mod headers;
 mod ids;
-mod whole;
 
+pub(crate) use client::{BufferedResponse, UpstreamClient, build_request};
 pub use error::{CallError, RetryAfter};
 pub(crate) use error::{InvalidContentSnafu, NetSnafu, RequestSnafu, UnframedBodySnafu};
-pub(crate) use exchange::{Exchange, WholeAnswer, build};
-pub(crate) use headers::{pass_back, pass_on};
+pub(crate) use framing::is_close_delimited;
+pub(crate) use headers::{forward_to_caller, forward_to_upstream};
 pub(crate) use ids::{CallIds, IDEMPOTENCY_KEY};
-pub(crate) use whole::ends_by_close;
--- a/crates/upstream/src/chat/body.rs
+++ b/crates/upstream/src/chat/body.rs
@@ -1,13 +1,13 @@
-//! A caller's chat body, checked.
+//! Parsing and validation of a caller's chat request body.
 
 use serde_json::value::RawValue;
 
-use super::depth::nesting;
+use super::depth::nesting_depth;
 use super::fields::{Fields, read_raw};
 use super::message::check_message;
 use super::{ChatBodyError, ChatLimits, FieldIssue};
 
-/// A chat body in the OpenAI form. Fields that are not read here are kept as they were written.
+/// A chat request body in the OpenAI format. Fields that are not read here are kept verbatim.
 #[derive(Clone, Debug)]
 pub struct ChatBody {
     pub(super) fields: Fields,
@@ -20,10 +20,10 @@
 }
 
 impl ChatBody {
-    /// Body in `bytes`, if it is one within `limits`.
+    /// Parses a body and checks it against `limits`.
     ///
     /// # Errors
-    /// [`ChatBodyError`], by what is wrong and where.
+    /// [`ChatBodyError`] with the problem and its location.
     pub fn parse(bytes: &[u8], limits: &ChatLimits) -> Result<Self, ChatBodyError> {
         let text = check_text(bytes, limits)?;
         let fields = Fields::parse(text)?;
@@ -42,19 +42,19 @@
         })
     }
 
-    /// Model named by the caller.
+    /// Model name given by the caller.
     #[must_use]
     pub fn model(&self) -> &str {
         &self.model
     }
 
-    /// Whether the answer is to come token by token.
+    /// Whether the response is streamed.
     #[must_use]
     pub fn stream(&self) -> bool {
         self.stream
     }
 
-    /// Strings that end the answer.
+    /// Stop strings, which end the response.
     #[must_use]
     pub fn stops(&self) -> &[String] {
         &self.stops
@@ -70,7 +70,7 @@
         at: e.valid_up_to(),
     })?;
     let limit = limits.depth;
-    if nesting(text) > limit {
+    if nesting_depth(text) > limit {
         return Err(ChatBodyError::TooDeep { limit });
     }
     Ok(text)
@@ -102,7 +102,7 @@
     }
 }
 
-/// Role of the last message, if all are messages.
+/// Checks all messages and returns the role of the last one.
 fn check_messages(messages: &[Box<RawValue>]) -> Result<String, ChatBodyError> {
     let mut last = String::new();
     for (at, message) in messages.iter().enumerate() {
--- a/crates/upstream/src/chat/depth.rs
+++ b/crates/upstream/src/chat/depth.rs
@@ -1,22 +1,22 @@
-//! Nesting of a JSON text, before any of it is parsed.
+//! Nesting depth of a JSON text, computed before the text is parsed.
 
-/// Most objects and arrays within each other, in a text that need not be valid.
-pub(super) fn nesting(text: &str) -> usize {
+/// Maximum number of nested objects and arrays. The text need not be valid JSON.
+pub(super) fn nesting_depth(text: &str) -> usize {
     let mut level = 0_usize;
-    let mut deepest = 0;
+    let mut max_level = 0;
     let mut bytes = text.bytes();
     while let Some(b) = bytes.next() {
         match b {
             b'"' => skip_string(&mut bytes),
             b'{' | b'[' => {
                 level += 1;
-                deepest = deepest.max(level);
+                max_level = max_level.max(level);
             }
             b'}' | b']' => level = level.saturating_sub(1),
             _ => {}
         }
     }
-    deepest
+    max_level
 }
 
 fn skip_string(bytes: &mut std::str::Bytes<'_>) {
--- a/crates/upstream/src/chat/fault.rs
+++ b/crates/upstream/src/chat/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with a caller's body.
+//! Errors of chat request bodies.
 
 use snafu::Snafu;
 
-/// A body that is no chat request.
+/// An invalid chat request body.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ChatBodyError {
@@ -15,7 +15,7 @@
     /// Not UTF-8.
     #[snafu(display("step check body: not UTF-8 from byte {at}"))]
     Encoding {
-        /// First wrong byte.
+        /// Offset of the first invalid byte.
         at: usize,
     },
     /// Not JSON.
@@ -30,35 +30,35 @@
         /// Limit, levels.
         limit: usize,
     },
-    /// A field is wrong.
+    /// A field is invalid.
     #[snafu(display("step check body: {path}: {issue}"))]
     Field {
         /// Path of the field, such as `messages[2].role`.
         path: String,
-        /// What is wrong with it.
+        /// Problem with the field.
         issue: FieldIssue,
     },
 }
 
-/// What is wrong with a field.
+/// Problem with a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum FieldIssue {
-    /// Not there.
+    /// The field is missing.
     #[snafu(display("is missing"))]
     Missing,
-    /// There twice.
+    /// The field occurs twice.
     #[snafu(display("stands twice"))]
     Duplicate,
-    /// Of another type.
+    /// The field has another type.
     #[snafu(display("is not {expected}"))]
     Type {
-        /// Type expected.
+        /// Expected type.
         expected: &'static str,
     },
-    /// Out of range.
+    /// The value is out of range.
     #[snafu(display("is not within 1 to {high}"))]
     Range {
-        /// Highest value.
+        /// Maximum value.
         high: u64,
     },
     /// Empty.
--- a/crates/upstream/src/chat/fields.rs
+++ b/crates/upstream/src/chat/fields.rs
@@ -1,4 +1,4 @@
-//! Fields of a body, in their order and as they were written.
+//! Fields of a body, in their original order and with their original text.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
 }
 
 impl Fields {
-    /// Fields of the object in `text`.
+    /// Parses the object in `text`.
     pub(super) fn parse(text: &str) -> Result<Self, ChatBodyError> {
         let fields: Self = serde_json::from_str(text).map_err(|e| ChatBodyError::Json {
             detail: e.to_string(),
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Field as written, unless it is missing or null.
+    /// Raw value of a field, unless it is missing or null.
     pub(super) fn get(&self, name: &str) -> Option<&RawValue> {
         let found = self.list.iter().find(|(n, _)| n == name);
         let raw = found.map(|(_, raw)| raw.as_ref())?;
         (raw.get() != "null").then_some(raw)
     }
 
-    /// Field read as a value, if there is one.
+    /// Decoded value of a field, unless it is missing or null.
     pub(super) fn read<T: DeserializeOwned>(
         &self,
         name: &str,
@@ -54,7 +54,7 @@
         read_raw(raw, name, expected).map(Some)
     }
 
-    /// Number from 1 to `high`, if there is one.
+    /// Number from 1 to `high`, unless the field is missing or null.
     pub(super) fn read_count(&self, name: &str, high: u64) -> Result<Option<u64>, ChatBodyError> {
         match self.read::<u64>(name, "a whole number")? {
             Some(n) if n == 0 || n > high => {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sets a field in its place, or as the last one.
+    /// Replaces a field in its position, or appends it.
     pub(super) fn set(&mut self, name: &str, raw: Box<RawValue>) {
         match self.list.iter_mut().find(|(n, _)| n == name) {
             Some((_, old)) => *old = raw,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Value at `path`.
+/// Decodes a raw value; `path` is its location, for errors.
 pub(super) fn read_raw<'a, T: Deserialize<'a>>(
     raw: &'a RawValue,
     path: &str,
--- a/crates/upstream/src/chat/limits.rs
+++ b/crates/upstream/src/chat/limits.rs
@@ -1,19 +1,19 @@
-//! Limits of a caller's body.
+//! Limits of chat request bodies.
 
-/// Limits of a chat body.
+/// Limits of a chat request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChatLimits {
-    /// Length, bytes.
+    /// Maximum length, bytes.
     pub bytes: usize,
-    /// Objects and arrays within each other.
+    /// Maximum nesting depth of objects and arrays.
     pub depth: usize,
-    /// Messages.
+    /// Maximum number of messages.
     pub messages: usize,
-    /// Choices asked for, at most 64.
+    /// Maximum number of requested choices, at most 64.
     pub choices: u64,
-    /// Tokens asked for.
+    /// Maximum number of requested tokens.
     pub tokens: u64,
-    /// Stop strings.
+    /// Maximum number of stop strings.
     pub stops: usize,
 }
 
--- a/crates/upstream/src/chat/mod.rs
+++ b/crates/upstream/src/chat/mod.rs
@@ -1,9 +1,9 @@
-//! Callers' chat bodies: checked, kept as they are, and rendered for an engine.
+//! Chat request bodies of callers: validation, and rendering for an engine with unknown fields kept.
 
 mod body;
 mod conversation;
 mod depth;
-mod fault;
+mod error;
 mod fields;
 mod limits;
 mod message;
@@ -12,6 +12,6 @@
 
 pub use body::ChatBody;
 pub use conversation::Conversation;
-pub use fault::{ChatBodyError, FieldIssue};
+pub use error::{ChatBodyError, FieldIssue};
 pub use limits::ChatLimits;
 pub use resume::ResumeError;
--- a/crates/upstream/src/chat/render.rs
+++ b/crates/upstream/src/chat/render.rs
@@ -1,4 +1,4 @@
-//! Bodies for an engine, from a caller's.
+//! Rendering of a caller's body for an engine.
 
 use serde::Serialize;
 use serde_json::value::{RawValue, to_raw_value};
@@ -8,11 +8,11 @@
 use super::{ChatBody, ResumeError};
 use crate::Progress;
 
-/// Fields that limit the tokens of an answer.
+/// Fields with the maximum number of tokens of a response.
 const TOKEN_LIMITS: [&str; 2] = ["max_tokens", "max_completion_tokens"];
 
-/// Field that demands tokens of an answer.
-const TOKEN_FLOOR: &str = "min_tokens";
+/// Field with the minimum number of tokens of a response.
+const MIN_TOKENS: &str = "min_tokens";
 
 #[derive(Serialize)]
 struct Message<'a> {
@@ -21,17 +21,17 @@
 }
 
 impl ChatBody {
-    /// Body for the engine name `model`; of two requests the one with the lower `priority` goes
-    /// first.
+    /// Body with the engine's name of the model and a priority. Requests with a lower `priority`
+    /// are scheduled first.
     #[must_use]
     pub fn render(&self, model: &str, priority: i32) -> Vec<u8> {
-        write(&self.fields_for(model, priority))
+        encode(&self.fields_for(model, priority))
     }
 
-    /// Body that makes an engine go on after `progress`.
+    /// Body that makes an engine continue the response after `progress`.
     ///
     /// # Errors
-    /// [`ResumeError`] if the answer would not be what one engine had given.
+    /// [`ResumeError`] if the result could differ from a response of a single engine.
     pub fn render_resumed(
         &self,
         model: &str,
@@ -42,29 +42,29 @@
         self.check_progress(progress)?;
         let mut fields = self.fields_for(model, priority);
         if progress.text.is_empty() {
-            return Ok(write(&fields));
+            return Ok(encode(&fields));
         }
         for name in TOKEN_LIMITS {
             lower_limit(&mut fields, name, progress.tokens)?;
         }
-        lower_floor(&mut fields, progress.tokens);
+        lower_min_tokens(&mut fields, progress.tokens);
         let messages = self.messages_with(&progress.text);
-        fields.set("messages", raw(&messages));
-        fields.set("continue_final_message", raw(&true));
-        fields.set("add_generation_prompt", raw(&false));
-        Ok(write(&fields))
+        fields.set("messages", to_raw(&messages));
+        fields.set("continue_final_message", to_raw(&true));
+        fields.set("add_generation_prompt", to_raw(&false));
+        Ok(encode(&fields))
     }
 
     fn fields_for(&self, model: &str, priority: i32) -> Fields {
         let mut fields = self.fields.clone();
-        fields.set("model", raw(&model));
-        fields.set("priority", raw(&priority));
+        fields.set("model", to_raw(&model));
+        fields.set("priority", to_raw(&priority));
         fields
     }
 
     fn messages_with(&self, content: &str) -> Vec<Box<RawValue>> {
         let role = ASSISTANT;
-        let last = raw(&Message { role, content });
+        let last = to_raw(&Message { role, content });
         let mut messages = self.messages.clone();
         messages.push(last);
         messages
@@ -76,24 +76,24 @@
         return Ok(());
     };
     if limit <= tokens {
-        return Err(ResumeError::Spent);
+        return Err(ResumeError::NoTokensLeft);
     }
-    fields.set(name, raw(&(limit - tokens)));
+    fields.set(name, to_raw(&(limit - tokens)));
     Ok(())
 }
 
-fn lower_floor(fields: &mut Fields, tokens: u64) {
-    if let Ok(Some(floor)) = fields.read::<u64>(TOKEN_FLOOR, "") {
-        fields.set(TOKEN_FLOOR, raw(&floor.saturating_sub(tokens)));
+fn lower_min_tokens(fields: &mut Fields, tokens: u64) {
+    if let Ok(Some(min_tokens)) = fields.read::<u64>(MIN_TOKENS, "") {
+        fields.set(MIN_TOKENS, to_raw(&min_tokens.saturating_sub(tokens)));
     }
 }
 
-fn raw<T: Serialize + ?Sized>(value: &T) -> Box<RawValue> {
-    // Text, numbers and lists of valid JSON always encode.
+fn to_raw<T: Serialize + ?Sized>(value: &T) -> Box<RawValue> {
+    // Serialization of strings, numbers and lists of valid JSON can't fail.
     to_raw_value(value).unwrap_or_default()
 }
 
-fn write(fields: &Fields) -> Vec<u8> {
-    // Fields have text keys only, so that they always encode.
+fn encode(fields: &Fields) -> Vec<u8> {
+    // All keys are strings, so serialization can't fail.
     serde_json::to_vec(fields).unwrap_or_default()
 }
--- a/crates/upstream/src/chat/resume.rs
+++ b/crates/upstream/src/chat/resume.rs
@@ -1,7 +1,7 @@
-//! Whether another engine may go on with an answer that broke off.
+//! Whether another engine can continue an interrupted response.
 //!
-//! Going on puts the text so far into the prompt. That gives what one engine had given only if
-//! nothing but the text carries over from token to token; whatever else does is a barrier.
+//! To resume, the text so far is added to the prompt. The result equals the response of a single
+//! engine only if generation depends on nothing but the text; any other state prevents a resume.
 
 use snafu::Snafu;
 
@@ -9,91 +9,94 @@
 use super::message::ASSISTANT;
 use crate::Progress;
 
-/// Why an answer can't be gone on with.
+/// Reason why a response can't be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ResumeError {
-    /// More than one choice.
+    /// The request asks for more than one choice.
     #[snafu(display("more than one choice"))]
     Choices,
-    /// A field whose meaning would change.
+    /// The request has a field whose meaning would change.
     #[snafu(display("field {field}"))]
     Field {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
     },
-    /// The caller's last message is an assistant's itself.
+    /// The last message of the request already has the assistant role.
     #[snafu(display("last message is an assistant's"))]
     LastMessage,
-    /// More than text was passed on.
+    /// Content other than text was forwarded.
     #[snafu(display("more than text was passed on"))]
     NonText,
-    /// Text so far may end within a stop string.
+    /// The text so far may end within a stop string.
     #[snafu(display("text may end within a stop string"))]
-    Stop,
-    /// All tokens allowed were passed on.
+    StopString,
+    /// All allowed tokens were forwarded.
     #[snafu(display("no tokens left"))]
-    Spent,
+    NoTokensLeft,
 }
 
-/// A field that is a barrier unless it has one of its idle values.
-struct Barrier {
+/// A field that prevents a resume unless it has one of its neutral values.
+struct BlockingField {
     field: &'static str,
-    idle: &'static [&'static str],
+    neutral: &'static [&'static str],
 }
 
-const fn barrier(field: &'static str) -> Barrier {
-    Barrier { field, idle: &[] }
+const fn always(field: &'static str) -> BlockingField {
+    BlockingField {
+        field,
+        neutral: &[],
+    }
 }
 
-const fn unless(field: &'static str, idle: &'static [&'static str]) -> Barrier {
-    Barrier { field, idle }
+const fn unless(field: &'static str, neutral: &'static [&'static str]) -> BlockingField {
+    BlockingField { field, neutral }
 }
 
 const ZERO: &[&str] = &["0", "0.0"];
 const ONE: &[&str] = &["1", "1.0"];
 
-const BARRIERS: &[Barrier] = &[
+const BLOCKING_FIELDS: &[BlockingField] = &[
     unless("tools", &["[]"]),
     unless("tool_choice", &["\"none\""]),
     unless("functions", &["[]"]),
     unless("function_call", &["\"none\""]),
     unless("logprobs", &["false"]),
     unless("top_logprobs", &["0"]),
-    barrier("prompt_logprobs"),
+    always("prompt_logprobs"),
     unless("response_format", &["{\"type\":\"text\"}"]),
-    barrier("structured_outputs"),
-    barrier("guided_json"),
-    barrier("guided_regex"),
-    barrier("guided_choice"),
-    barrier("guided_grammar"),
-    barrier("guided_decoding_backend"),
-    // The same seed draws other numbers from the middle on.
-    barrier("seed"),
-    // Penalties count what was generated, not what stands in the prompt.
+    always("structured_outputs"),
+    always("guided_json"),
+    always("guided_regex"),
+    always("guided_choice"),
+    always("guided_grammar"),
+    always("guided_decoding_backend"),
+    // The random numbers drawn from a seed depend on the position in the response.
+    always("seed"),
+    // Penalties count generated tokens, not those of the prompt.
     unless("presence_penalty", ZERO),
     unless("frequency_penalty", ZERO),
     unless("repetition_penalty", ONE),
     unless("use_beam_search", &["false"]),
     unless("best_of", ONE),
     unless("echo", &["false"]),
-    barrier("continue_final_message"),
-    barrier("add_generation_prompt"),
-    barrier("chat_template"),
-    barrier("chat_template_kwargs"),
+    always("continue_final_message"),
+    always("add_generation_prompt"),
+    always("chat_template"),
+    always("chat_template_kwargs"),
     unless("include_reasoning", &["false"]),
-    barrier("reasoning_effort"),
+    always("reasoning_effort"),
     unless("return_token_ids", &["false"]),
     unless("logits_processors", &["[]"]),
     unless("modalities", &["[\"text\"]"]),
-    barrier("audio"),
-    barrier("prediction"),
+    always("audio"),
+    always("prediction"),
 ];
 
 impl ChatBody {
-    /// Whether this body allows another engine to go on with a broken answer.
+    /// Checks that another engine may resume a response to this body.
     ///
     /// # Errors
-    /// [`ResumeError`], the first found.
+    /// [`ResumeError`] with the first reason found.
     pub fn resumable(&self) -> Result<(), ResumeError> {
         if self.choices != 1 {
             return Err(ResumeError::Choices);
@@ -101,13 +104,13 @@
         if self.last_role == ASSISTANT {
             return Err(ResumeError::LastMessage);
         }
-        match BARRIERS.iter().find(|b| self.has(b)) {
+        match BLOCKING_FIELDS.iter().find(|b| self.is_blocked_by(b)) {
             Some(found) => Err(ResumeError::Field { field: found.field }),
             None => Ok(()),
         }
     }
 
-    /// Whether the answer can be gone on with from here.
+    /// Checks that the response can be resumed at this point.
     pub(super) fn check_progress(&self, progress: &Progress) -> Result<(), ResumeError> {
         if progress.non_text {
             return Err(ResumeError::NonText);
@@ -115,21 +118,21 @@
         if self
             .stops()
             .iter()
-            .any(|s| may_be_within(s, &progress.text))
+            .any(|s| may_end_within(s, &progress.text))
         {
-            return Err(ResumeError::Stop);
+            return Err(ResumeError::StopString);
         }
         Ok(())
     }
 
-    fn has(&self, barrier: &Barrier) -> bool {
-        let raw = self.fields.get(barrier.field);
-        raw.is_some_and(|r| !barrier.idle.contains(&r.get()))
+    fn is_blocked_by(&self, blocking: &BlockingField) -> bool {
+        let raw = self.fields.get(blocking.field);
+        raw.is_some_and(|r| !blocking.neutral.contains(&r.get()))
     }
 }
 
-/// Whether `text` ends with a beginning of `stop`, or holds all of it.
-fn may_be_within(stop: &str, text: &str) -> bool {
+/// Whether `text` ends with a prefix of `stop` or contains it.
+fn may_end_within(stop: &str, text: &str) -> bool {
     let mut ends = stop.char_indices().map(|(at, c)| at + c.len_utf8());
     text.contains(stop) || ends.any(|end| text.ends_with(&stop[..end]))
 }
--- a/crates/upstream/src/check/whole.rs
+++ b/crates/upstream/src/check/completion.rs
@@ -1,19 +1,19 @@
-//! Check of an answer that is not streamed.
+//! Validation of a response that is not streamed.
 
-use super::fault::{NoChoicesSnafu, NoFinishSnafu};
+use super::error::{NoChoicesSnafu, NoFinishSnafu};
 use super::raw::{RawChoice, read_response};
 use super::{ExpectedResponse, ResponseError, ResponseErrorKind, Usage};
 
-/// What a whole answer tells of itself.
+/// Summary of a complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CompletionSummary {
-    /// Choices.
+    /// Number of choices.
     pub choices: usize,
-    /// Tokens, if the engine tells.
+    /// Token counts, if the engine reports them.
     pub usage: Option<Usage>,
 }
 
-/// Checks that `body` is one whole answer.
+/// Checks that `body` is one complete response.
 ///
 /// # Errors
 /// [`ResponseError`] if it is not.
@@ -31,17 +31,17 @@
     expect: &ExpectedResponse<'_>,
     body: &[u8],
 ) -> Result<CompletionSummary, ResponseErrorKind> {
-    let answer = read_response(body)?;
-    expect.check(&answer)?;
-    if answer.choices.is_empty() {
+    let response = read_response(body)?;
+    expect.check(&response)?;
+    if response.choices.is_empty() {
         return NoChoicesSnafu.fail();
     }
-    for choice in &answer.choices {
+    for choice in &response.choices {
         check_choice(choice)?;
     }
     Ok(CompletionSummary {
-        choices: answer.choices.len(),
-        usage: answer.usage,
+        choices: response.choices.len(),
+        usage: response.usage,
     })
 }
 
--- a/crates/upstream/src/check/fault.rs
+++ b/crates/upstream/src/check/error.rs
@@ -1,25 +1,25 @@
-//! What can be wrong with an engine's answer.
+//! Errors of engine responses.
 
 use snafu::Snafu;
 
-/// A wrong answer of a peer.
+/// An invalid response of an engine.
 #[derive(Debug, Snafu)]
 #[snafu(display("step check answer, peer {peer}: {source}"))]
 pub struct ResponseError {
-    /// Peer.
+    /// Address of the upstream.
     pub peer: String,
-    /// What is wrong.
+    /// Problem.
     pub source: ResponseErrorKind,
 }
 
-/// What is wrong with an answer.
+/// Problem with a response.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ResponseErrorKind {
     /// Not UTF-8.
     #[snafu(display("not UTF-8"))]
     Encoding,
-    /// Not the JSON expected.
+    /// Not the expected JSON.
     #[snafu(display("not the JSON expected: {source}"))]
     Json {
         /// Cause.
@@ -31,38 +31,38 @@
         /// Limit, bytes.
         limit: usize,
     },
-    /// Of another model than asked for.
+    /// The response is from a model other than the requested one.
     #[snafu(display("model {found:?}, not {expected:?}"))]
     ModelMismatch {
-        /// Model asked for.
+        /// Requested model.
         expected: String,
-        /// Model named, empty if none.
+        /// Model named in the response, empty if none.
         found: String,
     },
-    /// An event belongs to another answer.
+    /// The response or one of its events belongs to another request.
     #[snafu(display("event of {found:?} in {expected:?}"))]
     IdMismatch {
-        /// Id of the first event.
+        /// Expected request id, or the id of the first event.
         expected: String,
-        /// Id of this event.
+        /// Id found.
         found: String,
     },
-    /// Engine reports an error.
+    /// The engine reports an error.
     #[snafu(display("engine error: {detail}"))]
     Engine {
-        /// Engine's words.
+        /// Error reported by the engine.
         detail: String,
     },
-    /// Ended without `[DONE]`.
+    /// The stream ended without `[DONE]`.
     #[snafu(display("ended without [DONE]"))]
     NotDone,
-    /// Goes on after `[DONE]`.
+    /// The stream continues after `[DONE]`.
     #[snafu(display("event after [DONE]"))]
     AfterDone,
     /// No choices.
     #[snafu(display("no choices"))]
     NoChoices,
-    /// More choices than can be told apart.
+    /// The index of a choice is over 63, the highest that is tracked.
     #[snafu(display("choice {index} is out of range"))]
     Index {
         /// Index of the choice.
--- a/crates/upstream/src/check/expect.rs
+++ b/crates/upstream/src/check/expected.rs
@@ -1,24 +1,24 @@
-//! What an answer must say of itself.
+//! Model and request id that a response must have.
 
 use super::ResponseErrorKind;
-use super::fault::{IdMismatchSnafu, ModelMismatchSnafu};
+use super::error::{IdMismatchSnafu, ModelMismatchSnafu};
 use super::raw::RawResponse;
 
-/// What an answer must say of itself.
+/// Model and request id that a response must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExpectedResponse<'a> {
-    /// Peer that answers, for errors.
+    /// Address of the engine, for errors.
     pub peer: &'a str,
-    /// Engine name that must have run.
+    /// Engine's name of the requested model.
     pub model: &'a str,
-    /// Request id that the answer's `id` must end in, as engines in the vLLM form have it; `None`
-    /// for engines that name answers by themselves.
+    /// Request id that the response's `id` must end with, as in vLLM; `None` for engines that
+    /// generate ids of their own.
     pub request: Option<&'a str>,
 }
 
 impl ExpectedResponse<'_> {
-    pub(super) fn check(&self, answer: &RawResponse<'_>) -> Result<(), ResponseErrorKind> {
-        let found = answer.model();
+    pub(super) fn check(&self, response: &RawResponse<'_>) -> Result<(), ResponseErrorKind> {
+        let found = response.model();
         if found != self.model {
             return ModelMismatchSnafu {
                 expected: self.model,
@@ -27,7 +27,7 @@
             .fail();
         }
         match self.request {
-            Some(request) => check_request(answer.id(), request),
+            Some(request) => check_request(response.id(), request),
             None => Ok(()),
         }
     }
--- a/crates/upstream/src/check/mod.rs
+++ b/crates/upstream/src/check/mod.rs
@@ -1,16 +1,16 @@
-//! Checks of engines' answers: that each is whole, well formed, and of the model asked for.
+//! Validation of engine responses: complete, well formed, and from the requested model.
 
 mod chunk;
-mod expect;
-mod fault;
+mod completion;
+mod error;
+mod expected;
 mod progress;
 mod raw;
 mod stream;
-mod whole;
 
 pub use chunk::{Chunk, PromptDetails, StreamEvent, Usage};
-pub use expect::ExpectedResponse;
-pub use fault::{ResponseError, ResponseErrorKind};
+pub use completion::{CompletionSummary, check_completion};
+pub use error::{ResponseError, ResponseErrorKind};
+pub use expected::ExpectedResponse;
 pub use progress::Progress;
 pub use stream::StreamCheck;
-pub use whole::{CompletionSummary, check_completion};
--- a/crates/upstream/src/check/raw.rs
+++ b/crates/upstream/src/check/raw.rs
@@ -1,4 +1,4 @@
-//! Engines' JSON as far as it is read; strings are borrowed, the rest is skipped.
+//! JSON of engine responses. Strings are borrowed; fields that are not needed are skipped.
 
 use std::borrow::Cow;
 
@@ -7,18 +7,18 @@
 use serde_json::value::RawValue;
 use snafu::ResultExt;
 
-use super::fault::{EncodingSnafu, EngineSnafu, JsonSnafu};
+use super::error::{EncodingSnafu, EngineSnafu, JsonSnafu};
 use super::{ResponseErrorKind, Usage};
 
-/// Engine's words kept in an error, characters.
-const DETAIL_LIMIT: usize = 200;
+/// Maximum length of an engine's message in an error, characters.
+const MAX_DETAIL_CHARS: usize = 200;
 
-/// String that is copied only if it holds escapes.
+/// String that is copied only if it has escapes.
 #[derive(Deserialize)]
 #[serde(transparent)]
 pub(super) struct Text<'a>(#[serde(borrow)] pub(super) Cow<'a, str>);
 
-/// An answer, or an event of one.
+/// A response, or an event of a streamed one.
 #[derive(Deserialize)]
 pub(super) struct RawResponse<'a> {
     #[serde(borrow)]
@@ -34,7 +34,7 @@
     error: Option<&'a RawValue>,
 }
 
-/// A choice, of an event or of a whole answer.
+/// A choice of a response or of an event.
 #[derive(Deserialize)]
 pub(super) struct RawChoice<'a> {
     #[serde(default)]
@@ -47,7 +47,7 @@
     pub(super) finish_reason: Option<Text<'a>>,
 }
 
-/// Text of a choice.
+/// Content of a choice.
 #[derive(Deserialize)]
 pub(super) struct RawMessage<'a> {
     #[serde(borrow)]
@@ -60,7 +60,7 @@
 }
 
 impl RawMessage<'_> {
-    /// Whether it holds more than text.
+    /// Whether it has content other than text.
     pub(super) fn has_non_text(&self) -> bool {
         let parts = [
             &self.tool_calls,
@@ -85,20 +85,20 @@
     }
 }
 
-/// Answer in `data`, if it is one and no error.
+/// Decodes the response in `data`. An error object gives [`ResponseErrorKind::Engine`].
 pub(super) fn read_response(data: &[u8]) -> Result<RawResponse<'_>, ResponseErrorKind> {
-    // Skipped strings are not checked by the parser.
+    // The parser doesn't check the encoding of skipped strings.
     let Ok(text) = std::str::from_utf8(data) else {
         return EncodingSnafu.fail();
     };
-    let answer = parse_object(text)?;
-    if let Some(detail) = error_of(&answer, text) {
+    let response = parse_object(text)?;
+    if let Some(detail) = error_detail(&response, text) {
         return EngineSnafu { detail }.fail();
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Parses an object; the derived reader alone would also take an array of its fields.
+/// Decodes an object. The derived deserializer alone would also accept an array of the fields.
 fn parse_object(text: &str) -> Result<RawResponse<'_>, ResponseErrorKind> {
     if text.trim_start().starts_with('[') {
         let wrong = serde::de::Error::custom("an array, not an object");
@@ -107,11 +107,11 @@
     serde_json::from_str(text).context(JsonSnafu)
 }
 
-fn error_of(answer: &RawResponse<'_>, text: &str) -> Option<String> {
-    let words = match answer.error {
+fn error_detail(response: &RawResponse<'_>, text: &str) -> Option<String> {
+    let detail = match response.error {
         Some(error) => error.get(),
-        None if answer.object.as_ref().is_some_and(|o| o.0 == "error") => text,
+        None if response.object.as_ref().is_some_and(|o| o.0 == "error") => text,
         None => return None,
     };
-    Some(words.chars().take(DETAIL_LIMIT).collect())
+    Some(detail.chars().take(MAX_DETAIL_CHARS).collect())
 }
--- a/crates/upstream/src/check/stream.rs
+++ b/crates/upstream/src/check/stream.rs
@@ -1,8 +1,8 @@
-//! Check of a streamed answer, event by event.
+//! Validation of a streamed response, event by event.
 
 use pumicecleat_net::{SseEvent, SseScanner};
 
-use super::fault::{
+use super::error::{
     AfterDoneSnafu, IdMismatchSnafu, IndexSnafu, NoChoicesSnafu, NoFinishSnafu, NotDoneSnafu,
     TooLongSnafu,
 };
@@ -12,24 +12,24 @@
 /// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Check over the bytes of one streamed answer, which may be cut anywhere.
+/// Validates one streamed response, whose bytes may arrive in chunks of any size.
 #[derive(Debug)]
 pub struct StreamCheck {
     scanner: SseScanner,
     peer: String,
     model: String,
     request: Option<String>,
-    /// Id of the answer, once an event told it.
+    /// Id of the response, once known from an event.
     id: Option<String>,
-    /// Choices seen, a bit each.
-    seen: u64,
-    /// Choices with a finish reason, a bit each.
-    finished: u64,
+    /// Bit set of the choices seen.
+    seen_choices: u64,
+    /// Bit set of the choices with a finish reason.
+    finished_choices: u64,
     done: bool,
 }
 
 impl StreamCheck {
-    /// Check of an answer with events of at most `limit` bytes.
+    /// Creates a check for a response with events of at most `limit` bytes.
     #[must_use]
     pub fn new(expect: ExpectedResponse<'_>, limit: usize) -> Self {
         Self {
@@ -38,37 +38,37 @@
             model: expect.model.to_owned(),
             request: expect.request.map(str::to_owned),
             id: None,
-            seen: 0,
-            finished: 0,
+            seen_choices: 0,
+            finished_choices: 0,
             done: false,
         }
     }
 
-    /// Adds bytes that arrived.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.scanner.push(bytes);
     }
 
-    /// Next event, or `None` until more bytes come. Events without data, such as comments that
-    /// keep a connection open, are passed over.
+    /// Next event, or `None` until more bytes arrive. Events without data, such as keep-alive
+    /// comments, are skipped.
     ///
     /// # Errors
-    /// [`ResponseError`] if the answer is wrong; nothing after it can be trusted.
+    /// [`ResponseError`] if the response is invalid. The rest of the stream can't be trusted then.
     pub fn scan_event(&mut self) -> Result<Option<StreamEvent>, ResponseError> {
         let result = self.scan();
         result.map_err(|source| self.error(source))
     }
 
-    /// Whether the proper end was seen.
+    /// Whether `[DONE]` was received.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Checks that the stream may end here.
+    /// Checks that the stream is complete.
     ///
     /// # Errors
-    /// [`ResponseError`] if the answer is not whole.
+    /// [`ResponseError`] if `[DONE]` was not received.
     pub fn finish(&self) -> Result<(), ResponseError> {
         if self.done {
             return Ok(());
@@ -99,14 +99,14 @@
             self.done = true;
             return Ok(StreamEvent::Done { raw: event.raw });
         }
-        let answer = read_response(event.data())?;
-        self.expect().check(&answer)?;
-        check_id(&mut self.id, answer.id())?;
-        let mut chunk = read_chunk(&answer);
-        for choice in &answer.choices {
-            self.count(choice)?;
+        let response = read_response(event.data())?;
+        self.expect().check(&response)?;
+        check_id(&mut self.id, response.id())?;
+        let mut chunk = read_chunk(&response);
+        for choice in &response.choices {
+            self.record_choice(choice)?;
         }
-        drop(answer);
+        drop(response);
         chunk.raw = event.raw;
         Ok(StreamEvent::Chunk(chunk))
     }
@@ -119,23 +119,23 @@
         }
     }
 
-    fn count(&mut self, choice: &RawChoice<'_>) -> Result<(), ResponseErrorKind> {
+    fn record_choice(&mut self, choice: &RawChoice<'_>) -> Result<(), ResponseErrorKind> {
         let index = choice.index;
         let Some(bit) = 1_u64.checked_shl(index) else {
             return IndexSnafu { index }.fail();
         };
-        self.seen |= bit;
+        self.seen_choices |= bit;
         if choice.finish_reason.is_some() {
-            self.finished |= bit;
+            self.finished_choices |= bit;
         }
         Ok(())
     }
 
     fn check_finished(&self) -> Result<(), ResponseErrorKind> {
-        if self.seen == 0 {
+        if self.seen_choices == 0 {
             return NoChoicesSnafu.fail();
         }
-        let open = self.seen & !self.finished;
+        let open = self.seen_choices & !self.finished_choices;
         if open == 0 {
             return Ok(());
         }
@@ -149,7 +149,7 @@
     }
 }
 
-/// Accepts the same id in each event.
+/// Checks that all events have the same id.
 fn check_id(known: &mut Option<String>, found: &str) -> Result<(), ResponseErrorKind> {
     match known {
         None => *known = Some(found.to_owned()),
@@ -162,12 +162,12 @@
     Ok(())
 }
 
-fn read_chunk(answer: &RawResponse<'_>) -> Chunk {
+fn read_chunk(response: &RawResponse<'_>) -> Chunk {
     let mut chunk = Chunk {
-        usage: answer.usage,
+        usage: response.usage,
         ..Chunk::default()
     };
-    for choice in &answer.choices {
+    for choice in &response.choices {
         add_choice(&mut chunk, choice);
     }
     chunk
--- a/crates/upstream/src/engine/confirm.rs
+++ b/crates/upstream/src/engine/confirm.rs
@@ -1,36 +1,38 @@
-//! Loads that are believed only when the engine shows the LoRA as resident.
+//! Loads that count as done only once the engine lists the LoRA adapter as resident.
 
 use std::time::Duration;
 
 use super::order::UnconfirmedSnafu;
 use super::{Engine, Order, OrderError};
 
-/// A LoRA that the engine shows as resident.
+/// A load after which the engine lists the LoRA adapter as resident.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfirmedLoad {
-    /// All engine names resident then.
+    /// Engine names of all resident adapters.
     pub resident: Vec<String>,
-    /// Engine had not accepted this order: the LoRA was there already, or the reply was lost.
+    /// Whether the engine had not accepted this order: the adapter was already resident, or the
+    /// response was lost.
     pub already_resident: bool,
 }
 
-/// Orders a load and asks the engine whether it is resident, whatever the engine said.
+/// Orders a load and checks that the engine lists the adapter as resident. Also checks after
+/// errors that leave the outcome of the load uncertain.
 ///
 /// # Errors
-/// [`OrderError`] if the LoRA is not shown as resident.
+/// [`OrderError`] if the adapter is not listed as resident.
 pub async fn load_and_confirm(
     engine: &dyn Engine,
     order: Order<'_>,
-    span: Duration,
+    timeout: Duration,
 ) -> Result<ConfirmedLoad, OrderError> {
-    let said = engine.load(order, span).await;
-    let doubtful = OrderError::is_doubtful;
-    if said.as_ref().is_err_and(|e| !doubtful(e)) {
-        return said.map(|()| ConfirmedLoad::default());
+    let load_result = engine.load(order, timeout).await;
+    let is_uncertain = OrderError::is_uncertain;
+    if load_result.as_ref().is_err_and(|e| !is_uncertain(e)) {
+        return load_result.map(|()| ConfirmedLoad::default());
     }
-    let shown = engine.resident().await;
-    let accepted = said.is_ok();
-    match shown {
+    let listed = engine.resident().await;
+    let accepted = load_result.is_ok();
+    match listed {
         Ok(resident) if resident.iter().any(|r| r == order.lora) => {
             let already_resident = !accepted;
             Ok(ConfirmedLoad {
@@ -39,13 +41,13 @@
             })
         }
         Ok(_) => {
-            said?;
+            load_result?;
             let lora = order.lora;
             let peer = engine.peer();
             UnconfirmedSnafu { peer, lora }.fail()
         }
         Err(source) => {
-            said?;
+            load_result?;
             Err(OrderError::Lost { source })
         }
     }
--- a/crates/upstream/src/engine/metrics.rs
+++ b/crates/upstream/src/engine/metrics.rs
@@ -1,4 +1,4 @@
-//! What an engine's metrics page says of its work.
+//! Parsing of an engine's metrics page.
 
 use super::EngineMetrics;
 
@@ -6,23 +6,23 @@
 const WAITING: &str = "vllm:num_requests_waiting";
 const LORAS: &str = "vllm:lora_requests_info";
 
-/// A line of the page.
+/// A sample of the page.
 struct Sample<'a> {
     name: &'a str,
     labels: &'a str,
     value: f64,
 }
 
-/// Figures of the page; `None` if it lacks those of running or waiting requests.
-pub(crate) fn read_metrics(page: &str) -> Option<EngineMetrics> {
+/// Parses the page. Returns `None` if the number of running or waiting requests is missing.
+pub(crate) fn parse_metrics(page: &str) -> Option<EngineMetrics> {
     let mut running = None;
     let mut waiting = None;
     let mut latest: Option<Sample<'_>> = None;
-    for sample in page.lines().filter_map(read_sample) {
+    for sample in page.lines().filter_map(parse_sample) {
         match sample.name {
-            RUNNING => running = Some(running.unwrap_or(0) + as_count(sample.value)),
-            WAITING => waiting = Some(waiting.unwrap_or(0) + as_count(sample.value)),
-            // Its value is the time of the sample; older label sets stay on the page.
+            RUNNING => running = Some(running.unwrap_or(0) + to_count(sample.value)),
+            WAITING => waiting = Some(waiting.unwrap_or(0) + to_count(sample.value)),
+            // The value is the time of the sample; samples with older label sets stay on the page.
             LORAS if latest.as_ref().is_none_or(|l| sample.value >= l.value) => {
                 latest = Some(sample);
             }
@@ -38,7 +38,7 @@
     })
 }
 
-fn read_sample(line: &str) -> Option<Sample<'_>> {
+fn parse_sample(line: &str) -> Option<Sample<'_>> {
     if line.starts_with('#') {
         return None;
     }
@@ -69,7 +69,7 @@
     loras
 }
 
-/// Value of a label. The names read here hold no quotes, so that escapes need no care.
+/// Value of a label. The values read here have no quotes, so escapes are not handled.
 fn read_label<'a>(labels: &'a str, name: &str) -> Option<&'a str> {
     let start = labels
         .match_indices(name)
@@ -90,6 +90,6 @@
     clippy::cast_sign_loss,
     reason = "clamped to the range of counts first"
 )]
-fn as_count(value: f64) -> u32 {
+fn to_count(value: f64) -> u32 {
     value.clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/upstream/src/engine/mod.rs
+++ b/crates/upstream/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! Model engines: orders to load and unload, what they say of themselves, and chat calls.
+//! Model engines: load and unload orders, status queries, and chat calls.
 
-mod answer;
 mod confirm;
 mod metrics;
 mod order;
+mod response;
 mod vllm;
 
 use std::time::Duration;
@@ -12,81 +12,87 @@
 use pumicecleat_types::RequestId;
 
 use crate::{CallError, Local};
-pub use answer::{ChatResponse, read_body};
 pub use confirm::{ConfirmedLoad, load_and_confirm};
 pub use order::{Order, OrderError};
+pub use response::{ChatResponse, read_body};
 pub use vllm::VllmEngine;
 
-/// What an engine says of its work, a moment late.
+/// Load of an engine by its metrics, which lag slightly behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineMetrics {
-    /// Requests running.
+    /// Number of running requests.
     pub requests: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Adapter slots, if the engine tells.
+    /// Number of adapter slots, if the engine reports it.
     pub slots: Option<u32>,
-    /// Engine names that running or waiting requests use.
+    /// Engine names of the LoRA adapters of running and waiting requests.
     pub loras: Vec<String>,
 }
 
 /// One attempt of a chat request.
 #[derive(Clone, Debug)]
 pub struct ChatCall {
-    /// Request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Attempt, from 1.
+    /// Attempt number, starting at 1.
     pub attempt: u32,
-    /// Body in the OpenAI form.
+    /// Body in the OpenAI format.
     pub body: Bytes,
-    /// Answer token by token.
+    /// Whether to stream the response.
     pub stream: bool,
 }
 
 /// A model engine.
 pub trait Engine {
-    /// Its address.
+    /// Address of the engine.
     fn peer(&self) -> &str;
 
-    /// Orders it to load a LoRA, and waits up to `span` for its word. An engine may lie:
-    /// [`load_and_confirm`] asks it for what is resident.
+    /// Orders the engine to load a LoRA adapter and waits up to `timeout` for the response. A
+    /// success response doesn't prove that the adapter is loaded: [`load_and_confirm`] also queries
+    /// the resident adapters.
     ///
     /// # Errors
-    /// [`OrderError`], by what is known of the order.
-    fn load<'a>(&'a self, order: Order<'a>, span: Duration) -> Local<'a, Result<(), OrderError>>;
+    /// [`OrderError`], which tells whether the order may have been carried out.
+    fn load<'a>(&'a self, order: Order<'a>, timeout: Duration)
+    -> Local<'a, Result<(), OrderError>>;
 
-    /// Orders it to unload a LoRA. One that was not loaded counts as unloaded.
+    /// Orders the engine to unload a LoRA adapter. Succeeds if the adapter is not loaded.
     ///
     /// # Errors
-    /// [`OrderError`], by what is known of the order.
-    fn unload<'a>(&'a self, order: Order<'a>, span: Duration) -> Local<'a, Result<(), OrderError>>;
+    /// [`OrderError`], which tells whether the order may have been carried out.
+    fn unload<'a>(
+        &'a self,
+        order: Order<'a>,
+        timeout: Duration,
+    ) -> Local<'a, Result<(), OrderError>>;
 
-    /// Engine names resident, without base models.
+    /// Engine names of the resident LoRA adapters, without base models.
     ///
     /// # Errors
-    /// [`CallError`] if there is no usable answer.
+    /// [`CallError`] if there is no usable response.
     fn resident(&self) -> Local<'_, Result<Vec<String>, CallError>>;
 
-    /// What it says of its work.
+    /// Load of the engine, from its metrics page.
     ///
     /// # Errors
-    /// [`CallError`] if there is no usable answer.
+    /// [`CallError`] if there is no usable response.
     fn metrics(&self) -> Local<'_, Result<EngineMetrics, CallError>>;
 
-    /// Whether it is ready.
+    /// Checks that the engine is ready.
     ///
     /// # Errors
     /// [`CallError`] if it is not.
     fn health(&self) -> Local<'_, Result<(), CallError>>;
 
-    /// Sends a chat call and gives the head of its answer, whatever its status, if it comes
-    /// within `span`.
+    /// Sends a chat call and returns the response once its head has arrived, with any status. The
+    /// head must arrive within `timeout`.
     ///
     /// # Errors
-    /// [`CallError`] if there is none, or it is another call's.
+    /// [`CallError`] if there is no response, or it belongs to another call.
     fn chat(
         &self,
         call: ChatCall,
-        span: Duration,
+        timeout: Duration,
     ) -> Local<'_, Result<Box<dyn ChatResponse>, CallError>>;
 }
--- a/crates/upstream/src/engine/order.rs
+++ b/crates/upstream/src/engine/order.rs
@@ -1,82 +1,82 @@
-//! Orders to an engine and their errors.
+//! Load and unload orders to an engine, and their errors.
 
 use pumicecleat_net::Sent;
 use snafu::Snafu;
 
 use crate::CallError;
 
-/// An order about one LoRA.
+/// An order to load or unload one LoRA adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order<'a> {
     /// Engine name, `adapter@version`.
     pub lora: &'a str,
-    /// Path of its weights in the store.
+    /// Path of the weights in the store.
     pub path: &'a str,
-    /// Fencing number; engines that check refuse an older one than they saw.
+    /// Fencing number. Engines that check it refuse a number lower than the highest they have seen.
     pub fence: u64,
 }
 
-/// An order that was not carried out, or may not have been.
+/// An order that failed or whose outcome is unknown.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OrderError {
-    /// Engine saw a newer fencing number.
+    /// The engine has seen a newer fencing number.
     #[snafu(display("step order, peer {peer}: stale, engine saw fencing number {fencing}"))]
     Stale {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
-        /// Highest number the engine saw.
+        /// Highest number that the engine has seen.
         fencing: u64,
     },
-    /// No free slot; or, as the engine words both alike, already loaded.
+    /// No free slot, or already loaded: the engine responds with status 400 to both.
     #[snafu(display("step order, peer {peer}: no slot: {detail}"))]
     NoSlot {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
-        /// Engine's words.
+        /// Message of the engine.
         detail: String,
     },
-    /// Store has no such weights.
+    /// The store doesn't have the weights.
     #[snafu(display("step order, peer {peer}: no such weights"))]
     NoWeights {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
     },
-    /// Engine refused or failed.
+    /// The engine refused the order or failed.
     #[snafu(display("step order, peer {peer}: status {status}: {detail}"))]
     Failed {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
         /// HTTP status.
         status: u16,
-        /// Engine's words.
+        /// Message of the engine.
         detail: String,
     },
-    /// Engine said it was done, and does not show it.
+    /// The engine reported success but doesn't list the adapter as resident.
     #[snafu(display("step confirm order, peer {peer}: {lora} is not resident"))]
     Unconfirmed {
-        /// Peer.
+        /// Address of the upstream.
         peer: String,
         /// Engine name.
         lora: String,
     },
-    /// Order did not reach the engine.
+    /// The order was not sent to the engine.
     #[snafu(display("order not sent: {source}"))]
     NotSent {
-        /// Cause, with step and peer.
+        /// Cause, with the step and the peer.
         source: CallError,
     },
-    /// Order may have been carried out, or may yet be.
+    /// The order may have been carried out, or may still be.
     #[snafu(display("order lost: {source}"))]
     Lost {
-        /// Cause, with step and peer.
+        /// Cause, with the step and the peer.
         source: CallError,
     },
 }
 
 impl OrderError {
-    /// Whether the LoRA may be resident all the same.
-    pub(crate) fn is_doubtful(&self) -> bool {
+    /// Whether the adapter may be resident despite the error.
+    pub(crate) fn is_uncertain(&self) -> bool {
         matches!(self, Self::NoSlot { .. } | Self::Lost { .. })
     }
 }
--- a/crates/upstream/src/engine/answer.rs
+++ b/crates/upstream/src/engine/response.rs
@@ -1,15 +1,15 @@
-//! An engine's answer, piece by piece.
+//! Response of an engine to a chat call, read in chunks.
 
 use bytes::Bytes;
 use http::HeaderMap;
 use pumicecleat_net::{BodyError, NetError, Response};
 use snafu::IntoError;
 
-use crate::call::{NetSnafu, UnframedBodySnafu, ends_by_close};
+use crate::call::{NetSnafu, UnframedBodySnafu, is_close_delimited};
 use crate::{CallError, Local};
 
-/// Answer whose body is still to be read. Dropping it before its end aborts the work at the
-/// engine.
+/// Response whose body has not been read yet. Dropping it before the end of the body aborts the
+/// request at the engine.
 pub trait ChatResponse {
     /// HTTP status.
     fn status(&self) -> u16;
@@ -17,10 +17,10 @@
     /// Headers.
     fn headers(&self) -> &HeaderMap;
 
-    /// Peer that answers.
+    /// Address of the engine.
     fn peer(&self) -> &str;
 
-    /// Next piece of the body, or `None` at its proper end.
+    /// Next chunk of the body, or `None` once the body is complete.
     fn next(&mut self) -> Local<'_, Option<Result<Bytes, BodyError>>>;
 }
 
@@ -42,22 +42,25 @@
     }
 }
 
-/// Whole body of at most `limit` bytes.
+/// Reads a complete body of at most `max_bytes` bytes.
 ///
 /// # Errors
-/// [`CallError`] if the body is not provably whole, or too long.
-pub async fn read_body(answer: &mut dyn ChatResponse, limit: u64) -> Result<Vec<u8>, CallError> {
-    let peer = answer.peer().to_owned();
-    if ends_by_close(answer.status(), answer.headers()) {
+/// [`CallError`] if the body is too long, incomplete, or can't be verified to be complete.
+pub async fn read_body(
+    response: &mut dyn ChatResponse,
+    max_bytes: u64,
+) -> Result<Vec<u8>, CallError> {
+    let peer = response.peer().to_owned();
+    if is_close_delimited(response.status(), response.headers()) {
         return UnframedBodySnafu { peer }.fail();
     }
     let mut all = Vec::new();
-    while let Some(piece) = answer.next().await {
-        let piece = piece.map_err(|source| body_error(&peer, source))?;
-        if (all.len() + piece.len()) as u64 > limit {
-            return Err(body_error(&peer, BodyError::TooLong { limit }));
+    while let Some(chunk) = response.next().await {
+        let chunk = chunk.map_err(|source| body_error(&peer, source))?;
+        if (all.len() + chunk.len()) as u64 > max_bytes {
+            return Err(body_error(&peer, BodyError::TooLong { limit: max_bytes }));
         }
-        all.extend_from_slice(&piece);
+        all.extend_from_slice(&chunk);
     }
     Ok(all)
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,9 +1,9 @@
-//! Upstreams as traits and over HTTP: model engines in the vLLM form, plain services.
+//! Clients of upstreams: model engines with the HTTP API of vLLM, and plain HTTP services.
 //!
-//! [`Engine`] and [`Service`] are what the rest of the system sees, as trait objects;
-//! [`VllmEngine`] and [`HttpService`] speak the HTTP forms of `docs/PLATFORM.md`. Errors tell
-//! whether the upstream may have acted. [`ChatBody`] checks what callers send and renders it for an
-//! engine; [`StreamCheck`] and [`check_completion`] check what engines answer.
+//! Other crates use [`Engine`] and [`Service`] as trait objects; [`VllmEngine`] and [`HttpService`]
+//! implement them over HTTP as described in `docs/PLATFORM.md`. Errors tell whether the upstream may
+//! have processed the request. [`ChatBody`] validates the requests of callers and renders them for
+//! an engine; [`StreamCheck`] and [`check_completion`] validate the responses of engines.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/upstream/src/service/http.rs
+++ b/crates/upstream/src/service/http.rs
@@ -1,7 +1,7 @@
-//! Plain services over HTTP.
+//! Client of plain HTTP services.
 //!
-//! An answer that names another request id or attempt than the call is taken for another call's;
-//! so a service either echoes `X-Request-Id` or leaves it out.
+//! A response with another request id or attempt than the call's is rejected as the response to
+//! another call, so a service must echo `X-Request-Id` and `X-Attempt` or omit them.
 
 use std::time::Duration;
 
@@ -10,24 +10,27 @@
 use pumicecleat_net::Client;
 
 use super::{Service, ServiceCall, ServiceResponse};
-use crate::call::{CallIds, Exchange, IDEMPOTENCY_KEY, RequestSnafu, build, pass_back, pass_on};
+use crate::call::{
+    CallIds, IDEMPOTENCY_KEY, RequestSnafu, UpstreamClient, build_request, forward_to_caller,
+    forward_to_upstream,
+};
 use crate::{CallError, Local};
 
 /// Client of one service.
 #[derive(Clone)]
 pub struct HttpService {
-    exchange: Exchange,
+    client: UpstreamClient,
     limit: u64,
     timeout: Duration,
 }
 
 impl HttpService {
-    /// Client of the service at `peer`; an answer's body has at most `limit` bytes. `timeout` is
-    /// for questions of health, calls bring their own.
+    /// Client of the service at `peer`. A response body has at most `limit` bytes. `timeout`
+    /// applies to health checks; calls have their own.
     #[must_use]
     pub fn new(client: &Client, peer: &str, limit: u64, timeout: Duration) -> Self {
         Self {
-            exchange: Exchange::new(client, peer),
+            client: UpstreamClient::new(client, peer),
             limit,
             timeout,
         }
@@ -36,32 +39,34 @@
     async fn send_call(
         &self,
         call: &ServiceCall,
-        span: Duration,
+        timeout: Duration,
     ) -> Result<ServiceResponse, CallError> {
-        let peer = &self.exchange.peer;
+        let peer = &self.client.peer;
         let ids = CallIds::new(peer, call.request.as_str(), call.attempt)?;
         let request = self.request(call)?;
-        let asked = self.exchange.ask(request, Some(&ids), self.limit, span);
-        let answer = asked.await?;
+        let response = self
+            .client
+            .send_buffered(request, Some(&ids), self.limit, timeout);
+        let response = response.await?;
         Ok(ServiceResponse {
-            status: answer.status,
-            headers: pass_back(&answer.headers),
-            body: answer.body,
+            status: response.status,
+            headers: forward_to_caller(&response.headers),
+            body: response.body,
         })
     }
 
     fn request(&self, call: &ServiceCall) -> Result<http::Request<Bytes>, CallError> {
-        let peer = &self.exchange.peer;
+        let peer = &self.client.peer;
         let method = Method::from_bytes(call.method.as_bytes());
         let method = method.map_err(|_| self.malformed("method"))?;
         let headers = self.headers(call)?;
-        let mut request = build(peer, method, &call.path, call.body.clone())?;
+        let mut request = build_request(peer, method, &call.path, call.body.clone())?;
         *request.headers_mut() = headers;
         Ok(request)
     }
 
     fn headers(&self, call: &ServiceCall) -> Result<HeaderMap, CallError> {
-        let passed = pass_on(&call.headers);
+        let passed = forward_to_upstream(&call.headers);
         let mut headers = passed.map_err(|detail| self.malformed(&detail))?;
         headers.remove(IDEMPOTENCY_KEY);
         if let Some(key) = &call.key {
@@ -72,15 +77,17 @@
     }
 
     fn malformed(&self, what: &str) -> CallError {
-        let peer = &self.exchange.peer;
+        let peer = &self.client.peer;
         let detail = format!("malformed {what}");
         RequestSnafu { peer, detail }.build()
     }
 
     async fn get_health(&self) -> Result<(), CallError> {
-        let request = build(&self.exchange.peer, Method::GET, "/health", Bytes::new())?;
-        let asked = self.exchange.ask(request, None, self.limit, self.timeout);
-        asked.await?.succeed().map(|_| ())
+        let request = build_request(&self.client.peer, Method::GET, "/health", Bytes::new())?;
+        let response = self
+            .client
+            .send_buffered(request, None, self.limit, self.timeout);
+        response.await?.check_success().map(|_| ())
     }
 }
 
@@ -88,9 +95,9 @@
     fn call<'a>(
         &'a self,
         call: &'a ServiceCall,
-        span: Duration,
+        timeout: Duration,
     ) -> Local<'a, Result<ServiceResponse, CallError>> {
-        Box::pin(self.send_call(call, span))
+        Box::pin(self.send_call(call, timeout))
     }
 
     fn health(&self) -> Local<'_, Result<(), CallError>> {
--- a/crates/upstream/src/service/mod.rs
+++ b/crates/upstream/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Plain services: any HTTP/1.1 service, one whole answer a call.
+//! Plain services: any HTTP/1.1 service. Each call gives one complete response.
 
 mod http;
 
@@ -13,15 +13,15 @@
 /// One attempt of a call.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// Request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Attempt, from 1.
+    /// Attempt number, starting at 1.
     pub attempt: u32,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Caller's headers; those of one hop and `Authorization` are not passed on.
+    /// Headers of the caller. Hop-by-hop headers and `Authorization` are not forwarded.
     pub headers: Vec<HeaderField>,
     /// Body.
     pub body: Bytes,
@@ -29,12 +29,12 @@
     pub key: Option<String>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers for the caller; those of one hop are left out.
+    /// Headers for the caller, without hop-by-hop headers.
     pub headers: Vec<HeaderField>,
     /// Body.
     pub body: Bytes,
@@ -42,18 +42,18 @@
 
 /// A plain service.
 pub trait Service {
-    /// Sends `call` once and gives its whole answer, whatever its status, if it comes within
-    /// `span`.
+    /// Sends `call` once and returns the complete response, with any status. The response must
+    /// arrive within `timeout`.
     ///
     /// # Errors
-    /// [`CallError`]; its `sent` tells whether the service may have acted.
+    /// [`CallError`]; its `sent` tells whether the service may have processed the request.
     fn call<'a>(
         &'a self,
         call: &'a ServiceCall,
-        span: Duration,
+        timeout: Duration,
     ) -> Local<'a, Result<ServiceResponse, CallError>>;
 
-    /// Whether it is ready.
+    /// Checks that the service is ready.
     ///
     /// # Errors
     /// [`CallError`] if it is not.
--- a/crates/upstream/tests/chat.rs
+++ b/crates/upstream/tests/chat.rs
@@ -192,10 +192,10 @@
     let fresh = body.render_resumed("m@1", 1, &Progress::default()).unwrap();
     assert_eq!(fresh, body.render("m@1", 1));
     let spent = body.render_resumed("m@1", 1, &progress("a", 10));
-    assert_eq!(spent.unwrap_err(), ResumeError::Spent);
+    assert_eq!(spent.unwrap_err(), ResumeError::NoTokensLeft);
     for text in ["a E", "a EN", "a END", "END b"] {
         let split = body.render_resumed("m@1", 1, &progress(text, 1));
-        assert_eq!(split.unwrap_err(), ResumeError::Stop, "{text}");
+        assert_eq!(split.unwrap_err(), ResumeError::StopString, "{text}");
     }
     let extra = Progress {
         non_text: true,
