--- a/crates/upstream/benches/stream.rs
+++ b/crates/upstream/benches/stream.rs
@@ -23,7 +23,7 @@
     let stream = event.repeat(EVENTS_PER_STREAM as usize);
     for chunk_bytes in [64, event.len(), 1_400, 4_096, 16_384, 65_536] {
         let ns = time_event(stream.as_bytes(), chunk_bytes);
-        println!("pieces of {chunk_bytes} bytes: {ns:.0} ns an event");
+        println!("chunks of {chunk_bytes} bytes: {ns:.0} ns per event");
     }
 }
 
--- a/crates/upstream/tests/chat.rs
+++ b/crates/upstream/tests/chat.rs
@@ -1,4 +1,4 @@
-//! Callers' chat bodies: what is refused, what is kept, what is gone on with.
+//! Chat request bodies: which are rejected, which fields are kept, and which can be resumed.
 
 use proptest::prelude::*;
 use pumicecleat_upstream::{
@@ -15,7 +15,7 @@
     stops: 4,
 };
 
-const SOUND: &str = r#"{"model":"sowing","messages":[{"role":"system","content":"Be brief."},
+const VALID_BODY: &str = r#"{"model":"sowing","messages":[{"role":"system","content":"Be brief."},
  {"role":"user","content":[{"type":"text","text":"When to sow?"}]}],
  "stream":true,"max_tokens":10,"temperature":0.70,"metadata":{"z":1,"a":[1E2,"\u0d24"]}}"#;
 
@@ -23,13 +23,13 @@
     ChatBody::parse(text.as_bytes(), &LIMITS)
 }
 
-/// A sound body with `fields` besides.
+/// A valid body with additional `fields`.
 fn body_with(fields: &str) -> ChatBody {
     let text = format!(r#"{{"model":"m","messages":[{{"role":"user","content":"q"}}]{fields}}}"#);
     parse(&text).expect(&text)
 }
 
-fn value(bytes: &[u8]) -> Value {
+fn to_value(bytes: &[u8]) -> Value {
     serde_json::from_slice(bytes).unwrap()
 }
 
@@ -72,7 +72,7 @@
     expected: "a string or an array of strings",
 };
 
-/// Checks each case's fields after `before`.
+/// Checks a body with the fields of each case after `before`.
 fn check_cases(before: &str, cases: &[Case]) {
     for case in cases {
         let error = parse(&format!("{{{before}{}}}", case.fields)).expect_err(case.fields);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn wrong_fields_are_told_by_path() {
+fn invalid_fields_are_reported_by_path() {
     use FieldIssue as I;
     let many = r#""messages":[1,2,3,4,5],"model":"m""#;
     #[rustfmt::skip]
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn wrong_settings_are_told_by_path() {
+fn invalid_options_are_reported_by_path() {
     use FieldIssue as I;
     #[rustfmt::skip]
     let cases = [
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn wrong_texts_are_refused() {
+fn invalid_texts_are_rejected() {
     let deep = format!(r#"{{"a":{}{}}}"#, "[".repeat(8), "]".repeat(8));
-    let quoted = SOUND.replace("Be brief.", &r#"[{\"["#.repeat(9));
+    let quoted = VALID_BODY.replace("Be brief.", &r#"[{\"["#.repeat(9));
     assert!(parse(&quoted).is_ok());
     let long = format!(r#"{{"a":"{}"}}"#, "a".repeat(2_000));
     assert_eq!(
@@ -161,25 +161,25 @@
 }
 
 #[test]
-fn other_fields_are_kept_as_written() {
-    let body = parse(SOUND).unwrap();
+fn other_fields_are_kept_verbatim() {
+    let body = parse(VALID_BODY).unwrap();
     assert_eq!((body.model(), body.stream()), ("sowing", true));
     let rendered = body.render("sowing@v3", -2);
     let text = String::from_utf8(rendered.clone()).unwrap();
     assert!(text.contains(r#""temperature":0.70,"metadata":{"z":1,"a":[1E2,"\u0d24"]}"#));
-    let mut expected = value(SOUND.as_bytes());
+    let mut expected = to_value(VALID_BODY.as_bytes());
     expected["model"] = json!("sowing@v3");
     expected["priority"] = json!(-2);
-    assert_eq!(value(&rendered), expected);
+    assert_eq!(to_value(&rendered), expected);
     let own = body_with(r#","priority":-99"#).render("m", 0);
-    assert_eq!(value(&own)["priority"], json!(0));
+    assert_eq!(to_value(&own)["priority"], json!(0));
 }
 
 #[test]
-fn resumed_bodies_go_on_from_the_text() {
+fn resumed_bodies_continue_the_text() {
     let body = body_with(r#","max_tokens":10,"min_tokens":2,"stop":["END"]"#);
-    let so_far = progress("a \"b\"\n", 4);
-    let resumed = value(&body.render_resumed("m@1", 1, &so_far).unwrap());
+    let progress_so_far = progress("a \"b\"\n", 4);
+    let resumed = to_value(&body.render_resumed("m@1", 1, &progress_so_far).unwrap());
     let expected = json!({
         "model": "m@1", "priority": 1, "max_tokens": 6, "min_tokens": 0, "stop": ["END"],
         "continue_final_message": true, "add_generation_prompt": false,
@@ -206,29 +206,29 @@
 }
 
 #[test]
-fn barriers_are_told() {
+fn resume_errors_are_reported() {
     struct Case {
         fields: &'static str,
-        barrier: Option<ResumeError>,
+        error: Option<ResumeError>,
     }
     let field = |field| Some(ResumeError::Field { field });
     #[rustfmt::skip]
     let cases = [
-        Case { fields: "", barrier: None },
-        Case { fields: r#","n":1,"seed":null,"tools":[],"logprobs":false,"temperature":0.2"#, barrier: None },
-        Case { fields: r#","n":2"#, barrier: Some(ResumeError::Choices) },
-        Case { fields: r#","tools":[{"type":"function"}]"#, barrier: field("tools") },
-        Case { fields: r#","tool_choice":"auto""#, barrier: field("tool_choice") },
-        Case { fields: r#","logprobs":true"#, barrier: field("logprobs") },
-        Case { fields: r#","response_format":{"type":"json_object"}"#, barrier: field("response_format") },
-        Case { fields: r#","seed":0"#, barrier: field("seed") },
-        Case { fields: r#","presence_penalty":0.5"#, barrier: field("presence_penalty") },
-        Case { fields: r#","guided_regex":"a+""#, barrier: field("guided_regex") },
-        Case { fields: r#","continue_final_message":true"#, barrier: field("continue_final_message") },
+        Case { fields: "", error: None },
+        Case { fields: r#","n":1,"seed":null,"tools":[],"logprobs":false,"temperature":0.2"#, error: None },
+        Case { fields: r#","n":2"#, error: Some(ResumeError::Choices) },
+        Case { fields: r#","tools":[{"type":"function"}]"#, error: field("tools") },
+        Case { fields: r#","tool_choice":"auto""#, error: field("tool_choice") },
+        Case { fields: r#","logprobs":true"#, error: field("logprobs") },
+        Case { fields: r#","response_format":{"type":"json_object"}"#, error: field("response_format") },
+        Case { fields: r#","seed":0"#, error: field("seed") },
+        Case { fields: r#","presence_penalty":0.5"#, error: field("presence_penalty") },
+        Case { fields: r#","guided_regex":"a+""#, error: field("guided_regex") },
+        Case { fields: r#","continue_final_message":true"#, error: field("continue_final_message") },
     ];
     for case in cases {
         let found = body_with(case.fields).resumable().err();
-        assert_eq!(found, case.barrier, "{}", case.fields);
+        assert_eq!(found, case.error, "{}", case.fields);
     }
     let last = r#"{"model":"m","messages":[{"role":"assistant","content":"a"}]}"#;
     let found = parse(last).unwrap().resumable();
@@ -273,7 +273,7 @@
 ];
 
 #[test]
-fn turns_of_a_conversation_share_their_root() {
+fn turns_of_a_conversation_share_their_root_hash() {
     let of = |messages: &str, more: &str, seed| {
         let text = format!(r#"{{"model":"m","messages":[{messages}]{more}}}"#);
         parse(&text).expect(&text).conversation(seed)
@@ -299,16 +299,16 @@
 
     #[test]
     fn mutations_render_to_valid_bodies(
-        changes in prop::collection::vec((0..SOUND.len(), any::<u8>()), 0..4),
+        changes in prop::collection::vec((0..VALID_BODY.len(), any::<u8>()), 0..4),
         text in ".{0,20}",
     ) {
-        let mut bytes = SOUND.as_bytes().to_vec();
+        let mut bytes = VALID_BODY.as_bytes().to_vec();
         for (at, b) in changes {
             bytes[at] = b;
         }
         if let Ok(body) = ChatBody::parse(&bytes, &LIMITS) {
             let rendered = body.render("m@1", 3);
-            prop_assert_eq!(&value(&rendered)["model"], "m@1");
+            prop_assert_eq!(&to_value(&rendered)["model"], "m@1");
             prop_assert!(ChatBody::parse(&rendered, &ChatLimits::default()).is_ok());
             if let Ok(resumed) = body.render_resumed("m@1", 3, &progress(&text, 1)) {
                 prop_assert!(ChatBody::parse(&resumed, &ChatLimits::default()).is_ok());
--- a/crates/upstream/tests/common/mod.rs
+++ b/crates/upstream/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Peers that answer with the bytes they are told.
+//! Peers that send fixed responses.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 
 use pumicecleat_net::{Client, ClientOptions, Timer, run};
 
-pub const SPAN: Duration = Duration::from_secs(5);
+pub const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs `test` with a client.
 pub fn with_client<F: Future<Output = ()>>(test: impl FnOnce(Client) -> F) {
@@ -18,15 +18,15 @@
     .unwrap();
 }
 
-/// Address where nobody listens.
+/// Address without a listener.
 pub fn closed_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap().to_string()
 }
 
-/// Address of a peer that reads one whole request, answers `reply` and closes the connection. The
-/// request comes back from the thread.
-pub fn answer_once(reply: impl Into<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<String>) {
+/// Starts a peer that reads one complete request, sends `reply` and closes the connection. Its
+/// thread returns the request.
+pub fn respond_once(reply: impl Into<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<String>) {
     let reply = reply.into();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -42,15 +42,15 @@
 fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
-    while !is_whole(&bytes) {
+    while !is_complete(&bytes) {
         let n = stream.read(&mut buffer).unwrap();
-        assert!(n > 0, "request broke off");
+        assert!(n > 0, "connection closed within the request");
         bytes.extend_from_slice(&buffer[..n]);
     }
     String::from_utf8(bytes).unwrap()
 }
 
-fn is_whole(bytes: &[u8]) -> bool {
+fn is_complete(bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes).to_lowercase();
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
--- a/crates/upstream/tests/engine.rs
+++ b/crates/upstream/tests/engine.rs
@@ -1,11 +1,11 @@
-//! Engines against the stand-in: orders, what is resident, chat calls and their faults.
+//! The engine client against the stand-in: orders, resident adapters, chat calls and faults.
 
 mod common;
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{SPAN, answer_once, closed_address, with_client};
+use common::{TIMEOUT, closed_address, respond_once, with_client};
 use pumicecleat_net::Client;
 use pumicecleat_standin::{
     ChatMessage, Engine as Standin, EngineFaults, EngineOptions, Store, StoreOptions,
@@ -26,7 +26,7 @@
 
 fn start(client: &Client, options: EngineOptions) -> (Running, VllmEngine) {
     let standin = Standin::start(options, client.timer()).unwrap();
-    let engine = VllmEngine::new(client, &standin.address.to_string(), SPAN);
+    let engine = VllmEngine::new(client, &standin.address.to_string(), TIMEOUT);
     (standin, engine)
 }
 
@@ -36,7 +36,7 @@
 }
 
 async fn load(engine: &VllmEngine, lora: &str, fence: u64) -> Result<bool, OrderError> {
-    let loaded = load_and_confirm(engine, order(lora, fence), SPAN).await?;
+    let loaded = load_and_confirm(engine, order(lora, fence), TIMEOUT).await?;
     assert!(loaded.resident.iter().any(|r| r == lora));
     Ok(loaded.already_resident)
 }
@@ -66,23 +66,26 @@
     }
 }
 
-fn whole_text() -> String {
+fn expected_text() -> String {
     let messages = [ChatMessage::new("user", QUESTION)];
     expected_tokens(LORA, &messages, 0, TOKENS).concat()
 }
 
-/// Adds what arrives to `progress` until the stream ends or breaks.
-async fn follow(
+/// Adds received chunks to `progress` until the stream ends or fails.
+async fn read_stream(
     engine: &VllmEngine,
     call: ChatCall,
     progress: &mut Progress,
 ) -> Result<(), String> {
     let request = call.request.clone();
     let mut check = StreamCheck::new(expect(request.as_str()), LIMIT);
-    let mut answer = engine.chat(call, SPAN).await.map_err(|e| e.to_string())?;
-    assert_eq!(answer.status(), 200);
-    while let Some(piece) = answer.next().await {
-        check.push(&piece.map_err(|e| e.to_string())?);
+    let mut response = engine
+        .chat(call, TIMEOUT)
+        .await
+        .map_err(|e| e.to_string())?;
+    assert_eq!(response.status(), 200);
+    while let Some(chunk_bytes) = response.next().await {
+        check.push(&chunk_bytes.map_err(|e| e.to_string())?);
         while let Some(event) = check.scan_event().map_err(|e| e.to_string())? {
             if let StreamEvent::Chunk(chunk) = event {
                 progress.add(&chunk);
@@ -121,19 +124,19 @@
             matches!(stale, OrderError::Stale { fencing: 5, .. }),
             "{stale}"
         );
-        let stale = engine.unload(order("a@1", 4), SPAN).await.unwrap_err();
+        let stale = engine.unload(order("a@1", 4), TIMEOUT).await.unwrap_err();
         assert!(
             matches!(stale, OrderError::Stale { fencing: 5, .. }),
             "{stale}"
         );
-        engine.unload(order("a@1", 6), SPAN).await.unwrap();
-        engine.unload(order("a@1", 6), SPAN).await.unwrap();
+        engine.unload(order("a@1", 6), TIMEOUT).await.unwrap();
+        engine.unload(order("a@1", 6), TIMEOUT).await.unwrap();
         assert_eq!(engine.resident().await.unwrap(), ["b@1"]);
     });
 }
 
 #[test]
-fn missing_weights_are_told() {
+fn missing_weights_are_reported() {
     with_client(|client| async move {
         let store = Store::start(StoreOptions::default(), client.timer()).unwrap();
         store.inject(|f| f.missing = ["weights".to_owned()].into());
@@ -148,17 +151,17 @@
 }
 
 #[test]
-fn orders_that_never_left_differ_from_lost_ones() {
+fn unsent_orders_differ_from_lost_ones() {
     with_client(|client| async move {
-        let refused = VllmEngine::new(&client, &closed_address(), SPAN);
+        let refused = VllmEngine::new(&client, &closed_address(), TIMEOUT);
         let error = load(&refused, LORA, 1).await.unwrap_err();
         assert!(matches!(error, OrderError::NotSent { .. }), "{error}");
-        let (address, _) = answer_once("");
-        let lost = VllmEngine::new(&client, &address.to_string(), SPAN);
+        let (address, _) = respond_once("");
+        let lost = VllmEngine::new(&client, &address.to_string(), TIMEOUT);
         let error = load(&lost, LORA, 1).await.unwrap_err();
         assert!(matches!(error, OrderError::Lost { .. }), "{error}");
-        let (address, _) = answer_once("HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}");
-        let other = VllmEngine::new(&client, &address.to_string(), SPAN);
+        let (address, _) = respond_once("HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}");
+        let other = VllmEngine::new(&client, &address.to_string(), TIMEOUT);
         let error = load(&other, LORA, 1).await.unwrap_err();
         assert!(
             matches!(error, OrderError::Failed { status: 409, .. }),
@@ -168,7 +171,7 @@
 }
 
 #[test]
-fn metrics_are_read_or_refused() {
+fn metrics_are_parsed_or_rejected() {
     with_client(|client| async move {
         let page = "# HELP vllm:num_requests_running x\nvllm:num_requests_running{engine=\"0\"} 3.0\n\
                     vllm:lora_requests_info{max_lora=\"4\",running_lora_adapters=\"a@1\",\
@@ -176,25 +179,25 @@
                     vllm:lora_requests_info{max_lora=\"4\",running_lora_adapters=\"b@1,c@1\",\
                     waiting_lora_adapters=\"b@1\"} 2.5e9\n";
         let waiting = "vllm:num_requests_waiting 7\n";
-        for (rest, sound) in [("", false), (waiting, true)] {
+        for (rest, valid) in [("", false), (waiting, true)] {
             let text = format!("{page}{rest}");
             let length = text.len();
             let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}");
-            let (address, _) = answer_once(reply);
-            let engine = VllmEngine::new(&client, &address.to_string(), SPAN);
-            let running = engine.metrics().await;
-            assert_eq!(running.is_ok(), sound);
-            if let Ok(running) = running {
-                assert_eq!((running.requests, running.waiting), (3, 7));
-                assert_eq!(running.slots, Some(4));
-                assert_eq!(running.loras, ["b@1", "c@1"]);
+            let (address, _) = respond_once(reply);
+            let engine = VllmEngine::new(&client, &address.to_string(), TIMEOUT);
+            let metrics = engine.metrics().await;
+            assert_eq!(metrics.is_ok(), valid);
+            if let Ok(metrics) = metrics {
+                assert_eq!((metrics.requests, metrics.waiting), (3, 7));
+                assert_eq!(metrics.slots, Some(4));
+                assert_eq!(metrics.loras, ["b@1", "c@1"]);
             }
         }
     });
 }
 
 #[test]
-fn a_broken_stream_goes_on_elsewhere() {
+fn interrupted_stream_resumes_on_another_engine() {
     with_client(|client| async move {
         let (first, one) = start(&client, EngineOptions::default());
         let (_second, two) = start(&client, EngineOptions::default());
@@ -203,19 +206,19 @@
         first.inject(|f| f.die_after_tokens = Some(5));
         let body = body(true);
         let mut progress = Progress::default();
-        let broken = follow(&one, chat("r-1", body.render(LORA, 0)), &mut progress).await;
+        let broken = read_stream(&one, chat("r-1", body.render(LORA, 0)), &mut progress).await;
         assert!(broken.is_err());
         assert!(progress.tokens > 0 && progress.tokens < TOKENS);
         let resumed = body.render_resumed(LORA, 0, &progress).unwrap();
         progress.resume();
-        let ended = follow(&two, chat("r-1", resumed), &mut progress).await;
+        let ended = read_stream(&two, chat("r-1", resumed), &mut progress).await;
         assert_eq!(ended, Ok(()));
-        assert_eq!(progress.text, whole_text());
+        assert_eq!(progress.text, expected_text());
     });
 }
 
 #[test]
-fn wrong_answers_are_never_taken() {
+fn invalid_responses_are_rejected() {
     struct Case {
         name: &'static str,
         faults: EngineFaults,
@@ -235,8 +238,8 @@
             let body = body(true).render(LORA, 0);
             let (mut a, mut b) = (Progress::default(), Progress::default());
             let results = futures_util::join!(
-                follow(&engine, chat("r-1", body.clone()), &mut a),
-                follow(&engine, chat("r-2", body), &mut b),
+                read_stream(&engine, chat("r-1", body.clone()), &mut a),
+                read_stream(&engine, chat("r-2", body), &mut b),
             );
             assert!(results.0.is_err() && results.1.is_err(), "{}", case.name);
         });
@@ -244,7 +247,7 @@
 }
 
 #[test]
-fn whole_answers_are_read_and_checked() {
+fn completions_are_read_and_checked() {
     with_client(|client| async move {
         let (standin, engine) = start(&client, EngineOptions::default());
         load(&engine, LORA, 1).await.unwrap();
@@ -252,43 +255,46 @@
             stream: false,
             ..chat(request, body(false).render(LORA, 0))
         };
-        let mut answer = engine.chat(call("r-1"), SPAN).await.unwrap();
-        let whole = read_body(answer.as_mut(), 1 << 20).await.unwrap();
-        let checked = check_completion(expect("r-1"), &whole).unwrap();
+        let mut response = engine.chat(call("r-1"), TIMEOUT).await.unwrap();
+        let body_bytes = read_body(response.as_mut(), 1 << 20).await.unwrap();
+        let checked = check_completion(expect("r-1"), &body_bytes).unwrap();
         assert_eq!(checked.usage.unwrap().completion, TOKENS);
-        let crossed = check_completion(expect("r-2"), &whole).unwrap_err();
+        let mismatch = check_completion(expect("r-2"), &body_bytes).unwrap_err();
         assert!(matches!(
-            crossed.source,
+            mismatch.source,
             ResponseErrorKind::IdMismatch { .. }
         ));
-        let mut answer = engine.chat(call("r-1"), SPAN).await.unwrap();
-        assert!(read_body(answer.as_mut(), 10).await.is_err());
+        let mut response = engine.chat(call("r-1"), TIMEOUT).await.unwrap();
+        assert!(read_body(response.as_mut(), 10).await.is_err());
         standin.inject(|f| f.truncate = 1);
-        let mut answer = engine.chat(call("r-1"), SPAN).await.unwrap();
-        assert!(read_body(answer.as_mut(), 1 << 20).await.is_err());
+        let mut response = engine.chat(call("r-1"), TIMEOUT).await.unwrap();
+        assert!(read_body(response.as_mut(), 1 << 20).await.is_err());
     });
 }
 
 #[test]
-fn a_dropped_answer_ends_its_work() {
+fn dropping_a_response_aborts_the_request() {
     with_client(|client| async move {
         let (_standin, engine) = start(&client, EngineOptions::default());
         load(&engine, LORA, 1).await.unwrap();
         let long = String::from_utf8(body(true).render(LORA, 0)).unwrap();
         let long = long.replace(&format!("\"max_tokens\":{TOKENS}"), "\"max_tokens\":100000");
-        let mut answer = engine.chat(chat("r-1", long.into()), SPAN).await.unwrap();
-        answer.next().await.unwrap().unwrap();
-        let running = engine.metrics().await.unwrap();
+        let mut response = engine
+            .chat(chat("r-1", long.into()), TIMEOUT)
+            .await
+            .unwrap();
+        response.next().await.unwrap().unwrap();
+        let metrics = engine.metrics().await.unwrap();
         assert_eq!(
-            (running.requests, running.loras),
+            (metrics.requests, metrics.loras),
             (1, vec![LORA.to_owned()])
         );
-        drop(answer);
+        drop(response);
         let idle = async {
             while engine.metrics().await.unwrap().requests > 0 {
                 client.timer().sleep(Duration::from_millis(5)).await;
             }
         };
-        client.timer().within(SPAN, idle).await.unwrap();
+        client.timer().within(TIMEOUT, idle).await.unwrap();
     });
 }
--- a/crates/upstream/tests/service.rs
+++ b/crates/upstream/tests/service.rs
@@ -1,9 +1,9 @@
-//! Plain services: what passes the border, what is whole, what may have run.
+//! Plain services: forwarded headers, complete responses, and whether a failed call may have run.
 
 mod common;
 
 use bytes::Bytes;
-use common::{SPAN, answer_once, closed_address, with_client};
+use common::{TIMEOUT, closed_address, respond_once, with_client};
 use pumicecleat_net::{Client, NetError, Sent};
 use pumicecleat_standin::{Service as Standin, ServiceOptions};
 use pumicecleat_types::HeaderField;
@@ -28,15 +28,15 @@
 }
 
 fn service(client: &Client, peer: &str) -> HttpService {
-    HttpService::new(client, peer, LIMIT, SPAN)
+    HttpService::new(client, peer, LIMIT, TIMEOUT)
 }
 
 #[test]
-fn headers_of_one_hop_stay_behind() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let reply = "HTTP/1.1 201 Created\r\nContent-Length: 2\r\nConnection: close, X-Hop\r\n\
                  X-Hop: 1\r\nKeep-Alive: 5\r\nX-Request-Id: r-1\r\nX-Seat: hét\r\n\r\nok";
     with_client(|client| async move {
-        let (address, peer) = answer_once(reply);
+        let (address, peer) = respond_once(reply);
         let passed = call(&[
             ("authorization", "Bearer secret"),
             ("connection", "X-Private"),
@@ -50,14 +50,14 @@
             ("accept", "application/json"),
         ]);
         let service = service(&client, &address.to_string());
-        let answer = service.call(&passed, SPAN).await.unwrap();
-        assert_eq!((answer.status, &answer.body[..]), (201, &b"ok"[..]));
-        let names: Vec<&str> = answer.headers.iter().map(|h| h.name.as_str()).collect();
+        let response = service.call(&passed, TIMEOUT).await.unwrap();
+        assert_eq!((response.status, &response.body[..]), (201, &b"ok"[..]));
+        let names: Vec<&str> = response.headers.iter().map(|h| h.name.as_str()).collect();
         assert_eq!(names, ["x-request-id", "x-seat"]);
-        assert_eq!(answer.headers[1].value, "hét");
+        assert_eq!(response.headers[1].value, "hét");
         let request = peer.join().unwrap().to_lowercase();
         assert!(request.starts_with("post /holds?seat=7 http/1.1\r\n"));
-        for stays in [
+        for absent in [
             "secret",
             "private",
             "trailers",
@@ -66,25 +66,25 @@
             "forged",
             "keep-alive",
         ] {
-            assert!(!request.contains(stays), "{stays} in {request}");
+            assert!(!request.contains(absent), "{absent} in {request}");
         }
-        for goes in [
+        for present in [
             "x-request-id: r-1\r\n",
             "x-attempt: 2\r\n",
             "idempotency-key: key-1\r\n",
             "accept: application/json\r\n",
             "content-length: 2\r\n",
         ] {
-            assert!(request.contains(goes), "{goes} not in {request}");
+            assert!(request.contains(present), "{present} not in {request}");
         }
     });
 }
 
 #[test]
-fn answers_not_provably_whole_are_errors() {
+fn incomplete_or_unverifiable_responses_are_errors() {
     struct Case {
         reply: &'static str,
-        error: fn(&CallError) -> bool,
+        is_expected: fn(&CallError) -> bool,
     }
     let lost: fn(&CallError) -> bool = |e| {
         let CallError::Net { source } = e else {
@@ -92,7 +92,7 @@
         };
         matches!(source, NetError::Lost { .. })
     };
-    let answer: fn(&CallError) -> bool = |e| {
+    let response: fn(&CallError) -> bool = |e| {
         let CallError::Net { source } = e else {
             return false;
         };
@@ -100,21 +100,21 @@
     };
     #[rustfmt::skip]
     let cases = [
-        Case { reply: "", error: lost },
-        Case { reply: "HTTP/1.1 200 OK\r\nContent-Le", error: lost },
-        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", error: answer },
-        Case { reply: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", error: answer },
-        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789", error: answer },
-        Case { reply: "HTTP/1.1 200 OK\r\n\r\nok", error: |e| matches!(e, CallError::UnframedBody { .. }) },
-        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Request-Id: r-2\r\n\r\nok", error: |e| matches!(e, CallError::IdMismatch { .. }) },
-        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt: 1\r\n\r\nok", error: |e| matches!(e, CallError::IdMismatch { .. }) },
+        Case { reply: "", is_expected: lost },
+        Case { reply: "HTTP/1.1 200 OK\r\nContent-Le", is_expected: lost },
+        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", is_expected: response },
+        Case { reply: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", is_expected: response },
+        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789", is_expected: response },
+        Case { reply: "HTTP/1.1 200 OK\r\n\r\nok", is_expected: |e| matches!(e, CallError::UnframedBody { .. }) },
+        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Request-Id: r-2\r\n\r\nok", is_expected: |e| matches!(e, CallError::IdMismatch { .. }) },
+        Case { reply: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt: 1\r\n\r\nok", is_expected: |e| matches!(e, CallError::IdMismatch { .. }) },
     ];
     for case in cases {
         with_client(|client| async move {
-            let (address, _) = answer_once(case.reply);
+            let (address, _) = respond_once(case.reply);
             let service = service(&client, &address.to_string());
-            let error = service.call(&call(&[]), SPAN).await.unwrap_err();
-            assert!((case.error)(&error), "{}: {error}", case.reply);
+            let error = service.call(&call(&[]), TIMEOUT).await.unwrap_err();
+            assert!((case.is_expected)(&error), "{}: {error}", case.reply);
             assert_eq!(error.sent(), Sent::Maybe, "{}", case.reply);
             assert!(error.to_string().contains(&address.to_string()), "{error}");
         });
@@ -122,33 +122,33 @@
 }
 
 #[test]
-fn only_the_call_names_its_key() {
+fn idempotency_key_comes_only_from_the_call() {
     with_client(|client| async move {
-        let (address, peer) = answer_once("HTTP/1.1 204 No Content\r\n\r\n");
+        let (address, peer) = respond_once("HTTP/1.1 204 No Content\r\n\r\n");
         let keyless = ServiceCall {
             key: None,
             ..call(&[("idempotency-key", "forged")])
         };
         let service = service(&client, &address.to_string());
-        service.call(&keyless, SPAN).await.unwrap();
+        service.call(&keyless, TIMEOUT).await.unwrap();
         let request = peer.join().unwrap().to_lowercase();
         assert!(!request.contains("idempotency-key"), "{request}");
     });
 }
 
 #[test]
-fn answers_without_body_need_no_length() {
+fn responses_without_body_need_no_length() {
     with_client(|client| async move {
-        let (address, _) = answer_once("HTTP/1.1 204 No Content\r\n\r\n");
-        let answer = service(&client, &address.to_string())
-            .call(&call(&[]), SPAN)
+        let (address, _) = respond_once("HTTP/1.1 204 No Content\r\n\r\n");
+        let response = service(&client, &address.to_string())
+            .call(&call(&[]), TIMEOUT)
             .await;
-        assert_eq!(answer.unwrap().status, 204);
+        assert_eq!(response.unwrap().status, 204);
     });
 }
 
 #[test]
-fn calls_that_never_left_are_told() {
+fn unsent_calls_are_reported() {
     with_client(|client| async move {
         let refused = service(&client, &closed_address());
         let mut calls = vec![call(&[]); 5];
@@ -158,14 +158,14 @@
         calls[4].method = "CONNECT".into();
         calls.push(call(&[("a b", "c")]));
         for call in calls {
-            let error = refused.call(&call, SPAN).await.unwrap_err();
+            let error = refused.call(&call, TIMEOUT).await.unwrap_err();
             assert_eq!(error.sent(), Sent::No, "{error}");
         }
     });
 }
 
 #[test]
-fn a_lost_answer_may_have_run() {
+fn lost_response_may_have_run() {
     with_client(|client| async move {
         let standin = Standin::start(ServiceOptions::default(), client.timer()).unwrap();
         let service = service(&client, &standin.address.to_string());
@@ -175,15 +175,15 @@
             f.truncate = 1;
         });
         for _ in 0..2 {
-            let error = service.call(&call(&[]), SPAN).await.unwrap_err();
+            let error = service.call(&call(&[]), TIMEOUT).await.unwrap_err();
             assert_eq!(error.sent(), Sent::Maybe, "{error}");
         }
-        let answer = service.call(&call(&[]), SPAN).await.unwrap();
-        let body = String::from_utf8(answer.body.to_vec()).unwrap();
+        let response = service.call(&call(&[]), TIMEOUT).await.unwrap();
+        let body = String::from_utf8(response.body.to_vec()).unwrap();
         assert!(body.contains(r#""effect":3"#), "{body}");
         standin.inject(|f| f.down = true);
-        let answer = service.call(&call(&[]), SPAN).await.unwrap();
-        assert_eq!(answer.status, 503);
+        let response = service.call(&call(&[]), TIMEOUT).await.unwrap();
+        assert_eq!(response.status, 503);
         let error = service.health().await.unwrap_err();
         assert!(matches!(error, CallError::Status { status: 503, retry, .. } if retry.0.is_some()));
     });
--- a/crates/upstream/tests/stream.rs
+++ b/crates/upstream/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Checks of engines' answers: tables of faults, cuts and mutations.
+//! Validation of engine responses: invalid streams, chunk boundaries, truncation and mutations.
 
 use proptest::prelude::*;
 use pumicecleat_upstream::{
@@ -7,7 +7,7 @@
 };
 
 const LIMIT: usize = 512;
-const EXPECT: ExpectedResponse<'_> = ExpectedResponse {
+const EXPECTED: ExpectedResponse<'_> = ExpectedResponse {
     peer: "10.0.0.1:8000",
     model: "sowing@v3",
     request: Some("r-1"),
@@ -37,7 +37,7 @@
     event("[DONE]")
 }
 
-fn sound() -> String {
+fn valid_stream() -> String {
     let usage = format!(r#"{HEAD}[],"usage":{{"prompt_tokens":3,"completion_tokens":2}}}}"#);
     [
         ": wait\r\n\r\n".to_owned(),
@@ -50,12 +50,12 @@
     .concat()
 }
 
-/// Events of a stream that arrives in `pieces`, to its end.
-fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> Result<Vec<StreamEvent>, ResponseError> {
-    let mut check = StreamCheck::new(EXPECT, LIMIT);
+/// Reads all events of a stream that arrives in `chunks`.
+fn read<'a>(chunks: impl Iterator<Item = &'a [u8]>) -> Result<Vec<StreamEvent>, ResponseError> {
+    let mut check = StreamCheck::new(EXPECTED, LIMIT);
     let mut events = Vec::new();
-    for piece in pieces {
-        check.push(piece);
+    for bytes in chunks {
+        check.push(bytes);
         while let Some(event) = check.scan_event()? {
             events.push(event);
         }
@@ -67,20 +67,20 @@
 struct Case {
     name: &'static str,
     stream: String,
-    fault: fn(&ResponseErrorKind) -> bool,
+    is_expected: fn(&ResponseErrorKind) -> bool,
 }
 
-fn case(name: &'static str, parts: &[String], fault: fn(&ResponseErrorKind) -> bool) -> Case {
+fn case(name: &'static str, parts: &[String], is_expected: fn(&ResponseErrorKind) -> bool) -> Case {
     let stream = parts.concat();
     Case {
         name,
         stream,
-        fault,
+        is_expected,
     }
 }
 
 #[test]
-fn wrong_streams_are_told() {
+fn invalid_streams_are_rejected() {
     use ResponseErrorKind as F;
     let renamed = |from: &str, to: &str| token("a").replace(from, to);
     let second = chunk(r#"[{"index":1,"delta":{"content":"b"},"finish_reason":null}]"#);
@@ -112,8 +112,8 @@
     ];
     for case in cases {
         let error = read(case.stream.as_bytes().chunks(7)).expect_err(case.name);
-        assert!((case.fault)(&error.source), "{}: {error}", case.name);
-        assert!(error.to_string().contains(EXPECT.peer), "{}", case.name);
+        assert!((case.is_expected)(&error.source), "{}: {error}", case.name);
+        assert!(error.to_string().contains(EXPECTED.peer), "{}", case.name);
     }
     let broken = [b"data: {\"id\":\"\xff\"}\n\n".as_slice()];
     let error = read(broken.into_iter()).unwrap_err();
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn a_sound_stream_is_read_whole() {
-    let stream = sound();
+fn valid_stream_is_read_completely() {
+    let stream = valid_stream();
     let events = read(stream.as_bytes().chunks(5)).unwrap();
     let mut progress = Progress::default();
     let mut finish = None;
@@ -154,14 +154,14 @@
 }
 
 #[test]
-fn more_than_text_is_noted() {
+fn non_text_content_is_flagged() {
     let cases = [
         r#"[{"index":0,"delta":{"tool_calls":[{"index":0}]}}]"#,
         r#"[{"index":0,"delta":{"reasoning_content":"hm"}}]"#,
         r#"[{"index":1,"delta":{"content":"b"}}]"#,
     ];
     for choices in cases {
-        let mut check = StreamCheck::new(EXPECT, LIMIT);
+        let mut check = StreamCheck::new(EXPECTED, LIMIT);
         check.push(chunk(choices).as_bytes());
         let event = check.scan_event().unwrap();
         assert!(matches!(
@@ -172,36 +172,38 @@
 }
 
 #[test]
-fn whole_answers_are_checked() {
+fn completions_are_checked() {
     use ResponseErrorKind as F;
     struct Case {
         body: String,
-        fault: fn(&ResponseErrorKind) -> bool,
+        is_expected: fn(&ResponseErrorKind) -> bool,
     }
     let body = |choices: &str| format!("{HEAD}{choices}}}");
-    let sound = body(
+    let valid = body(
         r#"[{"index":0,"message":{"role":"assistant","content":"a"},"finish_reason":"length"}]"#,
     );
     assert_eq!(
-        check_completion(EXPECT, sound.as_bytes()).unwrap().choices,
+        check_completion(EXPECTED, valid.as_bytes())
+            .unwrap()
+            .choices,
         1
     );
     let unfinished = body(r#"[{"index":0,"message":{"content":"a"},"finish_reason":null}]"#);
     let delta = body(r#"[{"index":0,"delta":{"content":"a"},"finish_reason":"stop"}]"#);
     #[rustfmt::skip]
     let cases = [
-        Case { body: String::new(), fault: |f| matches!(f, F::Json { .. }) },
-        Case { body: sound[..sound.len() - 1].into(), fault: |f| matches!(f, F::Json { .. }) },
-        Case { body: sound.replace("@v3", "@v4"), fault: |f| matches!(f, F::ModelMismatch { .. }) },
-        Case { body: sound.replace("r-1", "r-2"), fault: |f| matches!(f, F::IdMismatch { .. }) },
-        Case { body: body("[]"), fault: |f| matches!(f, F::NoChoices) },
-        Case { body: unfinished, fault: |f| matches!(f, F::NoFinish { index: 0 }) },
-        Case { body: delta, fault: |f| matches!(f, F::NoChoices) },
-        Case { body: r#"{"object":"error","message":"no"}"#.into(), fault: |f| matches!(f, F::Engine { .. }) },
+        Case { body: String::new(), is_expected: |f| matches!(f, F::Json { .. }) },
+        Case { body: valid[..valid.len() - 1].into(), is_expected: |f| matches!(f, F::Json { .. }) },
+        Case { body: valid.replace("@v3", "@v4"), is_expected: |f| matches!(f, F::ModelMismatch { .. }) },
+        Case { body: valid.replace("r-1", "r-2"), is_expected: |f| matches!(f, F::IdMismatch { .. }) },
+        Case { body: body("[]"), is_expected: |f| matches!(f, F::NoChoices) },
+        Case { body: unfinished, is_expected: |f| matches!(f, F::NoFinish { index: 0 }) },
+        Case { body: delta, is_expected: |f| matches!(f, F::NoChoices) },
+        Case { body: r#"{"object":"error","message":"no"}"#.into(), is_expected: |f| matches!(f, F::Engine { .. }) },
     ];
     for case in cases {
-        let error = check_completion(EXPECT, case.body.as_bytes()).expect_err(&case.body);
-        assert!((case.fault)(&error.source), "{}: {error}", case.body);
+        let error = check_completion(EXPECTED, case.body.as_bytes()).expect_err(&case.body);
+        assert!((case.is_expected)(&error.source), "{}: {error}", case.body);
     }
 }
 
@@ -214,20 +216,20 @@
 
 proptest! {
     #[test]
-    fn cuts_change_nothing(cuts in prop::collection::vec(0..600_usize, 0..12)) {
-        let stream = sound();
+    fn chunk_boundaries_have_no_effect(cuts in prop::collection::vec(0..600_usize, 0..12)) {
+        let stream = valid_stream();
         let bytes = stream.as_bytes();
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c.min(bytes.len())).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
-        let pieces = cuts.windows(2).map(|w| &bytes[w[0]..w[1]]);
-        prop_assert_eq!(read(pieces).unwrap(), read(std::iter::once(bytes)).unwrap());
+        let chunks = cuts.windows(2).map(|w| &bytes[w[0]..w[1]]);
+        prop_assert_eq!(read(chunks).unwrap(), read(std::iter::once(bytes)).unwrap());
     }
 
     #[test]
     fn any_bytes_are_read_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = read(bytes.chunks(9));
-        let _ = check_completion(EXPECT, &bytes);
+        let _ = check_completion(EXPECTED, &bytes);
     }
 
     #[test]
@@ -235,24 +237,24 @@
         changes in prop::collection::vec((any::<usize>(), any::<u8>()), 1..8),
         length in 0..600_usize,
     ) {
-        let mut bytes = sound().into_bytes();
+        let mut bytes = valid_stream().into_bytes();
         mutate(&mut bytes, &changes);
         bytes.truncate(length);
         let _ = read(bytes.chunks(11));
     }
 
     #[test]
-    fn a_shortened_stream_is_never_whole(length in 0..600_usize) {
-        let stream = sound();
+    fn truncated_stream_is_never_complete(length in 0..600_usize) {
+        let stream = valid_stream();
         let bytes = stream.as_bytes();
         prop_assume!(length < bytes.len());
         prop_assert!(read(bytes[..length].chunks(13)).is_err());
     }
 }
 
-/// What the cached tokens are told as, and what is read.
+/// Cached token counts as engines report them, and the value that is read.
 #[test]
-fn nothing_told_of_a_cache_spoils_an_answer() {
+fn invalid_cache_details_do_not_invalidate_a_response() {
     let cases = [
         ("", None),
         (r#","prompt_tokens_details":null"#, None),
@@ -267,9 +269,9 @@
         let usage = format!(r#""usage":{{"prompt_tokens":3{details},"completion_tokens":2}}"#);
         let choice = r#"[{"index":0,"message":{"content":"a"},"finish_reason":"stop"}]"#;
         let body = format!("{HEAD}{choice},{usage}}}");
-        let whole = check_completion(EXPECT, body.as_bytes()).expect(details);
-        let told = whole.usage.expect(details);
-        assert_eq!((told.prompt, told.completion), (3, 2), "{details}");
-        assert_eq!(told.details.cached, cached, "{details}");
+        let summary = check_completion(EXPECTED, body.as_bytes()).expect(details);
+        let usage = summary.usage.expect(details);
+        assert_eq!((usage.prompt, usage.completion), (3, 2), "{details}");
+        assert_eq!(usage.details.cached, cached, "{details}");
     }
 }
