--- a/crates/upstream/src/check/progress.rs
+++ b/crates/upstream/src/check/progress.rs
@@ -23,7 +23,7 @@
         self.non_text |= chunk.non_text;
         match chunk.usage {
             Some(usage) if usage.completion > 0 => {
-                self.tokens = self.previous_tokens + usage.completion
+                self.tokens = self.previous_tokens + usage.completion;
             }
             _ if chunk.content.is_empty() => {}
             _ => self.tokens += 1,
