--- a/crates/entry/src/stream/resume.rs
+++ b/crates/entry/src/stream/resume.rs
@@ -70,7 +70,7 @@
         };
         let engine_name = job.engine_name().unwrap_or_default();
         let rendered = chat.render_resumed(engine_name, job.engine_priority(), &self.progress);
-        rendered.map_err(|barrier| barrier.to_string())
+        rendered.map_err(|error| error.to_string())
     }
 
     fn record_resume(&self, from: &str) {
