--- a/crates/fuzz/src/targets/stream.rs
+++ b/crates/fuzz/src/targets/stream.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use pumicecleat_upstream::{Chunk, Expect, StreamCheck, StreamEvent, check_whole};
+use pumicecleat_upstream::{Chunk, ExpectedResponse, StreamCheck, StreamEvent, check_completion};
 use serde_json::value::RawValue;
 
 use super::{Broken, Target, cuts, require};
 
 const LIMIT: usize = 2 << 10;
-const EXPECT: Expect<'_> = Expect {
+const EXPECT: ExpectedResponse<'_> = ExpectedResponse {
     peer: "10.0.0.1:8000",
     model: "sowing@v3",
     request: Some("r-1"),
@@ -142,8 +142,7 @@
     }
     let done = matches!(reading.events.last(), Some(StreamEvent::Done { .. }));
     require(done, "whole without its end")?;
-    let finish =
-        |e: &StreamEvent| matches!(e, StreamEvent::Chunk(c) if c.finish.is_some() || c.extra);
+    let finish = |e: &StreamEvent| matches!(e, StreamEvent::Chunk(c) if c.finish_reason.is_some() || c.non_text);
     require(
         reading.events.iter().any(finish),
         "whole without a finish reason",
@@ -163,7 +162,7 @@
     }
 
     fn check(&self, input: &[u8]) -> Result<bool, Broken> {
-        let Ok(whole) = check_whole(EXPECT, input) else {
+        let Ok(whole) = check_completion(EXPECT, input) else {
             return Ok(false);
         };
         let Ok(fields) = serde_json::from_slice::<Fields<'_>>(input) else {
--- a/crates/upstream/src/chat/mod.rs
+++ b/crates/upstream/src/chat/mod.rs
@@ -1,17 +1,17 @@
-//! Callers' chat bodies: checked, kept as they are, and rendered for an engine.
+//! Chat request bodies of callers: validation, and rendering for an engine with unknown fields kept.
 
 mod body;
+mod conversation;
 mod depth;
-mod fault;
+mod error;
 mod fields;
 mod limits;
 mod message;
 mod render;
 mod resume;
-mod thread;
 
 pub use body::ChatBody;
-pub use fault::{BodyFault, FieldIssue};
+pub use conversation::Conversation;
+pub use error::{ChatBodyError, FieldIssue};
 pub use limits::ChatLimits;
-pub use resume::ResumeBarrier;
-pub use thread::ChatThread;
+pub use resume::ResumeError;
--- a/crates/upstream/src/check/raw.rs
+++ b/crates/upstream/src/check/raw.rs
@@ -1,4 +1,4 @@
-//! Engines' JSON as far as it is read; strings are borrowed, the rest is skipped.
+//! JSON of engine responses. Strings are borrowed; fields that are not needed are skipped.
 
 use std::borrow::Cow;
 
@@ -7,20 +7,20 @@
 use serde_json::value::RawValue;
 use snafu::ResultExt;
 
-use super::fault::{EncodingSnafu, EngineSnafu, JsonSnafu};
-use super::{AnswerFault, Usage};
+use super::error::{EncodingSnafu, EngineSnafu, JsonSnafu};
+use super::{ResponseErrorKind, Usage};
 
-/// Engine's words kept in an error, characters.
-const DETAIL_LIMIT: usize = 200;
+/// Maximum length of an engine's message in an error, characters.
+const MAX_DETAIL_CHARS: usize = 200;
 
-/// String that is copied only if it holds escapes.
+/// String that is copied only if it has escapes.
 #[derive(Deserialize)]
 #[serde(transparent)]
 pub(super) struct Text<'a>(#[serde(borrow)] pub(super) Cow<'a, str>);
 
-/// An answer, or an event of one.
+/// A response, or an event of a streamed one.
 #[derive(Deserialize)]
-pub(super) struct RawAnswer<'a> {
+pub(super) struct RawResponse<'a> {
     #[serde(borrow)]
     id: Option<Text<'a>>,
     #[serde(borrow)]
@@ -34,7 +34,7 @@
     error: Option<&'a RawValue>,
 }
 
-/// A choice, of an event or of a whole answer.
+/// A choice of a response or of an event.
 #[derive(Deserialize)]
 pub(super) struct RawChoice<'a> {
     #[serde(default)]
@@ -47,7 +47,7 @@
     pub(super) finish_reason: Option<Text<'a>>,
 }
 
-/// Text of a choice.
+/// Content of a choice.
 #[derive(Deserialize)]
 pub(super) struct RawMessage<'a> {
     #[serde(borrow)]
@@ -60,8 +60,8 @@
 }
 
 impl RawMessage<'_> {
-    /// Whether it holds more than text.
-    pub(super) fn has_extra(&self) -> bool {
+    /// Whether it has content other than text.
+    pub(super) fn has_non_text(&self) -> bool {
         let parts = [
             &self.tool_calls,
             &self.function_call,
@@ -73,7 +73,7 @@
     }
 }
 
-impl RawAnswer<'_> {
+impl RawResponse<'_> {
     /// Id, empty if there is none.
     pub(super) fn id(&self) -> &str {
         self.id.as_ref().map_or("", |id| id.0.as_ref())
@@ -85,21 +85,21 @@
     }
 }
 
-/// Answer in `data`, if it is one and no error.
-pub(super) fn read_answer(data: &[u8]) -> Result<RawAnswer<'_>, AnswerFault> {
-    // Skipped strings are not checked by the parser.
+/// Decodes the response in `data`. An error object gives [`ResponseErrorKind::Engine`].
+pub(super) fn read_response(data: &[u8]) -> Result<RawResponse<'_>, ResponseErrorKind> {
+    // The parser doesn't check the encoding of skipped strings.
     let Ok(text) = std::str::from_utf8(data) else {
         return EncodingSnafu.fail();
     };
-    let answer = parse_object(text)?;
-    if let Some(detail) = error_of(&answer, text) {
+    let response = parse_object(text)?;
+    if let Some(detail) = error_detail(&response, text) {
         return EngineSnafu { detail }.fail();
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Parses an object; the derived reader alone would also take an array of its fields.
-fn parse_object(text: &str) -> Result<RawAnswer<'_>, AnswerFault> {
+/// Decodes an object. The derived deserializer alone would also accept an array of the fields.
+fn parse_object(text: &str) -> Result<RawResponse<'_>, ResponseErrorKind> {
     if text.trim_start().starts_with('[') {
         let wrong = serde::de::Error::custom("an array, not an object");
         return Err(wrong).context(JsonSnafu);
@@ -107,11 +107,11 @@
     serde_json::from_str(text).context(JsonSnafu)
 }
 
-fn error_of(answer: &RawAnswer<'_>, text: &str) -> Option<String> {
-    let words = match answer.error {
+fn error_detail(response: &RawResponse<'_>, text: &str) -> Option<String> {
+    let detail = match response.error {
         Some(error) => error.get(),
-        None if answer.object.as_ref().is_some_and(|o| o.0 == "error") => text,
+        None if response.object.as_ref().is_some_and(|o| o.0 == "error") => text,
         None => return None,
     };
-    Some(words.chars().take(DETAIL_LIMIT).collect())
+    Some(detail.chars().take(MAX_DETAIL_CHARS).collect())
 }
--- a/crates/upstream/src/engine/confirm.rs
+++ b/crates/upstream/src/engine/confirm.rs
@@ -1,48 +1,53 @@
-//! Loads that are believed only when the engine shows the LoRA as resident.
+//! Loads that count as done only once the engine lists the LoRA adapter as resident.
 
 use std::time::Duration;
 
 use super::order::UnconfirmedSnafu;
 use super::{Engine, Order, OrderError};
 
-/// A LoRA that the engine shows as resident.
+/// A load after which the engine lists the LoRA adapter as resident.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Loaded {
-    /// All engine names resident then.
+pub struct ConfirmedLoad {
+    /// Engine names of all resident adapters.
     pub resident: Vec<String>,
-    /// Engine had not accepted this order: the LoRA was there already, or the reply was lost.
-    pub earlier: bool,
+    /// Whether the engine had not accepted this order: the adapter was already resident, or the
+    /// response was lost.
+    pub already_resident: bool,
 }
 
-/// Orders a load and asks the engine whether it is resident, whatever the engine said.
+/// Orders a load and checks that the engine lists the adapter as resident. Also checks after
+/// errors that leave the outcome of the load uncertain.
 ///
 /// # Errors
-/// [`OrderError`] if the LoRA is not shown as resident.
-pub async fn load_confirmed(
+/// [`OrderError`] if the adapter is not listed as resident.
+pub async fn load_and_confirm(
     engine: &dyn Engine,
     order: Order<'_>,
-    span: Duration,
-) -> Result<Loaded, OrderError> {
-    let said = engine.load(order, span).await;
-    let doubtful = OrderError::is_doubtful;
-    if said.as_ref().is_err_and(|e| !doubtful(e)) {
-        return said.map(|()| Loaded::default());
+    timeout: Duration,
+) -> Result<ConfirmedLoad, OrderError> {
+    let load_result = engine.load(order, timeout).await;
+    let is_uncertain = OrderError::is_uncertain;
+    if load_result.as_ref().is_err_and(|e| !is_uncertain(e)) {
+        return load_result.map(|()| ConfirmedLoad::default());
     }
-    let shown = engine.resident().await;
-    let accepted = said.is_ok();
-    match shown {
+    let listed = engine.resident().await;
+    let accepted = load_result.is_ok();
+    match listed {
         Ok(resident) if resident.iter().any(|r| r == order.lora) => {
-            let earlier = !accepted;
-            Ok(Loaded { resident, earlier })
+            let already_resident = !accepted;
+            Ok(ConfirmedLoad {
+                resident,
+                already_resident,
+            })
         }
         Ok(_) => {
-            said?;
+            load_result?;
             let lora = order.lora;
             let peer = engine.peer();
             UnconfirmedSnafu { peer, lora }.fail()
         }
         Err(source) => {
-            said?;
+            load_result?;
             Err(OrderError::Lost { source })
         }
     }
