--- a/crates/catalog/src/follow.rs
+++ b/crates/catalog/src/follow.rs
@@ -175,7 +175,7 @@
         let interval = as_millis(interval.min(settings.max_hint_interval));
         timer.sleep_until(last_hinted_read + interval).await;
         last_hinted_read = timer.now();
-        follower.hurry();
+        follower.read_now();
         if topic == Topic::Upstreams {
             marks.distrust_list();
         }
@@ -194,7 +194,7 @@
             let followers = self.listener.follower_count();
             let max_age = max_read_age(settings.max_list_age, settings.seed, followers);
             self.marks.wait_until_stale(max_age, self.timer).await;
-            follower.hurry();
+            follower.read_now();
         }
         if let Some(span) = settings.detection_span {
             let followers = self.listener.follower_count();
@@ -211,11 +211,12 @@
         let failed = matches!(event, KeyedEvent::Outage { .. } | KeyedEvent::Unanswered);
         self.is_busy.set(matches!(event, KeyedEvent::Changes(_)));
         let changed = self.apply_event(event);
-        if follower.has_odd_era() {
+        if follower.has_invalid_era() {
             let fields = [field("stream", self.decoder.stream(self.topic))];
             self.log.emit(&events::ERA_UNCLEAR, &fields);
         }
-        let (Some(position), Some(read_start)) = (follower.position(), follower.asked()) else {
+        let (Some(position), Some(read_start)) = (follower.position(), follower.last_read_start())
+        else {
             return;
         };
         if changed {
--- a/crates/infra/src/appender/driver.rs
+++ b/crates/infra/src/appender/driver.rs
@@ -8,7 +8,7 @@
 
 use super::pace::Pace;
 use super::queue::{Entry, Queue, Taken};
-use super::{AppendOptions, Stood, SubmitError};
+use super::{AppendOptions, AppendedRecord, SubmitError};
 use crate::{AppendError, Appended, Log};
 
 pub(super) struct Driver {
@@ -58,7 +58,7 @@
         }
         let error = Rc::new(error);
         for (id, entry) in taken {
-            if pushback && entry.returns < self.options.returns {
+            if pushback && entry.retries < self.options.max_retries {
                 self.queue.borrow_mut().put_back(id, entry);
             } else {
                 tell(&entry, Err(SubmitError::new(&error)));
@@ -70,11 +70,11 @@
 fn tell_stood(taken: Taken, appended: Appended) {
     let Appended { first, at } = appended;
     for (offset, entry) in (first..).zip(taken.into_values()) {
-        tell(&entry, Ok(Stood { offset, at }));
+        tell(&entry, Ok(AppendedRecord { offset, at }));
     }
 }
 
-fn tell(entry: &Entry, outcome: Result<Stood, SubmitError>) {
+fn tell(entry: &Entry, outcome: Result<AppendedRecord, SubmitError>) {
     // A submitter that left does not want to know.
     let _ = entry.reply.try_send(outcome);
 }
--- a/crates/infra/src/appender/mod.rs
+++ b/crates/infra/src/appender/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::Log;
 use driver::Driver;
-pub use outcome::{Stood, SubmitError};
+pub use outcome::{AppendedRecord, SubmitError};
 use pace::Pace;
 use queue::{Outcome, Queue};
 
@@ -35,7 +35,7 @@
     /// Longest such time that the log's pushback leads to.
     pub max_interval: Duration,
     /// Times that a record goes back to the queue after pushback.
-    pub returns: u32,
+    pub max_retries: u32,
     /// Seed of the jitter; processes should differ in it.
     pub seed: u64,
 }
@@ -48,7 +48,7 @@
             bytes: 1 << 20,
             interval: Duration::from_millis(10),
             max_interval: Duration::from_secs(2),
-            returns: 3,
+            max_retries: 3,
             seed: 0,
         }
     }
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// [`SubmitError`]: `Lost` if it may stand, else it does not.
-    pub async fn append(&self, record: Vec<u8>) -> Result<Stood, SubmitError> {
+    pub async fn append(&self, record: Vec<u8>) -> Result<AppendedRecord, SubmitError> {
         let ticket = self.submit(record)?;
         // A full channel holds a wake-up already.
         let _ = self.wake.try_send(());
--- a/crates/infra/src/appender/outcome.rs
+++ b/crates/infra/src/appender/outcome.rs
@@ -9,7 +9,7 @@
 
 /// Where a record stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stood {
+pub struct AppendedRecord {
     /// Offset.
     pub offset: u64,
     /// Time of the append by the log's clock, milliseconds since 1970.
--- a/crates/infra/src/appender/queue.rs
+++ b/crates/infra/src/appender/queue.rs
@@ -4,17 +4,17 @@
 
 use async_channel::Sender;
 
-use super::{AppendOptions, Stood, SubmitError};
+use super::{AppendOptions, AppendedRecord, SubmitError};
 
 /// What became of a record.
-pub(super) type Outcome = Result<Stood, SubmitError>;
+pub(super) type Outcome = Result<AppendedRecord, SubmitError>;
 
 /// A record that waits or is in flight.
 pub(super) struct Entry {
     pub(super) record: Vec<u8>,
     pub(super) reply: Sender<Outcome>,
     /// Times that it came back after pushback.
-    pub(super) returns: u32,
+    pub(super) retries: u32,
 }
 
 /// Entries of one append, by place.
@@ -54,7 +54,7 @@
         let entry = Entry {
             record,
             reply,
-            returns: 0,
+            retries: 0,
         };
         self.entries.insert(id, entry);
         Ok(id)
@@ -85,7 +85,7 @@
         if entry.reply.is_closed() {
             return;
         }
-        entry.returns += 1;
+        entry.retries += 1;
         self.entries.insert(id, entry);
     }
 }
--- a/crates/infra/src/follower/keyed.rs
+++ b/crates/infra/src/follower/keyed.rs
@@ -88,7 +88,7 @@
 
     /// Whether the log told an era that makes no sense: an earlier one, or none after it told one. True
     /// once.
-    pub fn has_odd_era(&mut self) -> bool {
+    pub fn has_invalid_era(&mut self) -> bool {
         let odd = self.follower.as_ref().is_some_and(|f| f.era.odd);
         odd && !std::mem::replace(&mut self.odd_told, true)
     }
@@ -101,8 +101,8 @@
 
     /// Start of the last read that was answered; `None` before the first state.
     #[must_use]
-    pub fn asked(&self) -> Option<Millis> {
-        self.follower.as_ref().map(Follower::asked)
+    pub fn last_read_start(&self) -> Option<Millis> {
+        self.follower.as_ref().map(Follower::last_read_start)
     }
 
     /// Sets the time that the log may wait for a record; applies from the next read.
@@ -113,10 +113,10 @@
         }
     }
 
-    /// Reads at once when asked next; see [`Follower::hurry`].
-    pub fn hurry(&mut self) {
+    /// Reads at once when asked next; see [`Follower::read_now`].
+    pub fn read_now(&mut self) {
         if let Some(follower) = &mut self.follower {
-            follower.hurry();
+            follower.read_now();
         }
     }
 
@@ -149,8 +149,8 @@
             Follower::new_ext(log, &self.timer, &self.stream, newest.next, self.options);
         self.era = self.era.max(newest.era);
         follower.era.known = self.era;
-        follower.settle();
-        follower.asked = start;
+        follower.skip_caught_up();
+        follower.last_read_start = start;
         self.follower = Some(follower);
         let offset = |r: &KeyedRecord| (r.key.clone(), r.offset);
         self.told = newest.records.iter().map(offset).collect();
@@ -161,7 +161,7 @@
         match event {
             Ok(FollowEvent::Records(records)) => {
                 if let Some(follower) = &mut self.follower {
-                    follower.settle();
+                    follower.skip_caught_up();
                 }
                 let keyed = records.iter().filter_map(|r| self.log.keyed(r)).collect();
                 let fresh = self.fresh(keyed);
--- a/crates/infra/src/follower/mod.rs
+++ b/crates/infra/src/follower/mod.rs
@@ -75,7 +75,7 @@
     end: bool,
     last_read: LastRead,
     /// Start of the last read that was answered.
-    asked: Millis,
+    last_read_start: Millis,
     era: Era,
 }
 
@@ -100,7 +100,7 @@
             caught: false,
             end: true,
             last_read: LastRead::Answered,
-            asked: timer.now(),
+            last_read_start: timer.now(),
             era: Era::default(),
         }
     }
@@ -119,8 +119,8 @@
 
     /// Start of the last read that was answered: all that there was then is known at its end.
     #[must_use]
-    pub fn asked(&self) -> Millis {
-        self.asked
+    pub fn last_read_start(&self) -> Millis {
+        self.last_read_start
     }
 
     /// Sets the time that the log may wait for a record; applies from the next read.
@@ -130,13 +130,13 @@
 
     /// The caller needs no word that it has all records once it has the last one: the next read may
     /// wait at once if that is so, which saves a read for each change.
-    pub fn settle(&mut self) {
+    pub fn skip_caught_up(&mut self) {
         self.caught |= self.end;
     }
 
     /// Reads at once and without a wait when asked next: there is more than this follower knows.
     /// Drop a call of [`next`](Self::next) that is under way. After a failure the pause stays.
-    pub fn hurry(&mut self) {
+    pub fn read_now(&mut self) {
         if self.last_read != LastRead::Failed {
             self.resume = None;
         }
@@ -210,7 +210,7 @@
         }
         checked?;
         self.last_read = LastRead::Answered;
-        self.asked = start;
+        self.last_read_start = start;
         if !batch.records.is_empty() {
             self.backoff.reset();
             self.caught = false;
--- a/crates/infra/src/keyed.rs
+++ b/crates/infra/src/keyed.rs
@@ -17,7 +17,7 @@
 
 /// Newest record of each key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Newest {
+pub struct NewestRecords {
     /// Records, one a key.
     pub records: Vec<KeyedRecord>,
     /// Offset from which to follow the stream for what came later.
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// [`ReadError::Failed`], with the step and the peer.
-    fn newest<'a>(&'a self, stream: &'a str) -> Local<'a, Result<Newest, ReadError>>;
+    fn newest<'a>(&'a self, stream: &'a str) -> Local<'a, Result<NewestRecords, ReadError>>;
 
     /// Record that gives `key` a value, or drops the key if `value` is empty.
     fn keyed_record(&self, key: &str, value: &[u8]) -> Vec<u8>;
--- a/crates/infra/src/lib.rs
+++ b/crates/infra/src/lib.rs
@@ -28,11 +28,11 @@
 mod store;
 mod vms;
 
-pub use appender::{AppendOptions, Appender, Stood, SubmitError};
+pub use appender::{AppendOptions, AppendedRecord, Appender, SubmitError};
 pub use backoff::{BackoffOptions, as_millis};
 pub use follower::{FollowError, FollowEvent, FollowOptions, Follower, KeyedEvent, KeyedFollower};
 pub use http::{Fault, Peers};
-pub use keyed::{KeyedLog, KeyedRecord, Newest};
+pub use keyed::{KeyedLog, KeyedRecord, NewestRecords};
 pub use log::{AppendError, Appended, Batch, HttpLog, Log, ReadError};
 pub use pumicecleat_net::Local;
 pub use store::{HttpStore, Store, StoreError};
--- a/crates/infra/tests/infra/appender.rs
+++ b/crates/infra/tests/infra/appender.rs
@@ -17,7 +17,7 @@
     bytes: 100,
     interval: MS,
     max_interval: MS,
-    returns: 1,
+    max_retries: 1,
     seed: 7,
 };
 
@@ -173,7 +173,7 @@
         let log = FakeLog::new(timer, &[Move::Pushback, Move::Pushback]);
         let options = AppendOptions {
             max_interval: 100 * MS,
-            returns: 1,
+            max_retries: 1,
             ..OPTIONS
         };
         let appender = Appender::start(log.clone(), timer, "intents", options);
--- a/crates/infra/tests/infra/follower.rs
+++ b/crates/infra/tests/infra/follower.rs
@@ -194,12 +194,12 @@
             let mut follower = follower_that_waits(&log, timer, 0, Duration::from_mins(1));
             assert_eq!(offsets(&follower.next().await.unwrap()), [0]);
             if settles {
-                follower.settle();
+                follower.skip_caught_up();
             }
             let next = timer.within(20 * MS, follower.next()).await;
             assert_eq!(next.is_ok(), told, "settles: {settles}");
             // One that hurries asks again without a wait.
-            follower.hurry();
+            follower.read_now();
             let next = timer.within(20 * MS, follower.next()).await;
             assert_eq!(next.unwrap().unwrap(), FollowEvent::CaughtUp { next: 1 });
         }
@@ -236,7 +236,7 @@
     with_client(|client| async move {
         let log = log_of(0, client.timer(), &[]);
         let mut follower = follower(&log, client.timer(), 0);
-        follower.hurry();
+        follower.read_now();
         assert!(!follower.is_at_end());
         let event = follower.next().await.unwrap();
         assert_eq!(event, FollowEvent::CaughtUp { next: 0 });
