--- a/crates/infra/src/appender/driver.rs
+++ b/crates/infra/src/appender/driver.rs
@@ -54,7 +54,7 @@
     fn fail(&mut self, taken: Taken, error: AppendError) {
         let pushback = error.is_pushback();
         if pushback {
-            self.pace.slow_down(self.timer.now(), error.retry());
+            self.pace.slow_down(self.timer.now(), error.retry_after());
         }
         let error = Rc::new(error);
         for (id, entry) in taken {
--- a/crates/infra/src/appender/outcome.rs
+++ b/crates/infra/src/appender/outcome.rs
@@ -61,9 +61,9 @@
 
     /// When to come back, by the log's word.
     #[must_use]
-    pub fn retry(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Refused { source } | Self::Lost { source } => source.retry(),
+            Self::Refused { source } | Self::Lost { source } => source.retry_after(),
             Self::Full { .. } | Self::Closed => None,
         }
     }
--- a/crates/infra/src/follower/keyed.rs
+++ b/crates/infra/src/follower/keyed.rs
@@ -210,7 +210,7 @@
             let detail = error.to_string();
             return Some(KeyedEvent::Outage { detail });
         }
-        let pause = self.backoff.next_pause(error.retry());
+        let pause = self.backoff.next_pause(error.retry_after());
         self.timer.sleep(pause).await;
         None
     }
--- a/crates/infra/src/follower/mod.rs
+++ b/crates/infra/src/follower/mod.rs
@@ -255,7 +255,7 @@
     }
 
     fn fail(&mut self, error: &ReadError) -> Option<FollowEvent> {
-        self.pause(error.retry());
+        self.pause(error.retry_after());
         self.caught = false;
         let known = std::mem::replace(&mut self.last_read, LastRead::Failed) == LastRead::Failed;
         let detail = error.to_string();
--- a/crates/infra/src/http/fault.rs
+++ b/crates/infra/src/http/error.rs
@@ -8,7 +8,7 @@
 /// An exchange that gave no usable answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Fault {
+pub enum RequestError {
     /// Network failed, or the answer was not whole.
     #[snafu(display("{source}"))]
     Net {
@@ -23,7 +23,7 @@
         /// HTTP status.
         status: u16,
         /// When to come back, by the peer's word.
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Answer is not the JSON expected.
     #[snafu(display("step decode answer, peer {peer}: {source}"))]
@@ -35,7 +35,7 @@
     },
     /// Bytes of the answer don't add up.
     #[snafu(display("step decode answer, peer {peer}: {detail}"))]
-    Form {
+    Malformed {
         /// Peer.
         peer: String,
         /// What is wrong.
@@ -43,7 +43,7 @@
     },
     /// A name can't stand in a request, so nothing was sent.
     #[snafu(display("step build request, peer {peer}: name {name:?} is not allowed"))]
-    Name {
+    InvalidName {
         /// Peers of the service.
         peer: String,
         /// The name.
@@ -51,28 +51,28 @@
     },
 }
 
-impl Fault {
+impl RequestError {
     /// Whether the request may have taken effect.
     ///
     /// Statuses 400 to 499 and 503 say that it did not.
     #[must_use]
-    pub fn effect(&self) -> Sent {
+    pub fn sent(&self) -> Sent {
         match self {
             Self::Net { source } => source.sent(),
             Self::Status {
                 status: 400..=499 | 503,
                 ..
             }
-            | Self::Name { .. } => Sent::No,
-            Self::Status { .. } | Self::Json { .. } | Self::Form { .. } => Sent::Maybe,
+            | Self::InvalidName { .. } => Sent::No,
+            Self::Status { .. } | Self::Json { .. } | Self::Malformed { .. } => Sent::Maybe,
         }
     }
 
     /// When to come back, by the peer's word.
     #[must_use]
-    pub fn retry(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Status { retry, .. } => *retry,
+            Self::Status { retry_after, .. } => *retry_after,
             _ => None,
         }
     }
--- a/crates/infra/src/http/exchange.rs
+++ b/crates/infra/src/http/exchange.rs
@@ -10,9 +10,9 @@
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
 
-use crate::Fault;
+use crate::RequestError;
 use crate::http::Peers;
-use crate::http::fault::{JsonSnafu, NetSnafu, StatusSnafu};
+use crate::http::error::{JsonSnafu, NetSnafu, StatusSnafu};
 
 /// Longest answer, bytes.
 const ANSWER_LIMIT: u64 = 64 << 20;
@@ -28,7 +28,7 @@
 /// A whole answer.
 pub(crate) struct Answer {
     pub(crate) status: u16,
-    retry: Option<Duration>,
+    retry_after: Option<Duration>,
     /// Tag of this state of what was asked for.
     pub(crate) etag: Option<HeaderValue>,
     pub(crate) peer: String,
@@ -44,7 +44,7 @@
         }
     }
 
-    pub(crate) async fn get(&self, path: &str, wait: Duration) -> Result<Answer, Fault> {
+    pub(crate) async fn get(&self, path: &str, wait: Duration) -> Result<Answer, RequestError> {
         let request = request(http::Method::GET, path, Bytes::new());
         self.ask(request, wait).await
     }
@@ -54,7 +54,7 @@
         &self,
         path: &str,
         etag: Option<&HeaderValue>,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<Answer, RequestError> {
         let mut request = request(http::Method::GET, path, Bytes::new());
         if let Some(etag) = etag {
             request.headers_mut().insert(IF_NONE_MATCH, etag.clone());
@@ -62,12 +62,16 @@
         self.ask(request, Duration::ZERO).await
     }
 
-    pub(crate) async fn head(&self, path: &str) -> Result<Answer, Fault> {
+    pub(crate) async fn head(&self, path: &str) -> Result<Answer, RequestError> {
         let request = request(http::Method::HEAD, path, Bytes::new());
         self.ask(request, Duration::ZERO).await
     }
 
-    pub(crate) async fn post<T: Serialize>(&self, path: &str, body: &T) -> Result<Answer, Fault> {
+    pub(crate) async fn post<T: Serialize>(
+        &self,
+        path: &str,
+        body: &T,
+    ) -> Result<Answer, RequestError> {
         // Our bodies have text keys only, so that they always encode.
         let body = serde_json::to_vec(body).unwrap_or_default();
         let mut request = request(http::Method::POST, path, Bytes::from(body));
@@ -77,7 +81,11 @@
     }
 
     /// Sends `request`; `wait` is how long the peer may wait by itself before it answers.
-    async fn ask(&self, request: http::Request<Bytes>, wait: Duration) -> Result<Answer, Fault> {
+    async fn ask(
+        &self,
+        request: http::Request<Bytes>,
+        wait: Duration,
+    ) -> Result<Answer, RequestError> {
         let span = self.timeout + wait;
         let sent = self.peers.send(&self.client, request, span).await;
         let mut response = sent.context(NetSnafu)?;
@@ -85,7 +93,7 @@
         Ok(Answer {
             body: body.context(NetSnafu)?,
             status: response.status(),
-            retry: retry_after(response.headers()),
+            retry_after: retry_after(response.headers()),
             etag: response.headers().get(ETAG).cloned(),
             peer: peer_of(&response),
         })
@@ -94,25 +102,25 @@
 
 impl Answer {
     /// Answer of a successful exchange.
-    pub(crate) fn decode<T: DeserializeOwned>(self) -> Result<T, Fault> {
+    pub(crate) fn decode<T: DeserializeOwned>(self) -> Result<T, RequestError> {
         if self.status != 200 {
-            return Err(self.into_fault());
+            return Err(self.into_error());
         }
         self.decode_any()
     }
 
     /// Answer whatever its status.
-    pub(crate) fn decode_any<T: DeserializeOwned>(self) -> Result<T, Fault> {
+    pub(crate) fn decode_any<T: DeserializeOwned>(self) -> Result<T, RequestError> {
         let peer = self.peer;
         serde_json::from_slice(&self.body).context(JsonSnafu { peer })
     }
 
-    /// Fault that the answer's status tells.
-    pub(crate) fn into_fault(self) -> Fault {
+    /// RequestError that the answer's status tells.
+    pub(crate) fn into_error(self) -> RequestError {
         StatusSnafu {
             peer: self.peer,
             status: self.status,
-            retry: self.retry,
+            retry_after: self.retry_after,
         }
         .build()
     }
--- a/crates/infra/src/http/mod.rs
+++ b/crates/infra/src/http/mod.rs
@@ -1,11 +1,11 @@
 //! What the HTTP clients share: peers of one service, whole JSON answers, faults.
 
+mod error;
 mod exchange;
-mod fault;
 mod name;
 mod peers;
 
+pub use error::RequestError;
 pub(crate) use exchange::Exchange;
-pub use fault::Fault;
 pub(crate) use name::{check_name, check_path};
 pub use peers::Peers;
--- a/crates/infra/src/http/name.rs
+++ b/crates/infra/src/http/name.rs
@@ -1,25 +1,25 @@
 //! Names that may stand in a path or query as they are.
 
-use crate::Fault;
+use crate::RequestError;
 use crate::http::Peers;
-use crate::http::fault::NameSnafu;
+use crate::http::error::InvalidNameSnafu;
 
 /// Accepts `[A-Za-z0-9._-]+`.
-pub(crate) fn check_name(name: &str, peers: &Peers) -> Result<(), Fault> {
+pub(crate) fn check_name(name: &str, peers: &Peers) -> Result<(), RequestError> {
     accept(is_name(name), name, peers)
 }
 
 /// Accepts names joined by `/`, which may also hold `@`, `:`, `=` and `+`.
-pub(crate) fn check_path(path: &str, peers: &Peers) -> Result<(), Fault> {
+pub(crate) fn check_path(path: &str, peers: &Peers) -> Result<(), RequestError> {
     accept(path.split('/').all(is_segment), path, peers)
 }
 
-fn accept(allowed: bool, name: &str, peers: &Peers) -> Result<(), Fault> {
+fn accept(allowed: bool, name: &str, peers: &Peers) -> Result<(), RequestError> {
     if allowed {
         return Ok(());
     }
     let peer = peers.to_string();
-    NameSnafu { peer, name }.fail()
+    InvalidNameSnafu { peer, name }.fail()
 }
 
 fn is_name(name: &str) -> bool {
--- a/crates/infra/src/lib.rs
+++ b/crates/infra/src/lib.rs
@@ -31,7 +31,7 @@
 pub use appender::{AppendOptions, AppendedRecord, Appender, SubmitError};
 pub use backoff::{BackoffOptions, as_millis};
 pub use follower::{FollowError, FollowEvent, FollowOptions, Follower, KeyedEvent, KeyedFollower};
-pub use http::{Fault, Peers};
+pub use http::{Peers, RequestError};
 pub use keyed::{KeyedLog, KeyedRecord, NewestRecords};
 pub use log::{AppendError, Appended, Batch, HttpLog, Log, ReadError};
 pub use pumicecleat_net::Local;
--- a/crates/infra/src/log/error.rs
+++ b/crates/infra/src/log/error.rs
@@ -5,7 +5,7 @@
 use pumicecleat_net::Sent;
 use snafu::Snafu;
 
-use crate::Fault;
+use crate::RequestError;
 
 /// An append without a word that it stands.
 #[derive(Debug, Snafu)]
@@ -14,26 +14,26 @@
     #[snafu(display("append refused: {source}"))]
     Refused {
         /// Cause, with step and peer.
-        source: Fault,
+        source: RequestError,
         /// When to come back, by the log's word.
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// May have taken effect, or may yet.
     #[snafu(display("append lost: {source}"))]
     Lost {
         /// Cause, with step and peer.
-        source: Fault,
+        source: RequestError,
         /// When to come back, by the log's word.
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     },
 }
 
 impl AppendError {
     /// When to come back, by the log's word.
     #[must_use]
-    pub fn retry(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Refused { retry, .. } | Self::Lost { retry, .. } => *retry,
+            Self::Refused { retry_after, .. } | Self::Lost { retry_after, .. } => *retry_after,
         }
     }
 
@@ -44,12 +44,18 @@
     }
 }
 
-impl From<Fault> for AppendError {
-    fn from(source: Fault) -> Self {
-        let retry = source.retry();
-        match source.effect() {
-            Sent::No => Self::Refused { source, retry },
-            Sent::Maybe => Self::Lost { source, retry },
+impl From<RequestError> for AppendError {
+    fn from(source: RequestError) -> Self {
+        let retry_after = source.retry_after();
+        match source.sent() {
+            Sent::No => Self::Refused {
+                source,
+                retry_after,
+            },
+            Sent::Maybe => Self::Lost {
+                source,
+                retry_after,
+            },
         }
     }
 }
@@ -71,26 +77,29 @@
     #[snafu(display("read failed: {source}"))]
     Failed {
         /// Cause, with step and peer.
-        source: Fault,
+        source: RequestError,
         /// When to come back, by the log's word.
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     },
 }
 
 impl ReadError {
     /// When to come back, by the log's word.
     #[must_use]
-    pub fn retry(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Failed { retry, .. } => *retry,
+            Self::Failed { retry_after, .. } => *retry_after,
             Self::Trimmed { .. } => None,
         }
     }
 }
 
-impl From<Fault> for ReadError {
-    fn from(source: Fault) -> Self {
-        let retry = source.retry();
-        Self::Failed { source, retry }
+impl From<RequestError> for ReadError {
+    fn from(source: RequestError) -> Self {
+        let retry_after = source.retry_after();
+        Self::Failed {
+            source,
+            retry_after,
+        }
     }
 }
--- a/crates/infra/src/log/http.rs
+++ b/crates/infra/src/log/http.rs
@@ -10,7 +10,7 @@
 
 use super::{AppendError, Appended, Batch, Log, ReadError};
 use crate::http::{Exchange, check_name};
-use crate::{Fault, Local, Peers};
+use crate::{Local, Peers, RequestError};
 
 /// Status of a read from an offset no longer kept.
 const GONE: u16 = 410;
@@ -64,7 +64,11 @@
         Self { exchange }
     }
 
-    async fn post_records(&self, stream: &str, records: Vec<Vec<u8>>) -> Result<Appended, Fault> {
+    async fn post_records(
+        &self,
+        stream: &str,
+        records: Vec<Vec<u8>>,
+    ) -> Result<Appended, RequestError> {
         check_name(stream, &self.exchange.peers)?;
         let path = format!("/v1/streams/{stream}/records");
         let body = AppendBody { records };
--- a/crates/infra/src/store/http.rs
+++ b/crates/infra/src/store/http.rs
@@ -28,7 +28,7 @@
         match answer.status {
             200 => Ok(true),
             404 => Ok(false),
-            _ => Err(answer.into_fault().into()),
+            _ => Err(answer.into_error().into()),
         }
     }
 }
--- a/crates/infra/src/store/mod.rs
+++ b/crates/infra/src/store/mod.rs
@@ -6,7 +6,7 @@
 
 use snafu::Snafu;
 
-use crate::{Fault, Local};
+use crate::{Local, RequestError};
 pub use http::HttpStore;
 
 /// The store did not say.
@@ -16,26 +16,29 @@
     #[snafu(display("weight store busy: {source}"))]
     Busy {
         /// Cause, with step and peer.
-        source: Fault,
+        source: RequestError,
         /// When to come back, by the store's word.
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Exchange failed.
     #[snafu(display("weight store: {source}"))]
     Failed {
         /// Cause, with step and peer.
-        source: Fault,
+        source: RequestError,
     },
 }
 
-impl From<Fault> for StoreError {
-    fn from(source: Fault) -> Self {
+impl From<RequestError> for StoreError {
+    fn from(source: RequestError) -> Self {
         match source {
-            Fault::Status {
+            RequestError::Status {
                 status: 429 | 503,
-                retry,
+                retry_after,
                 ..
-            } => Self::Busy { source, retry },
+            } => Self::Busy {
+                source,
+                retry_after,
+            },
             _ => Self::Failed { source },
         }
     }
--- a/crates/infra/src/vms/mod.rs
+++ b/crates/infra/src/vms/mod.rs
@@ -7,7 +7,7 @@
 use pumicecleat_types::VmEntry;
 use snafu::Snafu;
 
-use crate::{Fault, Local};
+use crate::{Local, RequestError};
 pub use http::HttpVms;
 
 /// The list at one time.
@@ -24,11 +24,11 @@
 #[snafu(display("VM list: {source}"))]
 pub struct VmsError {
     /// Cause, with step and peer.
-    pub source: Fault,
+    pub source: RequestError,
 }
 
-impl From<Fault> for VmsError {
-    fn from(source: Fault) -> Self {
+impl From<RequestError> for VmsError {
+    fn from(source: RequestError) -> Self {
         Self { source }
     }
 }
--- a/crates/infra/tests/infra/common/mod.rs
+++ b/crates/infra/tests/infra/common/mod.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicecleat_infra::{AppendError, Appended, Batch, Fault, Local, Log, ReadError};
+use pumicecleat_infra::{AppendError, Appended, Batch, Local, Log, ReadError, RequestError};
 use pumicecleat_net::{Client, ClientOptions, Timer, run};
 use pumicecleat_types::LogRecord;
 
@@ -79,14 +79,14 @@
     fn append_all(&self, records: Vec<Vec<u8>>) -> Result<Appended, AppendError> {
         let step = self.take_move();
         if step == Move::Down || step == Move::Pushback || step == Move::LostBefore {
-            return Err(fault(step).into());
+            return Err(request_error(step).into());
         }
         let first = self.records.borrow().len() as u64;
         for data in records {
             self.push(data);
         }
         match step {
-            Move::LostAfter => Err(fault(step).into()),
+            Move::LostAfter => Err(request_error(step).into()),
             _ => Ok(Appended { first, at: 0 }),
         }
     }
@@ -114,7 +114,7 @@
         };
         match step {
             Move::Down | Move::Pushback | Move::LostAfter | Move::LostBefore => {
-                Err(fault(step).into())
+                Err(request_error(step).into())
             }
             Move::Blank => Ok(Batch {
                 records: Vec::new(),
@@ -164,18 +164,18 @@
     }
 }
 
-fn fault(step: Move) -> Fault {
+fn request_error(step: Move) -> RequestError {
     let status = match step {
         Move::Down => 503,
         Move::Pushback => 429,
         _ => 502,
     };
-    let retry = None;
+    let retry_after = None;
     let peer = "fake".to_owned();
-    Fault::Status {
+    RequestError::Status {
         peer,
         status,
-        retry,
+        retry_after,
     }
 }
 
--- a/crates/infra/tests/infra/http.rs
+++ b/crates/infra/tests/infra/http.rs
@@ -9,7 +9,8 @@
 use crate::common::with_client;
 use bytes::Bytes;
 use pumicecleat_infra::{
-    AppendError, Fault, HttpLog, HttpStore, HttpVms, Log, Peers, ReadError, Store, StoreError, Vms,
+    AppendError, HttpLog, HttpStore, HttpVms, Log, Peers, ReadError, RequestError, Store,
+    StoreError, Vms,
 };
 use pumicecleat_net::{
     Body, BodyError, Client, ClientOptions, Handler, Incoming, Reply, Server, ServerOptions, Timer,
@@ -110,10 +111,10 @@
             assert!(error.to_string().contains(&address), "{error}");
             assert!(error.to_string().contains("step "), "{error}");
             let retry = (canned.status != 200 && !canned.cut).then_some(Duration::from_secs(7));
-            assert_eq!(error.retry(), retry, "{error}");
+            assert_eq!(error.retry_after(), retry, "{error}");
             assert_eq!(error.is_pushback(), canned.status == 429);
             let read = log.read("config", 0, 1, Duration::ZERO).await.unwrap_err();
-            assert_eq!(read.retry(), retry, "{read}");
+            assert_eq!(read.retry_after(), retry, "{read}");
         });
     }
 }
@@ -130,7 +131,7 @@
         assert!(matches!(
             error,
             AppendError::Refused {
-                source: Fault::Name { .. },
+                source: RequestError::InvalidName { .. },
                 ..
             }
         ));
@@ -154,7 +155,7 @@
         standin.inject(|f| f.reject = 1);
         let refused = log.append("config", vec![vec![2]]).await.unwrap_err();
         assert!(matches!(refused, AppendError::Refused { .. }), "{refused}");
-        assert!(refused.retry().is_some());
+        assert!(refused.retry_after().is_some());
         let batch = log.read("config", 2, 10, Duration::ZERO).await.unwrap();
         assert_eq!(batch.records.len(), 1);
         assert_eq!(batch.records[0].data, [1]);
@@ -307,7 +308,13 @@
         standin.inject(|f| f.down = true);
         let busy = store.exists("sowing/v3").await.unwrap_err();
         assert!(
-            matches!(busy, StoreError::Busy { retry: Some(_), .. }),
+            matches!(
+                busy,
+                StoreError::Busy {
+                    retry_after: Some(_),
+                    ..
+                }
+            ),
             "{busy}"
         );
     });
