--- a/crates/infra/src/appender/driver.rs
+++ b/crates/infra/src/appender/driver.rs
@@ -1,4 +1,4 @@
-//! The loop that appends, one batch in flight at a time.
+//! Task that appends the queued records, one batch at a time.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,8 +6,8 @@
 use async_channel::Receiver;
 use pumicecleat_net::Timer;
 
-use super::pace::Pace;
-use super::queue::{Entry, Queue, Taken};
+use super::pacer::Pacer;
+use super::queue::{Entry, EntryBatch, Queue};
 use super::{AppendOptions, AppendedRecord, SubmitError};
 use crate::{AppendError, Appended, Log};
 
@@ -16,14 +16,14 @@
     pub(super) timer: Timer,
     pub(super) stream: String,
     pub(super) queue: Rc<RefCell<Queue>>,
-    pub(super) pace: Pace,
+    pub(super) pacer: Pacer,
     pub(super) options: AppendOptions,
 }
 
 impl Driver {
-    /// Appends until all appenders are gone and nothing waits.
-    pub(super) async fn run(mut self, woken: Receiver<()>) {
-        while woken.recv().await.is_ok() {
+    /// Appends until all appenders are dropped and the queue is empty.
+    pub(super) async fn run(mut self, wake_ups: Receiver<()>) {
+        while wake_ups.recv().await.is_ok() {
             self.drain().await;
         }
         self.drain().await;
@@ -31,50 +31,50 @@
 
     async fn drain(&mut self) {
         while self.queue.borrow().len() > 0 {
-            self.timer.sleep_until(self.pace.due).await;
-            let taken = self.queue.borrow_mut().take(&self.options);
-            if !taken.is_empty() {
-                self.append(taken).await;
+            self.timer.sleep_until(self.pacer.next_start).await;
+            let batch = self.queue.borrow_mut().take_batch(&self.options);
+            if !batch.is_empty() {
+                self.append(batch).await;
             }
         }
     }
 
-    async fn append(&mut self, taken: Taken) {
-        self.pace.start(self.timer.now());
-        let records = taken.values().map(|e| e.record.clone()).collect();
+    async fn append(&mut self, batch: EntryBatch) {
+        self.pacer.record_start(self.timer.now());
+        let records = batch.values().map(|e| e.record.clone()).collect();
         match self.log.append(&self.stream, records).await {
             Ok(appended) => {
-                self.pace.speed_up();
-                tell_stood(taken, appended);
+                self.pacer.speed_up();
+                reply_appended(batch, appended);
             }
-            Err(error) => self.fail(taken, error),
+            Err(error) => self.handle_error(batch, error),
         }
     }
 
-    fn fail(&mut self, taken: Taken, error: AppendError) {
+    fn handle_error(&mut self, batch: EntryBatch, error: AppendError) {
         let pushback = error.is_pushback();
         if pushback {
-            self.pace.slow_down(self.timer.now(), error.retry_after());
+            self.pacer.slow_down(self.timer.now(), error.retry_after());
         }
         let error = Rc::new(error);
-        for (id, entry) in taken {
+        for (id, entry) in batch {
             if pushback && entry.retries < self.options.max_retries {
-                self.queue.borrow_mut().put_back(id, entry);
+                self.queue.borrow_mut().requeue(id, entry);
             } else {
-                tell(&entry, Err(SubmitError::new(&error)));
+                reply(&entry, Err(SubmitError::new(&error)));
             }
         }
     }
 }
 
-fn tell_stood(taken: Taken, appended: Appended) {
+fn reply_appended(batch: EntryBatch, appended: Appended) {
     let Appended { first, at } = appended;
-    for (offset, entry) in (first..).zip(taken.into_values()) {
-        tell(&entry, Ok(AppendedRecord { offset, at }));
+    for (offset, entry) in (first..).zip(batch.into_values()) {
+        reply(&entry, Ok(AppendedRecord { offset, at }));
     }
 }
 
-fn tell(entry: &Entry, outcome: Result<AppendedRecord, SubmitError>) {
-    // A submitter that left does not want to know.
+fn reply(entry: &Entry, outcome: Result<AppendedRecord, SubmitError>) {
+    // Fails if the submitter has cancelled, which needs no handling.
     let _ = entry.reply.try_send(outcome);
 }
--- a/crates/infra/src/appender/mod.rs
+++ b/crates/infra/src/appender/mod.rs
@@ -1,11 +1,13 @@
-//! Group commit: many tasks' records ride in one append, one append in flight at a time.
+//! Group commit: batches the records of many tasks into one append, with one append in flight at a
+//! time.
 //!
-//! A record is withdrawn by dropping its future, as long as its batch has not left. A batch that
-//! the log refused for its rate alone goes back to the queue, where it can be withdrawn again.
+//! Dropping the future of a record withdraws the record if its batch has not been sent. A batch that
+//! the log rejects because of its rate limit returns to the queue, where its records can be
+//! withdrawn again.
 
 mod driver;
 mod outcome;
-mod pace;
+mod pacer;
 mod queue;
 
 use std::cell::{Cell, RefCell};
@@ -18,25 +20,25 @@
 use crate::Log;
 use driver::Driver;
 pub use outcome::{AppendedRecord, SubmitError};
-use pace::Pace;
+use pacer::Pacer;
 use queue::{Outcome, Queue};
 
-/// How records are appended.
+/// Options of an [`Appender`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendOptions {
-    /// Records waiting at most.
+    /// Maximum number of queued records.
     pub queue: usize,
-    /// Records of one append.
+    /// Maximum number of records in one append.
     pub records: usize,
-    /// Bytes of one append, unless one record alone is longer.
+    /// Maximum number of bytes in one append; a single longer record is sent by itself.
     pub bytes: usize,
-    /// Shortest time from one append's start to the next.
+    /// Minimum time between the starts of two appends.
     pub interval: Duration,
-    /// Longest such time that the log's pushback leads to.
+    /// Upper bound of that time when pushback from the log increases it.
     pub max_interval: Duration,
-    /// Times that a record goes back to the queue after pushback.
+    /// Number of times that a record returns to the queue after pushback.
     pub max_retries: u32,
-    /// Seed of the jitter; processes should differ in it.
+    /// Seed of the jitter; should differ between processes.
     pub seed: u64,
 }
 
@@ -54,73 +56,78 @@
     }
 }
 
-/// Appends records of one stream. Clones share the queue; once the last is gone, what is queued
-/// is still appended.
+/// Appends records to one stream. Clones share the queue; queued records are still appended after
+/// the last clone is dropped.
 #[derive(Clone)]
 pub struct Appender {
     queue: Rc<RefCell<Queue>>,
     wake: Sender<()>,
-    least: Rc<Cell<Duration>>,
+    min_interval: Rc<Cell<Duration>>,
 }
 
 impl Appender {
-    /// Starts appending to `stream` on this thread's loop.
+    /// Spawns the task that appends to `stream` on the runtime of this thread.
     #[must_use]
     pub fn start(log: Rc<dyn Log>, timer: &Timer, stream: &str, options: AppendOptions) -> Self {
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake, wake_ups) = async_channel::bounded(1);
         let queue = Rc::new(RefCell::new(Queue::new(options.queue)));
-        let least = Rc::new(Cell::new(options.interval));
+        let min_interval = Rc::new(Cell::new(options.interval));
         let driver = Driver {
             log,
             timer: timer.clone(),
             stream: stream.to_owned(),
             queue: Rc::clone(&queue),
-            pace: Pace::new(options, Rc::clone(&least)),
+            pacer: Pacer::new(options, Rc::clone(&min_interval)),
             options,
         };
-        monoio::spawn(driver.run(woken));
-        Self { queue, wake, least }
+        monoio::spawn(driver.run(wake_ups));
+        Self {
+            queue,
+            wake,
+            min_interval,
+        }
     }
 
-    /// Sets the shortest time from one append's start to the next, in place of the option.
+    /// Sets the minimum time between the starts of two appends, overriding the option.
     pub fn set_interval(&self, interval: Duration) {
-        self.least.set(interval);
+        self.min_interval.set(interval);
     }
 
-    /// Appends `record` and tells where it stands.
+    /// Appends `record` and returns its offset.
     ///
     /// # Errors
-    /// [`SubmitError`]: `Lost` if it may stand, else it does not.
+    /// [`SubmitError`]: with `Lost` and `Closed` the record may have been appended, with the others it
+    /// was not.
     pub async fn append(&self, record: Vec<u8>) -> Result<AppendedRecord, SubmitError> {
-        let ticket = self.submit(record)?;
-        // A full channel holds a wake-up already.
+        let pending = self.submit(record)?;
+        // If the channel is full, a wake-up is already pending.
         let _ = self.wake.try_send(());
-        let outcome = ticket.outcome.recv().await;
+        let outcome = pending.outcome.recv().await;
         outcome.unwrap_or(Err(SubmitError::Closed))
     }
 
-    /// Records that wait.
+    /// Number of queued records.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.borrow().len()
     }
 
-    fn submit(&self, record: Vec<u8>) -> Result<Ticket, SubmitError> {
+    fn submit(&self, record: Vec<u8>) -> Result<PendingRecord, SubmitError> {
         let (reply, outcome) = async_channel::bounded(1);
         let id = self.queue.borrow_mut().push(record, reply)?;
         let queue = Rc::clone(&self.queue);
-        Ok(Ticket { queue, id, outcome })
+        Ok(PendingRecord { queue, id, outcome })
     }
 }
 
-/// Place of a record in the queue; dropping it withdraws the record if it is still there.
-struct Ticket {
+/// Submitted record; dropping it withdraws the record if it is still queued.
+struct PendingRecord {
     queue: Rc<RefCell<Queue>>,
     id: u64,
     outcome: Receiver<Outcome>,
 }
 
-impl Drop for Ticket {
+impl Drop for PendingRecord {
     fn drop(&mut self) {
         self.queue.borrow_mut().withdraw(self.id);
     }
--- a/crates/infra/src/appender/outcome.rs
+++ b/crates/infra/src/appender/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a record.
+//! Outcome of a submitted record.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,39 +7,39 @@
 
 use crate::AppendError;
 
-/// Where a record stands.
+/// Position of an appended record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendedRecord {
-    /// Offset.
+    /// Offset in the stream.
     pub offset: u64,
     /// Time of the append by the log's clock, milliseconds since 1970.
     pub at: u64,
 }
 
-/// A record without a word that it stands.
+/// Error of a record whose append was not confirmed.
 #[derive(Clone, Debug, Snafu)]
 pub enum SubmitError {
-    /// Does not stand, and won't.
+    /// Was not appended, and will not be.
     #[snafu(display("{source}"))]
     Refused {
-        /// Cause, with step and peer; shared by the records of the batch.
+        /// Cause, including the step and the peer; shared by all records of the batch.
         #[snafu(source(from(AppendError, Rc::new)))]
         source: Rc<AppendError>,
     },
-    /// May stand, or may yet.
+    /// May have been appended, or may still be.
     #[snafu(display("{source}"))]
     Lost {
-        /// Cause, with step and peer; shared by the records of the batch.
+        /// Cause, including the step and the peer; shared by all records of the batch.
         #[snafu(source(from(AppendError, Rc::new)))]
         source: Rc<AppendError>,
     },
-    /// Does not stand: too many wait.
+    /// Was not appended: the queue is full.
     #[snafu(display("step queue append, peer log: {limit} records wait already"))]
     Full {
-        /// Limit, records.
+        /// Maximum number of queued records.
         limit: usize,
     },
-    /// May stand: the loop ended first.
+    /// May have been appended: the appending task ended before the outcome was known.
     #[snafu(display("step await append, peer log: the loop ended"))]
     Closed,
 }
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Whether the record is known not to stand.
+    /// Whether the record is known not to have been appended.
     #[must_use]
     pub fn is_refusal(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::Full { .. })
     }
 
-    /// When to come back, by the log's word.
+    /// Retry delay that the log requested.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
--- a/crates/infra/src/appender/queue.rs
+++ b/crates/infra/src/appender/queue.rs
@@ -1,4 +1,4 @@
-//! Records that wait, in the order in which they came.
+//! Queue of submitted records, in order of submission.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 
 use super::{AppendOptions, AppendedRecord, SubmitError};
 
-/// What became of a record.
+/// Outcome of a submitted record.
 pub(super) type Outcome = Result<AppendedRecord, SubmitError>;
 
-/// A record that waits or is in flight.
+/// Record that is queued or in flight.
 pub(super) struct Entry {
     pub(super) record: Vec<u8>,
     pub(super) reply: Sender<Outcome>,
-    /// Times that it came back after pushback.
+    /// Number of times that it returned to the queue after pushback.
     pub(super) retries: u32,
 }
 
-/// Entries of one append, by place.
-pub(super) type Taken = BTreeMap<u64, Entry>;
+/// Entries of one append, by id.
+pub(super) type EntryBatch = BTreeMap<u64, Entry>;
 
 pub(super) struct Queue {
-    next: u64,
+    next_id: u64,
     limit: usize,
     entries: BTreeMap<u64, Entry>,
 }
@@ -29,7 +29,7 @@
 impl Queue {
     pub(super) fn new(limit: usize) -> Self {
         Self {
-            next: 0,
+            next_id: 0,
             limit,
             entries: BTreeMap::new(),
         }
@@ -39,7 +39,7 @@
         self.entries.len()
     }
 
-    /// Place of the record, unless too many wait.
+    /// Queues the record and returns its id, unless the queue is full.
     pub(super) fn push(
         &mut self,
         record: Vec<u8>,
@@ -49,8 +49,8 @@
         if self.entries.len() >= limit {
             return Err(SubmitError::Full { limit });
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let entry = Entry {
             record,
             reply,
@@ -64,24 +64,24 @@
         self.entries.remove(&id);
     }
 
-    /// Takes the first records that fit one append.
-    pub(super) fn take(&mut self, options: &AppendOptions) -> Taken {
-        let mut taken = Taken::new();
+    /// Removes the first records that fit into one append.
+    pub(super) fn take_batch(&mut self, options: &AppendOptions) -> EntryBatch {
+        let mut batch = EntryBatch::new();
         let mut bytes = 0;
         while let Some(first) = self.entries.first_entry() {
             bytes += first.get().record.len();
-            let full = taken.len() >= options.records || bytes > options.bytes;
-            if full && !taken.is_empty() {
+            let full = batch.len() >= options.records || bytes > options.bytes;
+            if full && !batch.is_empty() {
                 break;
             }
             let (id, entry) = first.remove_entry();
-            taken.insert(id, entry);
+            batch.insert(id, entry);
         }
-        taken
+        batch
     }
 
-    /// Puts a record back in its place, unless its submitter left.
-    pub(super) fn put_back(&mut self, id: u64, mut entry: Entry) {
+    /// Returns a record to its former position, unless its submitter has cancelled.
+    pub(super) fn requeue(&mut self, id: u64, mut entry: Entry) {
         if entry.reply.is_closed() {
             return;
         }
--- a/crates/infra/src/backoff.rs
+++ b/crates/infra/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between attempts: doubling, bounded, jittered.
+//! Exponential backoff with an upper bound and jitter.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Bounds of the pauses.
+/// Options of the backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffOptions {
-    /// Pause after a first failure.
+    /// Delay after the first failure.
     pub first: Duration,
-    /// Longest pause, but for one that the peer asks for.
+    /// Longest delay, unless the peer requests a longer one.
     pub max: Duration,
-    /// Seed of the jitter; processes should differ in it.
+    /// Seed of the jitter; should differ between processes.
     pub seed: u64,
 }
 
@@ -27,11 +27,11 @@
     }
 }
 
-/// Pauses of one loop.
+/// Backoff state of one retry loop.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     options: BackoffOptions,
-    pause: Duration,
+    delay: Duration,
     rng: ChaCha8Rng,
 }
 
@@ -39,28 +39,27 @@
     pub(crate) fn new(options: BackoffOptions) -> Self {
         Self {
             options,
-            pause: options.first,
+            delay: options.first,
             rng: ChaCha8Rng::seed_from_u64(options.seed),
         }
     }
 
-    /// Starts again from the shortest pause.
+    /// Returns to the shortest delay.
     pub(crate) fn reset(&mut self) {
-        self.pause = self.options.first;
+        self.delay = self.options.first;
     }
 
-    /// Pause before the next attempt: half to all of the present one, and no less than what the
-    /// peer asked for.
-    pub(crate) fn next_pause(&mut self, asked: Option<Duration>) -> Duration {
-        let pause = self.pause.mul_f64(self.rng.random_range(0.5..=1.0));
-        self.pause = (self.pause * 2).min(self.options.max);
-        asked.map_or(pause, |asked| asked + pause)
+    /// Delay before the next attempt: 50 to 100 % of the current delay, added to the delay that the
+    /// peer requested.
+    pub(crate) fn next_delay(&mut self, requested: Option<Duration>) -> Duration {
+        let delay = self.delay.mul_f64(self.rng.random_range(0.5..=1.0));
+        self.delay = (self.delay * 2).min(self.options.max);
+        requested.map_or(delay, |requested| requested + delay)
     }
 }
 
-/// Span in whole milliseconds.
-/// Span in whole milliseconds.
+/// Duration in whole milliseconds, rounded down.
 #[must_use]
-pub fn as_millis(span: Duration) -> Millis {
-    Millis(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
+pub fn as_millis(duration: Duration) -> Millis {
+    Millis(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/infra/src/follower/check.rs
+++ b/crates/infra/src/follower/check.rs
@@ -1,13 +1,14 @@
-//! Check of a batch against the offset wanted.
+//! Checks the offsets of a batch.
 
 use crate::Batch;
 use crate::follower::FollowError;
 use crate::follower::event::{GapSnafu, ShrunkSnafu};
 
-/// Accepts records that rise one by one from `expected`.
+/// Checks that the records have consecutive offsets from `expected` and that the log does not end
+/// before them.
 pub(super) fn check_batch(stream: &str, expected: u64, batch: &Batch) -> Result<(), FollowError> {
-    let due = expected..;
-    for (expected, record) in due.zip(&batch.records) {
+    let offsets = expected..;
+    for (expected, record) in offsets.zip(&batch.records) {
         let found = record.offset;
         if found != expected {
             return GapSnafu {
--- a/crates/infra/src/follower/era.rs
+++ b/crates/infra/src/follower/era.rs
@@ -1,25 +1,25 @@
-//! The era of a stream's offsets, as far as answers tell it.
+//! Tracks the era of a stream's offsets, which rises when the log is restored from an older copy.
 
 /// Era of a stream's offsets.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Era {
-    /// Latest era told.
+    /// Latest era received.
     pub(super) known: Option<u64>,
-    /// An answer told an earlier one, or none after one was told.
-    pub(super) odd: bool,
+    /// Whether a response had an earlier era, or none after one was received.
+    pub(super) invalid: bool,
 }
 
 impl Era {
-    /// Takes in what an answer told; gives the era known before if it is a later one.
-    pub(super) fn note(&mut self, told: Option<u64>) -> Option<u64> {
+    /// Records the era of a response; returns the previous era if the new one is later.
+    pub(super) fn update(&mut self, received: Option<u64>) -> Option<u64> {
         let Some(known) = self.known else {
-            self.known = told;
+            self.known = received;
             return None;
         };
-        if told > Some(known) {
+        if received > Some(known) {
             return Some(known);
         }
-        self.odd |= told != Some(known);
+        self.invalid |= received != Some(known);
         None
     }
 }
--- a/crates/infra/src/follower/event.rs
+++ b/crates/infra/src/follower/event.rs
@@ -1,67 +1,67 @@
-//! What a follower gives.
+//! Events and errors of a follower.
 
 use pumicecleat_types::LogRecord;
 use snafu::Snafu;
 
-/// What happened to the stream.
+/// Event of a followed stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowEvent {
-    /// Next records, in a row.
+    /// Next records, with consecutive offsets.
     Records(Vec<LogRecord>),
-    /// Records from the offset wanted up to `first` are no longer kept; the follower waits for a
-    /// `seek`.
+    /// Records from the next offset up to `first` have been trimmed; the follower needs a `seek` to
+    /// continue.
     Trimmed {
-        /// Oldest offset kept.
+        /// Oldest retained offset.
         first: u64,
         /// Next free offset.
         next: u64,
     },
-    /// No record is left; told once after records and once after an outage.
+    /// No record is left; reported once after records and once after an outage.
     CaughtUp {
         /// Next free offset.
         next: u64,
     },
     /// A read timed out without an answer; it is retried on another connection.
     Unanswered,
-    /// Log does not answer; told once, and tried on until it does.
+    /// Reads fail; reported once, and retried until a read succeeds.
     Outage {
-        /// First failure, for people.
+        /// Human-readable description of the first failure.
         detail: String,
     },
 }
 
-/// A log that contradicts itself.
+/// Inconsistent responses of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum FollowError {
-    /// Offsets do not rise one by one.
+    /// Offsets are not consecutive.
     #[snafu(display("step follow {stream}, peer log: offset {found} where {expected} is due"))]
     Gap {
         /// Stream.
         stream: String,
-        /// Offset due.
+        /// Expected offset.
         expected: u64,
-        /// Offset found.
+        /// Offset received.
         found: u64,
     },
-    /// Log has come back from an older copy: offsets are given out again.
+    /// The log was restored from an older copy, so that offsets are assigned again.
     #[snafu(display("step follow {stream}, peer log: era {found} after {known}"))]
     Era {
         /// Stream.
         stream: String,
-        /// Era known.
+        /// Previous era.
         known: u64,
-        /// Era found.
+        /// Era received.
         found: u64,
     },
-    /// Log ends before an offset that was read.
+    /// The log ends before an offset that was read.
     #[snafu(display("step follow {stream}, peer log: ends at {next}, read up to {expected}"))]
     Shrunk {
         /// Stream.
         stream: String,
-        /// Offset due.
+        /// Expected offset.
         expected: u64,
-        /// Next free offset, by the log's word.
+        /// Next free offset as reported by the log.
         next: u64,
     },
 }
--- a/crates/infra/src/follower/keyed.rs
+++ b/crates/infra/src/follower/keyed.rs
@@ -1,5 +1,5 @@
-//! Follows a stream with keys: the whole state first, then each change, and the state again after
-//! a gap.
+//! Follows a keyed stream: reports the whole state first, then each change, and the state again
+//! after a gap.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,32 +12,32 @@
 use crate::backoff::Backoff;
 use crate::{KeyedLog, KeyedRecord, Log, ReadError};
 
-/// What happened to a stream with keys.
+/// Event of a followed keyed stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyedEvent {
-    /// Every key that there is; what is not listed is gone.
+    /// Newest records of all keys; keys that are not listed no longer exist.
     State(Vec<KeyedRecord>),
-    /// Records that are newer than what was told, in order.
+    /// Records newer than those already reported, in order.
     Changes(Vec<KeyedRecord>),
-    /// Log answers, and no record is left.
+    /// The log responds, and no record is left.
     CaughtUp,
-    /// Log has come back from an older copy; the whole state of that comes next.
+    /// The log was restored from an older copy; its whole state follows.
     Era {
-        /// Place reached before.
+        /// Position reached before.
         before: Position,
-        /// Era that it is in now.
+        /// New era.
         now: u64,
     },
     /// A read timed out without an answer; it is retried on another connection.
     Unanswered,
-    /// Log does not answer; told once, and tried on until it does.
+    /// Reads fail; reported at the start of an outage, and retried until one succeeds.
     Outage {
-        /// First failure, for people.
+        /// Human-readable description of the failure.
         detail: String,
     },
 }
 
-/// Follower of one stream with keys.
+/// Follower of one keyed stream.
 pub struct KeyedFollower {
     log: Rc<dyn KeyedLog>,
     timer: Timer,
@@ -45,13 +45,13 @@
     options: FollowOptions,
     backoff: Backoff,
     follower: Option<Follower>,
-    /// Offset of the newest record told, by key; guards against a page or a repeat that is older.
-    told: BTreeMap<String, u64>,
-    outage: bool,
-    /// Latest era told.
+    /// Offset of the newest reported record by key; filters out older records in pages and repeats.
+    reported_offsets: BTreeMap<String, u64>,
+    outage_reported: bool,
+    /// Latest era received.
     era: Option<u64>,
-    /// Whether an era that makes no sense was told of.
-    odd_told: bool,
+    /// Whether an invalid era has been reported to the caller.
+    invalid_era_reported: bool,
 }
 
 impl KeyedFollower {
@@ -70,14 +70,14 @@
             options,
             backoff: Backoff::new(options.backoff),
             follower: None,
-            told: BTreeMap::new(),
-            outage: false,
+            reported_offsets: BTreeMap::new(),
+            outage_reported: false,
             era: None,
-            odd_told: false,
+            invalid_era_reported: false,
         }
     }
 
-    /// Place of the next record to be told; `None` before the first state.
+    /// Position of the next record to report; `None` before the first state.
     #[must_use]
     pub fn position(&self) -> Option<Position> {
         self.follower.as_ref().map(|f| Position {
@@ -86,20 +86,20 @@
         })
     }
 
-    /// Whether the log told an era that makes no sense: an earlier one, or none after it told one. True
-    /// once.
+    /// Whether the log sent an invalid era: an earlier one, or none after it had sent one. Returns true
+    /// only once.
     pub fn has_invalid_era(&mut self) -> bool {
-        let odd = self.follower.as_ref().is_some_and(|f| f.era.odd);
-        odd && !std::mem::replace(&mut self.odd_told, true)
+        let invalid = self.follower.as_ref().is_some_and(|f| f.era.invalid);
+        invalid && !std::mem::replace(&mut self.invalid_era_reported, true)
     }
 
-    /// Whether all records are told that there were at the last answer.
+    /// Whether all records that existed at the last response have been reported.
     #[must_use]
     pub fn is_at_end(&self) -> bool {
         self.follower.as_ref().is_some_and(Follower::is_at_end)
     }
 
-    /// Start of the last read that was answered; `None` before the first state.
+    /// Start time of the last read that got a response; `None` before the first state.
     #[must_use]
     pub fn last_read_start(&self) -> Option<Millis> {
         self.follower.as_ref().map(Follower::last_read_start)
@@ -113,21 +113,21 @@
         }
     }
 
-    /// Reads at once when asked next; see [`Follower::read_now`].
+    /// Makes the next read start immediately; see [`Follower::read_now`].
     pub fn read_now(&mut self) {
         if let Some(follower) = &mut self.follower {
             follower.read_now();
         }
     }
 
-    /// Next event. May be dropped at any time and asked for again; nothing is lost by it.
+    /// Returns the next event. Cancel safe: dropping the future loses no event.
     pub async fn next(&mut self) -> KeyedEvent {
         loop {
             let event = match &mut self.follower {
-                None => self.state().await,
+                None => self.load_state().await,
                 Some(follower) => {
                     let event = follower.next().await;
-                    self.take(event).await
+                    self.handle_event(event).await
                 }
             };
             if let Some(event) = event {
@@ -136,14 +136,14 @@
         }
     }
 
-    async fn state(&mut self) -> Option<KeyedEvent> {
+    async fn load_state(&mut self) -> Option<KeyedEvent> {
         let start = self.timer.now();
         let newest = match self.log.newest(&self.stream).await {
             Ok(newest) => newest,
-            Err(e) => return self.fail(&e).await,
+            Err(e) => return self.handle_error(&e).await,
         };
         self.backoff.reset();
-        self.outage = false;
+        self.outage_reported = false;
         let log: Rc<dyn Log> = self.log.clone();
         let mut follower =
             Follower::new_ext(log, &self.timer, &self.stream, newest.next, self.options);
@@ -153,24 +153,28 @@
         follower.last_read_start = start;
         self.follower = Some(follower);
         let offset = |r: &KeyedRecord| (r.key.clone(), r.offset);
-        self.told = newest.records.iter().map(offset).collect();
+        self.reported_offsets = newest.records.iter().map(offset).collect();
         Some(KeyedEvent::State(newest.records))
     }
 
-    async fn take(&mut self, event: Result<FollowEvent, FollowError>) -> Option<KeyedEvent> {
+    async fn handle_event(
+        &mut self,
+        event: Result<FollowEvent, FollowError>,
+    ) -> Option<KeyedEvent> {
         match event {
             Ok(FollowEvent::Records(records)) => {
                 if let Some(follower) = &mut self.follower {
                     follower.skip_caught_up();
                 }
                 let keyed = records.iter().filter_map(|r| self.log.keyed(r)).collect();
-                let fresh = self.fresh(keyed);
-                (!fresh.is_empty()).then_some(KeyedEvent::Changes(fresh))
+                let newer = self.keep_newer(keyed);
+                (!newer.is_empty()).then_some(KeyedEvent::Changes(newer))
             }
             Ok(FollowEvent::CaughtUp { .. }) => Some(KeyedEvent::CaughtUp),
             Ok(FollowEvent::Unanswered) => Some(KeyedEvent::Unanswered),
             Ok(FollowEvent::Outage { detail }) => Some(KeyedEvent::Outage { detail }),
-            // Records are missing, or the log contradicts itself: the newest ones tell the rest.
+            // Records are missing, so reload the state from the newest records. Errors other than a new era
+            // do the same below.
             Ok(FollowEvent::Trimmed { .. }) => {
                 self.follower = None;
                 None
@@ -183,35 +187,36 @@
             }
             Err(e) => {
                 self.follower = None;
-                let pause = self.backoff.next_pause(None);
-                self.timer.sleep(pause).await;
+                let delay = self.backoff.next_delay(None);
+                self.timer.sleep(delay).await;
                 let detail = e.to_string();
                 Some(KeyedEvent::Outage { detail })
             }
         }
     }
 
-    fn fresh(&mut self, records: Vec<KeyedRecord>) -> Vec<KeyedRecord> {
-        let mut fresh = Vec::new();
+    fn keep_newer(&mut self, records: Vec<KeyedRecord>) -> Vec<KeyedRecord> {
+        let mut newer = Vec::new();
         for record in records {
-            let known = self.told.get(&record.key);
+            let known = self.reported_offsets.get(&record.key);
             if known.is_some_and(|known| *known >= record.offset) {
                 continue;
             }
-            self.told.insert(record.key.clone(), record.offset);
-            fresh.push(record);
+            self.reported_offsets
+                .insert(record.key.clone(), record.offset);
+            newer.push(record);
         }
-        fresh
+        newer
     }
 
-    async fn fail(&mut self, error: &ReadError) -> Option<KeyedEvent> {
-        let known = std::mem::replace(&mut self.outage, true);
+    async fn handle_error(&mut self, error: &ReadError) -> Option<KeyedEvent> {
+        let known = std::mem::replace(&mut self.outage_reported, true);
         if !known {
             let detail = error.to_string();
             return Some(KeyedEvent::Outage { detail });
         }
-        let pause = self.backoff.next_pause(error.retry_after());
-        self.timer.sleep(pause).await;
+        let delay = self.backoff.next_delay(error.retry_after());
+        self.timer.sleep(delay).await;
         None
     }
 }
--- a/crates/infra/src/follower/mod.rs
+++ b/crates/infra/src/follower/mod.rs
@@ -1,4 +1,4 @@
-//! Follows one stream of the log from an offset, without skipping or repeating one.
+//! Follows one stream of the log from an offset, without skipping or repeating records.
 
 mod check;
 mod era;
@@ -19,20 +19,20 @@
 pub use event::{FollowError, FollowEvent};
 pub use keyed::{KeyedEvent, KeyedFollower};
 
-/// How a stream is followed.
+/// Options of a [`Follower`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowOptions {
-    /// Records of one read.
+    /// Maximum number of records in one read.
     pub batch: u32,
-    /// Time that the log may wait for a record.
+    /// Maximum time that the log waits for a record before it responds.
     pub wait: Duration,
     /// Time beyond `wait` after which an unanswered read is retried on another connection; `None` for
     /// the timeout of the log's client.
     pub answer_timeout: Option<Duration>,
-    /// Least time between the starts of two reads that give records: a stream that never rests is
-    /// read in batches.
+    /// Minimum time between the starts of two reads that return records, so that a busy stream is read
+    /// in batches.
     pub pace: Duration,
-    /// Pauses after failures.
+    /// Backoff after failures.
     pub backoff: BackoffOptions,
 }
 
@@ -65,16 +65,16 @@
     stream: String,
     options: FollowOptions,
     backoff: Backoff,
-    /// Offset wanted next.
+    /// Next offset to read.
     next: u64,
-    /// No read before this.
-    resume: Option<Millis>,
-    /// Caller knows that it has all records.
-    caught: bool,
-    /// The last answer reached the end, by the log's own word.
-    end: bool,
+    /// Earliest time of the next read.
+    next_read_at: Option<Millis>,
+    /// Whether the caller knows that it has all records.
+    caught_up: bool,
+    /// Whether the last response reached the end of the stream, as reported by the log.
+    at_end: bool,
     last_read: LastRead,
-    /// Start of the last read that was answered.
+    /// Start time of the last read that got a response.
     last_read_start: Millis,
     era: Era,
 }
@@ -96,28 +96,29 @@
             options,
             backoff: Backoff::new(options.backoff),
             next: from,
-            resume: None,
-            caught: false,
-            end: true,
+            next_read_at: None,
+            caught_up: false,
+            at_end: true,
             last_read: LastRead::Answered,
             last_read_start: timer.now(),
             era: Era::default(),
         }
     }
 
-    /// Offset of the next record to be given.
+    /// Offset of the next record to return.
     #[must_use]
     pub fn offset(&self) -> u64 {
         self.next
     }
 
-    /// Whether the last answer reached the end.
+    /// Whether the last response reached the end of the stream.
     #[must_use]
     pub fn is_at_end(&self) -> bool {
-        self.end
+        self.at_end
     }
 
-    /// Start of the last read that was answered: all that there was then is known at its end.
+    /// Start time of the last read that got a response. If that response reached the end, all records
+    /// that existed at this time are known.
     #[must_use]
     pub fn last_read_start(&self) -> Millis {
         self.last_read_start
@@ -128,42 +129,44 @@
         self.options.wait = wait;
     }
 
-    /// The caller needs no word that it has all records once it has the last one: the next read may
-    /// wait at once if that is so, which saves a read for each change.
+    /// Skips the `CaughtUp` event if the last response reached the end: the next read may then wait for
+    /// a record immediately, which saves a read for each change.
     pub fn skip_caught_up(&mut self) {
-        self.caught |= self.end;
+        self.caught_up |= self.at_end;
     }
 
-    /// Reads at once and without a wait when asked next: there is more than this follower knows.
-    /// Drop a call of [`next`](Self::next) that is under way. After a failure the pause stays.
+    /// Makes the next read start immediately and not wait for a record; for callers that know of newer
+    /// records. Cancel a pending call of [`next`](Self::next) first. The delay after a failure still
+    /// applies.
     pub fn read_now(&mut self) {
         if self.last_read != LastRead::Failed {
-            self.resume = None;
+            self.next_read_at = None;
         }
-        self.caught = false;
-        self.end = false;
+        self.caught_up = false;
+        self.at_end = false;
     }
 
-    /// Goes on from `offset`, after trimming or from a snapshot.
+    /// Continues from `offset`, after trimming or from a snapshot.
     pub fn seek(&mut self, offset: u64) {
         self.next = offset;
-        self.resume = None;
-        self.caught = false;
-        self.end = false;
+        self.next_read_at = None;
+        self.caught_up = false;
+        self.at_end = false;
     }
 
-    /// Next event. May be dropped at any time and asked for again; nothing is lost by it.
+    /// Returns the next event. Cancel safe: dropping the future loses no event.
     ///
     /// # Errors
-    /// [`FollowError`] if the log contradicts itself. The next call reads again, after a pause.
+    /// [`FollowError`] if responses of the log are inconsistent. The next call reads again, after a
+    /// delay unless the error is a new era.
     pub async fn next(&mut self) -> Result<FollowEvent, FollowError> {
         loop {
-            if let Some(resume) = self.resume {
-                self.timer.sleep_until(resume).await;
-                self.resume = None;
+            if let Some(next_read_at) = self.next_read_at {
+                self.timer.sleep_until(next_read_at).await;
+                self.next_read_at = None;
             }
             let start = self.timer.now();
-            let (batch, wait) = (self.options.batch, self.wait());
+            let (batch, wait) = (self.options.batch, self.read_wait());
             let read = self.log.read(&self.stream, self.next, batch, wait);
             let read = match self.read_timeout(wait) {
                 Some(timeout) => self.timer.within(timeout, read).await,
@@ -171,13 +174,13 @@
             };
             let Ok(read) = read else {
                 self.last_read = LastRead::Unanswered;
-                self.caught = false;
+                self.caught_up = false;
                 return Ok(FollowEvent::Unanswered);
             };
             let event = match read {
-                Ok(batch) => self.take(batch, start)?,
-                Err(ReadError::Trimmed { first, next, .. }) => Some(self.trimmed(first, next)),
-                Err(e) => self.fail(&e),
+                Ok(batch) => self.handle_batch(batch, start)?,
+                Err(ReadError::Trimmed { first, next, .. }) => Some(self.handle_trim(first, next)),
+                Err(e) => self.handle_error(&e),
             };
             if let Some(event) = event {
                 return Ok(event);
@@ -185,10 +188,10 @@
         }
     }
 
-    /// Time that the log may wait for a record: none before the end is known, so that a caller with
-    /// less patience than that hears of it even if no record comes.
-    fn wait(&self) -> Duration {
-        if self.caught {
+    /// Time that the log may wait for a record: zero until the end is known, so that a caller with a
+    /// shorter timeout gets the `CaughtUp` event even if no record arrives.
+    fn read_wait(&self) -> Duration {
+        if self.caught_up {
             self.options.wait
         } else {
             Duration::ZERO
@@ -202,40 +205,44 @@
         (self.last_read == LastRead::Answered).then_some(wait + answer_timeout)
     }
 
-    fn take(&mut self, batch: Batch, start: Millis) -> Result<Option<FollowEvent>, FollowError> {
+    fn handle_batch(
+        &mut self,
+        batch: Batch,
+        start: Millis,
+    ) -> Result<Option<FollowEvent>, FollowError> {
         self.check_era(batch.era)?;
         let checked = check_batch(&self.stream, self.next, &batch);
         if checked.is_err() {
-            self.pause(None);
+            self.delay_next_read(None);
         }
         checked?;
         self.last_read = LastRead::Answered;
         self.last_read_start = start;
         if !batch.records.is_empty() {
             self.backoff.reset();
-            self.caught = false;
+            self.caught_up = false;
             self.next += batch.records.len() as u64;
-            self.end = batch.next == self.next;
-            self.resume = Some(start + as_millis(self.options.pace));
+            self.at_end = batch.next == self.next;
+            self.next_read_at = Some(start + as_millis(self.options.pace));
             return Ok(Some(FollowEvent::Records(batch.records)));
         }
         if batch.next > self.next {
-            // The log holds records and gave none: it must not be asked in a hurry.
-            self.pause(None);
+            // The log has records but returned none; back off to avoid a busy loop.
+            self.delay_next_read(None);
             return Ok(None);
         }
         self.backoff.reset();
-        self.end = true;
-        // A log that does not wait by itself must not be asked in a hurry either.
-        self.resume = Some(start + as_millis(self.options.backoff.first));
-        let known = std::mem::replace(&mut self.caught, true);
+        self.at_end = true;
+        // Avoids a busy loop if the log does not wait for records.
+        self.next_read_at = Some(start + as_millis(self.options.backoff.first));
+        let known = std::mem::replace(&mut self.caught_up, true);
         let next = self.next;
         Ok((!known).then_some(FollowEvent::CaughtUp { next }))
     }
 
-    /// Notes the era of an answer. One that is missing or falls tells nothing.
-    fn check_era(&mut self, told: Option<u64>) -> Result<(), FollowError> {
-        let (Some(known), Some(found)) = (self.era.note(told), told) else {
+    /// Records the era of a response and fails if it rose. A missing or earlier era is no error here.
+    fn check_era(&mut self, received: Option<u64>) -> Result<(), FollowError> {
+        let (Some(known), Some(found)) = (self.era.update(received), received) else {
             return Ok(());
         };
         EraSnafu {
@@ -246,24 +253,24 @@
         .fail()
     }
 
-    fn trimmed(&mut self, first: u64, next: u64) -> FollowEvent {
+    fn handle_trim(&mut self, first: u64, next: u64) -> FollowEvent {
         self.last_read = LastRead::Answered;
-        self.caught = false;
-        // A caller that asks again without a seek gets the same; it must not do so in a hurry.
-        self.pause(None);
+        self.caught_up = false;
+        // A caller that reads again without a seek gets the same event; back off to avoid a busy loop.
+        self.delay_next_read(None);
         FollowEvent::Trimmed { first, next }
     }
 
-    fn fail(&mut self, error: &ReadError) -> Option<FollowEvent> {
-        self.pause(error.retry_after());
-        self.caught = false;
+    fn handle_error(&mut self, error: &ReadError) -> Option<FollowEvent> {
+        self.delay_next_read(error.retry_after());
+        self.caught_up = false;
         let known = std::mem::replace(&mut self.last_read, LastRead::Failed) == LastRead::Failed;
         let detail = error.to_string();
         (!known).then_some(FollowEvent::Outage { detail })
     }
 
-    fn pause(&mut self, asked: Option<Duration>) {
-        let pause = self.backoff.next_pause(asked);
-        self.resume = Some(self.timer.now() + as_millis(pause));
+    fn delay_next_read(&mut self, requested: Option<Duration>) {
+        let delay = self.backoff.next_delay(requested);
+        self.next_read_at = Some(self.timer.now() + as_millis(delay));
     }
 }
--- a/crates/infra/src/http/error.rs
+++ b/crates/infra/src/http/error.rs
@@ -1,31 +1,31 @@
-//! Faults of an exchange with the platform.
+//! Errors of requests to the platform.
 
 use std::time::Duration;
 
 use pumicecleat_net::{NetError, Sent};
 use snafu::Snafu;
 
-/// An exchange that gave no usable answer.
+/// Request without a usable response.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RequestError {
-    /// Network failed, or the answer was not whole.
+    /// Network error, or incomplete response.
     #[snafu(display("{source}"))]
     Net {
-        /// Cause, with step and peer.
+        /// Cause, including the step and the peer.
         source: NetError,
     },
-    /// Answer was read whole, and has a status other than success.
+    /// Complete response with a status other than success.
     #[snafu(display("step read answer, peer {peer}: status {status}"))]
     Status {
         /// Peer.
         peer: String,
         /// HTTP status.
         status: u16,
-        /// When to come back, by the peer's word.
+        /// Retry delay that the peer requested.
         retry_after: Option<Duration>,
     },
-    /// Answer is not the JSON expected.
+    /// The response is not the expected JSON.
     #[snafu(display("step decode answer, peer {peer}: {source}"))]
     Json {
         /// Peer.
@@ -33,7 +33,7 @@
         /// Cause.
         source: serde_json::Error,
     },
-    /// Bytes of the answer don't add up.
+    /// The response body is malformed.
     #[snafu(display("step decode answer, peer {peer}: {detail}"))]
     Malformed {
         /// Peer.
@@ -41,12 +41,12 @@
         /// What is wrong.
         detail: &'static str,
     },
-    /// A name can't stand in a request, so nothing was sent.
+    /// Name that is not allowed in a request; nothing was sent.
     #[snafu(display("step build request, peer {peer}: name {name:?} is not allowed"))]
     InvalidName {
         /// Peers of the service.
         peer: String,
-        /// The name.
+        /// Rejected name.
         name: String,
     },
 }
@@ -54,7 +54,7 @@
 impl RequestError {
     /// Whether the request may have taken effect.
     ///
-    /// Statuses 400 to 499 and 503 say that it did not.
+    /// Statuses 400 to 499 and 503 mean that it did not.
     #[must_use]
     pub fn sent(&self) -> Sent {
         match self {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// When to come back, by the peer's word.
+    /// Retry delay that the peer requested.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether the peer asked for fewer requests.
+    /// Whether the peer rejected the request because of its rate limit.
     #[must_use]
     pub fn is_pushback(&self) -> bool {
         matches!(self, Self::Status { status: 429, .. })
--- a/crates/infra/src/http/mod.rs
+++ b/crates/infra/src/http/mod.rs
@@ -1,11 +1,11 @@
-//! What the HTTP clients share: peers of one service, whole JSON answers, faults.
+//! Shared parts of the HTTP clients: peers of a service, JSON responses and errors.
 
 mod error;
-mod exchange;
 mod name;
 mod peers;
+mod service_client;
 
 pub use error::RequestError;
-pub(crate) use exchange::Exchange;
 pub(crate) use name::{check_name, check_path};
 pub use peers::Peers;
+pub(crate) use service_client::ServiceClient;
--- a/crates/infra/src/http/name.rs
+++ b/crates/infra/src/http/name.rs
@@ -1,4 +1,4 @@
-//! Names that may stand in a path or query as they are.
+//! Names that need no escaping in a path or query.
 
 use crate::RequestError;
 use crate::http::Peers;
@@ -9,7 +9,7 @@
     accept(is_name(name), name, peers)
 }
 
-/// Accepts names joined by `/`, which may also hold `@`, `:`, `=` and `+`.
+/// Accepts names joined by `/`, which may also contain `@`, `:`, `=` and `+`.
 pub(crate) fn check_path(path: &str, peers: &Peers) -> Result<(), RequestError> {
     accept(path.split('/').all(is_segment), path, peers)
 }
--- a/crates/infra/src/http/peers.rs
+++ b/crates/infra/src/http/peers.rs
@@ -1,4 +1,4 @@
-//! Addresses of one service, tried in turn.
+//! Addresses of one service, with failover.
 
 use std::cell::Cell;
 use std::fmt;
@@ -8,20 +8,20 @@
 use bytes::Bytes;
 use pumicecleat_net::{Client, NetError, Response, Sent};
 
-/// Addresses of one service; the one that answered last goes first.
+/// Addresses of one service; the one that responded last is tried first.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    list: Vec<String>,
+    addresses: Vec<String>,
     first: Cell<usize>,
 }
 
 impl Peers {
-    /// Peers of a list `ip:port,ip:port`.
+    /// Parses a list `ip:port,ip:port`.
     #[must_use]
     pub fn parse(text: &str) -> Self {
-        let list = text.split(',').map(|p| p.trim().to_owned()).collect();
+        let addresses = text.split(',').map(|p| p.trim().to_owned()).collect();
         Self {
-            list,
+            addresses,
             first: Cell::new(0),
         }
     }
@@ -30,20 +30,20 @@
     #[must_use]
     pub fn new(addresses: &[SocketAddr]) -> Self {
         Self {
-            list: addresses.iter().map(SocketAddr::to_string).collect(),
+            addresses: addresses.iter().map(SocketAddr::to_string).collect(),
             first: Cell::new(0),
         }
     }
 
-    /// Sends `request` to the first peer that takes it; only a request of which no byte left is
-    /// sent to another peer.
+    /// Sends `request` to the first reachable peer. Another peer is tried only if no byte of the request
+    /// was sent.
     pub(crate) async fn send(
         &self,
         client: &Client,
         request: http::Request<Bytes>,
-        span: Duration,
+        timeout: Duration,
     ) -> Result<Response, NetError> {
-        let count = self.list.len();
+        let count = self.addresses.len();
         if count == 0 {
             let peer = String::from("none given");
             return Err(NetError::Address { peer });
@@ -51,29 +51,32 @@
         let first = self.first.get();
         for at in first..first + count - 1 {
             let index = at % count;
-            match client.send(&self.list[index], request.clone(), span).await {
+            match client
+                .send(&self.addresses[index], request.clone(), timeout)
+                .await
+            {
                 Err(e) if e.sent() == Sent::No => {}
-                result => return self.settle(index, result),
+                result => return self.record_result(index, result),
             }
         }
         let last = (first + count - 1) % count;
-        let result = client.send(&self.list[last], request, span).await;
-        self.settle(last, result)
+        let result = client.send(&self.addresses[last], request, timeout).await;
+        self.record_result(last, result)
     }
 
-    fn settle(
+    fn record_result(
         &self,
         index: usize,
         result: Result<Response, NetError>,
     ) -> Result<Response, NetError> {
         let next = if result.is_ok() { index } else { index + 1 };
-        self.first.set(next % self.list.len());
+        self.first.set(next % self.addresses.len());
         result
     }
 }
 
 impl fmt::Display for Peers {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.list.join(","))
+        f.write_str(&self.addresses.join(","))
     }
 }
--- a/crates/infra/src/http/exchange.rs
+++ b/crates/infra/src/http/service_client.rs
@@ -1,4 +1,4 @@
-//! One request and its whole JSON answer.
+//! Sends a request and reads the complete JSON response.
 
 use std::time::Duration;
 
@@ -14,28 +14,28 @@
 use crate::http::Peers;
 use crate::http::error::{JsonSnafu, NetSnafu, StatusSnafu};
 
-/// Longest answer, bytes.
-const ANSWER_LIMIT: u64 = 64 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Client of one service of the platform.
+/// Client of one platform service.
 #[derive(Clone)]
-pub(crate) struct Exchange {
+pub(crate) struct ServiceClient {
     client: Client,
     pub(crate) peers: Peers,
     timeout: Duration,
 }
 
-/// A whole answer.
-pub(crate) struct Answer {
+/// Response with its complete body.
+pub(crate) struct BufferedResponse {
     pub(crate) status: u16,
     retry_after: Option<Duration>,
-    /// Tag of this state of what was asked for.
+    /// Entity tag of the returned state.
     pub(crate) etag: Option<HeaderValue>,
     pub(crate) peer: String,
     body: Vec<u8>,
 }
 
-impl Exchange {
+impl ServiceClient {
     pub(crate) fn new(client: &Client, peers: Peers, timeout: Duration) -> Self {
         Self {
             client: client.clone(),
@@ -44,53 +44,57 @@
         }
     }
 
-    pub(crate) async fn get(&self, path: &str, wait: Duration) -> Result<Answer, RequestError> {
+    pub(crate) async fn get(
+        &self,
+        path: &str,
+        wait: Duration,
+    ) -> Result<BufferedResponse, RequestError> {
         let request = request(http::Method::GET, path, Bytes::new());
-        self.ask(request, wait).await
+        self.send(request, wait).await
     }
 
-    /// GET that is answered by 304 if `etag` still stands.
-    pub(crate) async fn get_unless(
+    /// Conditional GET; the response is 304 if `etag` is still current.
+    pub(crate) async fn get_if_changed(
         &self,
         path: &str,
         etag: Option<&HeaderValue>,
-    ) -> Result<Answer, RequestError> {
+    ) -> Result<BufferedResponse, RequestError> {
         let mut request = request(http::Method::GET, path, Bytes::new());
         if let Some(etag) = etag {
             request.headers_mut().insert(IF_NONE_MATCH, etag.clone());
         }
-        self.ask(request, Duration::ZERO).await
+        self.send(request, Duration::ZERO).await
     }
 
-    pub(crate) async fn head(&self, path: &str) -> Result<Answer, RequestError> {
+    pub(crate) async fn head(&self, path: &str) -> Result<BufferedResponse, RequestError> {
         let request = request(http::Method::HEAD, path, Bytes::new());
-        self.ask(request, Duration::ZERO).await
+        self.send(request, Duration::ZERO).await
     }
 
     pub(crate) async fn post<T: Serialize>(
         &self,
         path: &str,
         body: &T,
-    ) -> Result<Answer, RequestError> {
-        // Our bodies have text keys only, so that they always encode.
+    ) -> Result<BufferedResponse, RequestError> {
+        // Encoding cannot fail: all map keys in request bodies are strings.
         let body = serde_json::to_vec(body).unwrap_or_default();
         let mut request = request(http::Method::POST, path, Bytes::from(body));
         let json = HeaderValue::from_static("application/json");
         request.headers_mut().insert(CONTENT_TYPE, json);
-        self.ask(request, Duration::ZERO).await
+        self.send(request, Duration::ZERO).await
     }
 
-    /// Sends `request`; `wait` is how long the peer may wait by itself before it answers.
-    async fn ask(
+    /// Sends `request`; `wait` is the time that the peer may wait before it responds.
+    async fn send(
         &self,
         request: http::Request<Bytes>,
         wait: Duration,
-    ) -> Result<Answer, RequestError> {
-        let span = self.timeout + wait;
-        let sent = self.peers.send(&self.client, request, span).await;
+    ) -> Result<BufferedResponse, RequestError> {
+        let timeout = self.timeout + wait;
+        let sent = self.peers.send(&self.client, request, timeout).await;
         let mut response = sent.context(NetSnafu)?;
-        let body = response.read(ANSWER_LIMIT, self.timeout).await;
-        Ok(Answer {
+        let body = response.read(MAX_RESPONSE_BYTES, self.timeout).await;
+        Ok(BufferedResponse {
             body: body.context(NetSnafu)?,
             status: response.status(),
             retry_after: retry_after(response.headers()),
@@ -100,8 +104,8 @@
     }
 }
 
-impl Answer {
-    /// Answer of a successful exchange.
+impl BufferedResponse {
+    /// Decodes the body of a successful response.
     pub(crate) fn decode<T: DeserializeOwned>(self) -> Result<T, RequestError> {
         if self.status != 200 {
             return Err(self.into_error());
@@ -109,7 +113,7 @@
         self.decode_any()
     }
 
-    /// Answer whatever its status.
+    /// Decodes the body whatever the status.
     pub(crate) fn decode_any<T: DeserializeOwned>(self) -> Result<T, RequestError> {
         let peer = self.peer;
         serde_json::from_slice(&self.body).context(JsonSnafu { peer })
@@ -129,7 +133,7 @@
 fn request(method: http::Method, path: &str, body: Bytes) -> http::Request<Bytes> {
     let mut request = http::Request::new(body);
     *request.method_mut() = method;
-    // Names in the path were checked, so that it always parses.
+    // Parsing cannot fail: the names in the path have been checked.
     *request.uri_mut() = path.parse().unwrap_or_default();
     request
 }
--- a/crates/infra/src/keyed.rs
+++ b/crates/infra/src/keyed.rs
@@ -1,15 +1,15 @@
-//! Streams whose records have keys: the newest record of each key is kept for good.
+//! Keyed streams: the newest record of each key is never trimmed.
 
 use pumicecleat_types::LogRecord;
 
 use crate::{Local, Log, ReadError};
 
-/// Record of one key.
+/// Record with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedRecord {
     /// Key.
     pub key: String,
-    /// Value; `None` drops the key.
+    /// Value; `None` deletes the key.
     pub value: Option<Vec<u8>>,
     /// Offset in the stream.
     pub offset: u64,
@@ -18,25 +18,25 @@
 /// Newest record of each key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NewestRecords {
-    /// Records, one a key.
+    /// One record for each key.
     pub records: Vec<KeyedRecord>,
-    /// Offset from which to follow the stream for what came later.
+    /// Offset from which to follow the stream for later records.
     pub next: u64,
-    /// How often the log has come back from an older copy, if it tells.
+    /// Number of times that the log was restored from an older copy, if the log reports it.
     pub era: Option<u64>,
 }
 
-/// A log whose streams have keys.
+/// Log with keyed streams.
 pub trait KeyedLog: Log {
     /// Newest record of each key of `stream`. Not a snapshot: records may be newer than `next`.
     ///
     /// # Errors
-    /// [`ReadError::Failed`], with the step and the peer.
+    /// [`ReadError::Failed`], including the step and the peer.
     fn newest<'a>(&'a self, stream: &'a str) -> Local<'a, Result<NewestRecords, ReadError>>;
 
-    /// Record that gives `key` a value, or drops the key if `value` is empty.
+    /// Record that sets the value of `key`, or deletes the key if `value` is empty.
     fn keyed_record(&self, key: &str, value: &[u8]) -> Vec<u8>;
 
-    /// Record of the stream with its key, or `None` if it has none.
+    /// Decodes a record of the stream; `None` if it has no key.
     fn keyed(&self, record: &LogRecord) -> Option<KeyedRecord>;
 }
--- a/crates/infra/src/lib.rs
+++ b/crates/infra/src/lib.rs
@@ -1,10 +1,10 @@
-//! The platform as traits and over HTTP: log service, weight store, VM list.
+//! Clients of the platform services: log, weight store and VM list.
 //!
-//! [`Log`], [`Store`] and [`Vms`] are what the rest of the system sees, as trait objects;
-//! [`HttpLog`], [`HttpStore`] and [`HttpVms`] speak the HTTP form of `docs/PLATFORM.md`. Errors
-//! tell whether a change may have taken effect: [`AppendError::Refused`] did not,
-//! [`AppendError::Lost`] may have. [`Follower`] reads a stream without gaps, [`Appender`] lets many
-//! records ride in one append.
+//! The rest of the system uses the traits [`Log`], [`Store`] and [`Vms`] as trait objects.
+//! [`HttpLog`], [`HttpStore`] and [`HttpVms`] implement them with the HTTP API of
+//! `docs/PLATFORM.md`. Errors state whether a change may have taken effect:
+//! [`AppendError::Refused`] did not, [`AppendError::Lost`] may have. [`Follower`] reads a stream
+//! without gaps, [`Appender`] batches records of many tasks into one append.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/infra/src/log/error.rs
+++ b/crates/infra/src/log/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the log, by what they say of the change.
+//! Errors of the log client.
 
 use std::time::Duration;
 
@@ -7,29 +7,29 @@
 
 use crate::RequestError;
 
-/// An append without a word that it stands.
+/// Append that was not confirmed.
 #[derive(Debug, Snafu)]
 pub enum AppendError {
-    /// Did not take effect, and won't.
+    /// Did not take effect, and will not.
     #[snafu(display("append refused: {source}"))]
     Refused {
-        /// Cause, with step and peer.
+        /// Cause, including the step and the peer.
         source: RequestError,
-        /// When to come back, by the log's word.
+        /// Retry delay that the log requested.
         retry_after: Option<Duration>,
     },
-    /// May have taken effect, or may yet.
+    /// May have taken effect, or may still do so.
     #[snafu(display("append lost: {source}"))]
     Lost {
-        /// Cause, with step and peer.
+        /// Cause, including the step and the peer.
         source: RequestError,
-        /// When to come back, by the log's word.
+        /// Retry delay that the log requested.
         retry_after: Option<Duration>,
     },
 }
 
 impl AppendError {
-    /// When to come back, by the log's word.
+    /// Retry delay that the log requested.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether the log refused for its rate alone.
+    /// Whether the log refused the append because of its rate limit.
     #[must_use]
     pub fn is_pushback(&self) -> bool {
         matches!(self, Self::Refused { source, .. } if source.is_pushback())
@@ -60,31 +60,31 @@
     }
 }
 
-/// A read without records.
+/// Failed read.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// Offset asked for is older than the oldest kept.
+    /// The requested offset is older than the oldest retained one.
     #[snafu(display("step read, peer {peer}: trimmed, kept from {first}"))]
     Trimmed {
         /// Peer.
         peer: String,
-        /// Oldest offset kept.
+        /// Oldest retained offset.
         first: u64,
         /// Next free offset.
         next: u64,
     },
-    /// Exchange failed.
+    /// The request failed.
     #[snafu(display("read failed: {source}"))]
     Failed {
-        /// Cause, with step and peer.
+        /// Cause, including the step and the peer.
         source: RequestError,
-        /// When to come back, by the log's word.
+        /// Retry delay that the log requested.
         retry_after: Option<Duration>,
     },
 }
 
 impl ReadError {
-    /// When to come back, by the log's word.
+    /// Retry delay that the log requested.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
--- a/crates/infra/src/log/http.rs
+++ b/crates/infra/src/log/http.rs
@@ -9,16 +9,16 @@
 use serde_with::serde_as;
 
 use super::{AppendError, Appended, Batch, Log, ReadError};
-use crate::http::{Exchange, check_name};
+use crate::http::{ServiceClient, check_name};
 use crate::{Local, Peers, RequestError};
 
-/// Status of a read from an offset no longer kept.
+/// Status of a read from a trimmed offset.
 const GONE: u16 = 410;
 
 /// Client of the log service.
 #[derive(Clone)]
 pub struct HttpLog {
-    exchange: Exchange,
+    client: ServiceClient,
 }
 
 #[serde_as]
@@ -57,11 +57,11 @@
 }
 
 impl HttpLog {
-    /// Client that gives each exchange `timeout`, which should be longer than the time to connect.
+    /// Client with a `timeout` for each request, which should be longer than the connect timeout.
     #[must_use]
     pub fn new(client: &Client, peers: Peers, timeout: Duration) -> Self {
-        let exchange = Exchange::new(client, peers, timeout);
-        Self { exchange }
+        let client = ServiceClient::new(client, peers, timeout);
+        Self { client }
     }
 
     async fn post_records(
@@ -69,11 +69,11 @@
         stream: &str,
         records: Vec<Vec<u8>>,
     ) -> Result<Appended, RequestError> {
-        check_name(stream, &self.exchange.peers)?;
+        check_name(stream, &self.client.peers)?;
         let path = format!("/v1/streams/{stream}/records");
         let body = AppendBody { records };
-        let answer = self.exchange.post(&path, &body).await?;
-        let AppendedBody { first, at } = answer.decode()?;
+        let response = self.client.post(&path, &body).await?;
+        let AppendedBody { first, at } = response.decode()?;
         Ok(Appended { first, at })
     }
 
@@ -84,16 +84,16 @@
         max: u32,
         wait: Duration,
     ) -> Result<Batch, ReadError> {
-        check_name(stream, &self.exchange.peers)?;
+        check_name(stream, &self.client.peers)?;
         let ms = wait.as_millis();
         let path = format!("/v1/streams/{stream}/records?from={from}&max={max}&wait_ms={ms}");
-        let answer = self.exchange.get(&path, wait).await?;
-        if answer.status == GONE {
-            let peer = answer.peer.clone();
-            let TrimmedBody { first, next } = answer.decode_any()?;
+        let response = self.client.get(&path, wait).await?;
+        if response.status == GONE {
+            let peer = response.peer.clone();
+            let TrimmedBody { first, next } = response.decode_any()?;
             return Err(ReadError::Trimmed { peer, first, next });
         }
-        Ok(answer.decode::<BatchBody>()?.into())
+        Ok(response.decode::<BatchBody>()?.into())
     }
 }
 
--- a/crates/infra/src/log/mod.rs
+++ b/crates/infra/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! Log service: streams of records, appended at the end and read from an offset.
+//! Log service: append-only streams of records that are read from an offset.
 
 mod error;
 mod http;
@@ -11,34 +11,34 @@
 pub use error::{AppendError, ReadError};
 pub use http::HttpLog;
 
-/// Where appended records stand.
+/// Position of appended records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Appended {
-    /// Offset of the first; the others follow in a row.
+    /// Offset of the first record; the others have the consecutive offsets.
     pub first: u64,
     /// Time of the append by the log's clock, milliseconds since 1970.
     pub at: u64,
 }
 
-/// Records read.
+/// Result of a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// Records, as the log gave them.
+    /// Records as received; offsets are unchecked.
     pub records: Vec<LogRecord>,
-    /// Oldest offset kept.
+    /// Oldest retained offset.
     pub first: u64,
     /// Next free offset.
     pub next: u64,
-    /// How often the log has come back from an older copy, if it tells.
+    /// Number of times that the log was restored from an older copy, if the log reports it.
     pub era: Option<u64>,
 }
 
 /// An append-only log of named streams.
 pub trait Log {
-    /// Appends `records` in a row at the end of `stream`, all or none.
+    /// Atomically appends `records` with consecutive offsets at the end of `stream`.
     ///
     /// # Errors
-    /// [`AppendError`]: `Refused` if they don't stand, `Lost` if they may.
+    /// [`AppendError`]: `Refused` if they were not appended, `Lost` if they may have been.
     fn append<'a>(
         &'a self,
         stream: &'a str,
@@ -48,7 +48,7 @@
     /// Reads at most `max` records of `stream` from offset `from`; waits up to `wait` for one.
     ///
     /// # Errors
-    /// [`ReadError`]: `Trimmed` if `from` is no longer kept.
+    /// [`ReadError`]: `Trimmed` if the record at `from` is no longer retained.
     fn read<'a>(
         &'a self,
         stream: &'a str,
--- a/crates/infra/src/store/http.rs
+++ b/crates/infra/src/store/http.rs
@@ -5,30 +5,30 @@
 use pumicecleat_net::Client;
 
 use super::{Store, StoreError};
-use crate::http::{Exchange, check_path};
+use crate::http::{ServiceClient, check_path};
 use crate::{Local, Peers};
 
 /// Client of the weight store.
 #[derive(Clone)]
 pub struct HttpStore {
-    exchange: Exchange,
+    client: ServiceClient,
 }
 
 impl HttpStore {
-    /// Client that gives each exchange `timeout`.
+    /// Client with a `timeout` for each request.
     #[must_use]
     pub fn new(client: &Client, peers: Peers, timeout: Duration) -> Self {
-        let exchange = Exchange::new(client, peers, timeout);
-        Self { exchange }
+        let client = ServiceClient::new(client, peers, timeout);
+        Self { client }
     }
 
     async fn head_weights(&self, path: &str) -> Result<bool, StoreError> {
-        check_path(path, &self.exchange.peers)?;
-        let answer = self.exchange.head(&format!("/v1/weights/{path}")).await?;
-        match answer.status {
+        check_path(path, &self.client.peers)?;
+        let response = self.client.head(&format!("/v1/weights/{path}")).await?;
+        match response.status {
             200 => Ok(true),
             404 => Ok(false),
-            _ => Err(answer.into_error().into()),
+            _ => Err(response.into_error().into()),
         }
     }
 }
--- a/crates/infra/src/store/mod.rs
+++ b/crates/infra/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Weight store: engines fetch from it by themselves; the side asks only what is there.
+//! Weight store. Engines download weights themselves; the side only checks which weights exist.
 
 mod http;
 
@@ -9,21 +9,21 @@
 use crate::{Local, RequestError};
 pub use http::HttpStore;
 
-/// The store did not say.
+/// Failed request to the weight store.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// Over its rate, or down for a while.
+    /// Rate limit exceeded, or temporarily unavailable.
     #[snafu(display("weight store busy: {source}"))]
     Busy {
-        /// Cause, with step and peer.
+        /// Cause, including the step and the peer.
         source: RequestError,
-        /// When to come back, by the store's word.
+        /// Retry delay that the store requested.
         retry_after: Option<Duration>,
     },
-    /// Exchange failed.
+    /// The request failed.
     #[snafu(display("weight store: {source}"))]
     Failed {
-        /// Cause, with step and peer.
+        /// Cause, including the step and the peer.
         source: RequestError,
     },
 }
@@ -46,9 +46,9 @@
 
 /// The weight store.
 pub trait Store {
-    /// Whether there are weights at `path`.
+    /// Whether weights exist at `path`.
     ///
     /// # Errors
-    /// [`StoreError`] if the store does not say.
+    /// [`StoreError`] if the store gives no usable response.
     fn exists<'a>(&'a self, path: &'a str) -> Local<'a, Result<bool, StoreError>>;
 }
--- a/crates/infra/src/vms/http.rs
+++ b/crates/infra/src/vms/http.rs
@@ -9,62 +9,66 @@
 use pumicecleat_net::Client;
 
 use super::{VmList, Vms, VmsError};
-use crate::http::{Exchange, check_name};
+use crate::http::{ServiceClient, check_name};
 use crate::{Local, Peers};
 
-/// Status of an answer that what is held still stands.
+/// Status of a response that the cached list is current.
 const NOT_MODIFIED: u16 = 304;
 
-/// Client of the VM list. It holds the last list of each region asked for, so that one that has not
-/// changed costs a head only.
+/// Client of the VM list. Caches the last list of each requested region, so that an unchanged list is
+/// not transferred again.
 #[derive(Clone)]
 pub struct HttpVms {
-    exchange: Exchange,
-    held: Rc<RefCell<BTreeMap<String, Held>>>,
+    client: ServiceClient,
+    cache: Rc<RefCell<BTreeMap<String, CachedList>>>,
 }
 
-/// A list and its tag.
-struct Held {
+/// List with its entity tag.
+struct CachedList {
     etag: HeaderValue,
     list: Rc<VmList>,
 }
 
 impl HttpVms {
-    /// Client that gives each exchange `timeout`.
+    /// Client with a `timeout` for each request.
     #[must_use]
     pub fn new(client: &Client, peers: Peers, timeout: Duration) -> Self {
-        let exchange = Exchange::new(client, peers, timeout);
-        let held = Rc::default();
-        Self { exchange, held }
+        let client = ServiceClient::new(client, peers, timeout);
+        let cache = Rc::default();
+        Self { client, cache }
     }
 
     async fn get_list(&self, region: Option<&str>) -> Result<Rc<VmList>, VmsError> {
         let path = match region {
             Some(region) => {
-                check_name(region, &self.exchange.peers)?;
+                check_name(region, &self.client.peers)?;
                 format!("/v1/vms?region={region}")
             }
             None => "/v1/vms".to_owned(),
         };
-        let etag = self.held.borrow().get(&path).map(|h| h.etag.clone());
-        let answer = self.exchange.get_unless(&path, etag.as_ref()).await?;
-        if answer.status == NOT_MODIFIED
-            && let Some(held) = self.held.borrow().get(&path)
+        let etag = self
+            .cache
+            .borrow()
+            .get(&path)
+            .map(|cached| cached.etag.clone());
+        let response = self.client.get_if_changed(&path, etag.as_ref()).await?;
+        if response.status == NOT_MODIFIED
+            && let Some(cached) = self.cache.borrow().get(&path)
         {
-            return Ok(Rc::clone(&held.list));
+            return Ok(Rc::clone(&cached.list));
         }
-        let etag = answer.etag.clone();
-        let list: Rc<VmList> = Rc::new(answer.decode()?);
-        self.hold(path, etag, &list);
+        let etag = response.etag.clone();
+        let list: Rc<VmList> = Rc::new(response.decode()?);
+        self.update_cache(path, etag, &list);
         Ok(list)
     }
 
-    fn hold(&self, path: String, etag: Option<HeaderValue>, list: &Rc<VmList>) {
-        let mut held = self.held.borrow_mut();
+    fn update_cache(&self, path: String, etag: Option<HeaderValue>, list: &Rc<VmList>) {
+        let mut cache = self.cache.borrow_mut();
         let list = Rc::clone(list);
         match etag {
-            Some(etag) => drop(held.insert(path, Held { etag, list })),
-            None => drop(held.remove(&path)),
+            Some(etag) => drop(cache.insert(path, CachedList { etag, list })),
+            None => drop(cache.remove(&path)),
         }
     }
 }
--- a/crates/infra/src/vms/mod.rs
+++ b/crates/infra/src/vms/mod.rs
@@ -1,4 +1,4 @@
-//! VM list: which VMs are live and leaving, by the platform's word, seconds late.
+//! VM list: the live and leaving VMs as reported by the platform, with a lag of seconds.
 
 mod http;
 
@@ -10,20 +10,20 @@
 use crate::{Local, RequestError};
 pub use http::HttpVms;
 
-/// The list at one time.
+/// Snapshot of the list.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize)]
 pub struct VmList {
     /// VMs.
     pub vms: Vec<VmEntry>,
-    /// Version; rises with each change.
+    /// Version; increases with each change.
     pub version: u64,
 }
 
-/// The list could not be had.
+/// Failed request for the VM list.
 #[derive(Debug, Snafu)]
 #[snafu(display("VM list: {source}"))]
 pub struct VmsError {
-    /// Cause, with step and peer.
+    /// Cause, including the step and the peer.
     pub source: RequestError,
 }
 
@@ -35,9 +35,9 @@
 
 /// The platform's VM list.
 pub trait Vms {
-    /// VMs of `region`, or of all.
+    /// VMs of `region`, or of all regions.
     ///
     /// # Errors
-    /// [`VmsError`] if there is no usable answer.
+    /// [`VmsError`] if there is no usable response.
     fn list<'a>(&'a self, region: Option<&'a str>) -> Local<'a, Result<Rc<VmList>, VmsError>>;
 }
