--- a/crates/infra/src/follower/keyed.rs
+++ b/crates/infra/src/follower/keyed.rs
@@ -173,8 +173,8 @@
             Ok(FollowEvent::CaughtUp { .. }) => Some(KeyedEvent::CaughtUp),
             Ok(FollowEvent::Unanswered) => Some(KeyedEvent::Unanswered),
             Ok(FollowEvent::Outage { detail }) => Some(KeyedEvent::Outage { detail }),
-            // Records are missing, so reload the state from the newest records. Errors other than a new era
-            // do the same below.
+            // Records are missing, so the state is reloaded from the newest record of each key. The errors
+            // below are handled in the same way.
             Ok(FollowEvent::Trimmed { .. }) => {
                 self.follower = None;
                 None
--- a/crates/infra/src/http/service_client.rs
+++ b/crates/infra/src/http/service_client.rs
@@ -119,7 +119,7 @@
         serde_json::from_slice(&self.body).context(JsonSnafu { peer })
     }
 
-    /// RequestError that the answer's status tells.
+    /// Error for the status of the response.
     pub(crate) fn into_error(self) -> RequestError {
         StatusSnafu {
             peer: self.peer,
--- a/crates/infra/tests/infra/common/mod.rs
+++ b/crates/infra/tests/infra/common/mod.rs
@@ -1,4 +1,4 @@
-//! A log in memory that fails as it is told.
+//! In-memory log with scripted failures.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -9,36 +9,36 @@
 use pumicecleat_net::{Client, ClientOptions, Timer, run};
 use pumicecleat_types::LogRecord;
 
-/// What the log does with one call; without one it does as it should.
+/// Behaviour of the log for one call; calls beyond the script behave normally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Move {
-    /// As it should.
-    Sound,
+pub enum Step {
+    /// No failure.
+    Normal,
     /// 503, without effect.
     Down,
     /// 429, without effect.
     Pushback,
-    /// Answer lost, after the effect.
+    /// Response lost, after the effect.
     LostAfter,
-    /// Answer lost, without effect.
+    /// Response lost, without effect.
     LostBefore,
-    /// Read gives no records.
-    Blank,
-    /// Read leaves out a record.
+    /// Read returns no records.
+    Empty,
+    /// Read skips a record.
     Gap,
-    /// Read repeats the record before.
+    /// Read repeats the previous record.
     Repeat,
-    /// Log seems shorter than it is.
+    /// Log reports fewer records than it has.
     Shrunk,
 }
 
-/// The log.
+/// In-memory log.
 pub struct FakeLog {
     pub records: RefCell<Vec<LogRecord>>,
-    pub moves: RefCell<VecDeque<Move>>,
-    /// Oldest offset kept.
+    pub steps: RefCell<VecDeque<Step>>,
+    /// Oldest retained offset.
     pub first: Cell<u64>,
-    /// Time that each call takes.
+    /// Duration of each call.
     pub delay: Cell<Duration>,
     pub appends: Cell<u32>,
     pub busy: Cell<bool>,
@@ -46,10 +46,10 @@
 }
 
 impl FakeLog {
-    pub fn new(timer: &Timer, moves: &[Move]) -> Rc<Self> {
+    pub fn new(timer: &Timer, steps: &[Step]) -> Rc<Self> {
         Rc::new(Self {
             records: RefCell::default(),
-            moves: RefCell::new(moves.iter().copied().collect()),
+            steps: RefCell::new(steps.iter().copied().collect()),
             first: Cell::new(0),
             delay: Cell::new(Duration::ZERO),
             appends: Cell::new(0),
@@ -71,14 +71,14 @@
         records.iter().map(|r| r.data.clone()).collect()
     }
 
-    fn take_move(&self) -> Move {
-        let next = self.moves.borrow_mut().pop_front();
-        next.unwrap_or(Move::Sound)
+    fn take_step(&self) -> Step {
+        let next = self.steps.borrow_mut().pop_front();
+        next.unwrap_or(Step::Normal)
     }
 
     fn append_all(&self, records: Vec<Vec<u8>>) -> Result<Appended, AppendError> {
-        let step = self.take_move();
-        if step == Move::Down || step == Move::Pushback || step == Move::LostBefore {
+        let step = self.take_step();
+        if step == Step::Down || step == Step::Pushback || step == Step::LostBefore {
             return Err(request_error(step).into());
         }
         let first = self.records.borrow().len() as u64;
@@ -86,13 +86,13 @@
             self.push(data);
         }
         match step {
-            Move::LostAfter => Err(request_error(step).into()),
+            Step::LostAfter => Err(request_error(step).into()),
             _ => Ok(Appended { first, at: 0 }),
         }
     }
 
     fn page(&self, from: u64, max: u32) -> Result<Batch, ReadError> {
-        let step = self.take_move();
+        let step = self.take_step();
         let records = self.records.borrow();
         let (first, next) = (self.first.get(), records.len() as u64);
         let peer = "fake".to_owned();
@@ -100,8 +100,8 @@
             return Err(ReadError::Trimmed { peer, first, next });
         }
         let start = match step {
-            Move::Gap => from + 1,
-            Move::Repeat => from.saturating_sub(1),
+            Step::Gap => from + 1,
+            Step::Repeat => from.saturating_sub(1),
             _ => from,
         };
         let kept = records.iter().filter(|r| r.offset >= start);
@@ -113,14 +113,14 @@
             era: None,
         };
         match step {
-            Move::Down | Move::Pushback | Move::LostAfter | Move::LostBefore => {
+            Step::Down | Step::Pushback | Step::LostAfter | Step::LostBefore => {
                 Err(request_error(step).into())
             }
-            Move::Blank => Ok(Batch {
+            Step::Empty => Ok(Batch {
                 records: Vec::new(),
                 ..batch
             }),
-            Move::Shrunk => Ok(Batch {
+            Step::Shrunk => Ok(Batch {
                 records: Vec::new(),
                 first: 0,
                 next: from.saturating_sub(1),
@@ -164,10 +164,10 @@
     }
 }
 
-fn request_error(step: Move) -> RequestError {
+fn request_error(step: Step) -> RequestError {
     let status = match step {
-        Move::Down => 503,
-        Move::Pushback => 429,
+        Step::Down => 503,
+        Step::Pushback => 429,
         _ => 502,
     };
     let retry_after = None;
--- a/crates/infra/tests/infra/follower.rs
+++ b/crates/infra/tests/infra/follower.rs
@@ -1,9 +1,9 @@
-//! The follower under faults of the log.
+//! Tests of the follower with log failures.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::common::{FakeLog, Move, with_client};
+use crate::common::{FakeLog, Step, with_client};
 use proptest::prelude::*;
 use pumicecleat_infra::{BackoffOptions, FollowError, FollowEvent, FollowOptions, Follower};
 use pumicecleat_net::Timer;
@@ -11,10 +11,10 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn follower(log: &Rc<FakeLog>, timer: &Timer, from: u64) -> Follower {
-    follower_that_waits(log, timer, from, MS)
+    follower_with_wait(log, timer, from, MS)
 }
 
-fn follower_that_waits(log: &Rc<FakeLog>, timer: &Timer, from: u64, wait: Duration) -> Follower {
+fn follower_with_wait(log: &Rc<FakeLog>, timer: &Timer, from: u64, wait: Duration) -> Follower {
     let options = FollowOptions {
         batch: 3,
         wait,
@@ -29,8 +29,8 @@
     Follower::new_ext(log.clone(), timer, "config", from, options)
 }
 
-fn log_of(count: u8, timer: &Timer, moves: &[Move]) -> Rc<FakeLog> {
-    let log = FakeLog::new(timer, moves);
+fn log_of(count: u8, timer: &Timer, steps: &[Step]) -> Rc<FakeLog> {
+    let log = FakeLog::new(timer, steps);
     for n in 0..count {
         log.push(vec![n]);
     }
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn contradictions_are_told_and_read_again() {
+fn inconsistent_reads_are_reported_and_retried() {
     struct Case {
-        step: Move,
+        step: Step,
         error: FollowError,
     }
     let stream = || "config".to_owned();
@@ -63,9 +63,9 @@
     };
     #[rustfmt::skip]
     let cases = [
-        Case { step: Move::Gap, error: gap(2) },
-        Case { step: Move::Repeat, error: gap(0) },
-        Case { step: Move::Shrunk, error: shrunk },
+        Case { step: Step::Gap, error: gap(2) },
+        Case { step: Step::Repeat, error: gap(0) },
+        Case { step: Step::Shrunk, error: shrunk },
     ];
     for case in cases {
         with_client(|client| async move {
@@ -81,16 +81,16 @@
 }
 
 #[test]
-fn an_outage_is_told_once() {
+fn an_outage_is_reported_once() {
     with_client(|client| async move {
-        let moves = [
-            Move::Sound,
-            Move::Sound,
-            Move::Down,
-            Move::LostAfter,
-            Move::Pushback,
+        let steps = [
+            Step::Normal,
+            Step::Normal,
+            Step::Down,
+            Step::LostAfter,
+            Step::Pushback,
         ];
-        let log = log_of(1, client.timer(), &moves);
+        let log = log_of(1, client.timer(), &steps);
         let mut follower = follower(&log, client.timer(), 0);
         assert_eq!(offsets(&follower.next().await.unwrap()), [0]);
         let caught = FollowEvent::CaughtUp { next: 1 };
@@ -98,7 +98,7 @@
         let outage = follower.next().await.unwrap();
         assert!(matches!(outage, FollowEvent::Outage { .. }), "{outage:?}");
         assert_eq!(follower.next().await.unwrap(), caught);
-        assert!(log.moves.borrow().is_empty());
+        assert!(log.steps.borrow().is_empty());
         assert!(
             client
                 .timer()
@@ -109,24 +109,25 @@
     });
 }
 
-/// Its caller may have less patience than the log: the end of an outage shows all the same.
+/// Guards against an outage that never ends for a caller whose timeout is shorter than the wait of the
+/// log: the first read after an outage must not wait for a record.
 #[test]
-fn the_end_of_an_outage_is_told_though_no_record_comes() {
+fn the_end_of_an_outage_is_reported_without_a_record() {
     with_client(|client| async move {
         let timer = client.timer();
-        let log = log_of(1, timer, &[Move::Sound, Move::Down]);
-        let mut follower = follower_that_waits(&log, timer, 0, Duration::from_mins(1));
+        let log = log_of(1, timer, &[Step::Normal, Step::Down]);
+        let mut follower = follower_with_wait(&log, timer, 0, Duration::from_mins(1));
         assert_eq!(offsets(&follower.next().await.unwrap()), [0]);
         let outage = follower.next().await.unwrap();
         assert!(matches!(outage, FollowEvent::Outage { .. }), "{outage:?}");
         let end = timer.within(Duration::from_secs(10), follower.next()).await;
         let caught = FollowEvent::CaughtUp { next: 1 };
-        assert_eq!(end.expect("told in time").unwrap(), caught);
+        assert_eq!(end.expect("CaughtUp before the timeout").unwrap(), caught);
     });
 }
 
 #[test]
-fn trimming_waits_for_a_seek() {
+fn trimming_requires_a_seek() {
     with_client(|client| async move {
         let log = log_of(5, client.timer(), &[]);
         log.first.set(3);
@@ -140,35 +141,35 @@
     });
 }
 
-fn any_move() -> impl Strategy<Value = Move> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop::sample::select(vec![
-        Move::Sound,
-        Move::Down,
-        Move::Pushback,
-        Move::LostAfter,
-        Move::Blank,
-        Move::Gap,
-        Move::Repeat,
-        Move::Shrunk,
+        Step::Normal,
+        Step::Down,
+        Step::Pushback,
+        Step::LostAfter,
+        Step::Empty,
+        Step::Gap,
+        Step::Repeat,
+        Step::Shrunk,
     ])
 }
 
-/// Offsets given until the follower caught up, with calls dropped after `patience`.
-async fn follow(client: pumicecleat_net::Client, moves: Vec<Move>, patience: Duration) -> Vec<u64> {
+/// Offsets returned until the follower has caught up, with calls cancelled after `timeout`.
+async fn follow(client: pumicecleat_net::Client, steps: Vec<Step>, timeout: Duration) -> Vec<u64> {
     let timer = client.timer();
-    let log = log_of(10, timer, &moves);
+    let log = log_of(10, timer, &steps);
     log.delay.set(MS);
     let mut follower = follower(&log, timer, 0);
-    let mut given = Vec::new();
-    while given.len() < 10 {
-        match timer.within(patience, follower.next()).await {
-            Ok(Ok(event @ FollowEvent::Records(_))) => given.extend(offsets(&event)),
+    let mut offsets_read = Vec::new();
+    while offsets_read.len() < 10 {
+        match timer.within(timeout, follower.next()).await {
+            Ok(Ok(event @ FollowEvent::Records(_))) => offsets_read.extend(offsets(&event)),
             Ok(_) => {}
-            // Dropped in the middle: the next call may take longer.
+            // Cancelled during a read: remove the delay so that a later call can complete.
             Err(_) => log.delay.set(Duration::ZERO),
         }
     }
-    given
+    offsets_read
 }
 
 proptest! {
@@ -176,29 +177,30 @@
 
     #[test]
     fn no_offset_is_skipped_or_repeated(
-        moves in prop::collection::vec(any_move(), 0..12),
-        patience in 1..20_u32,
+        steps in prop::collection::vec(any_step(), 0..12),
+        timeout in 1..20_u32,
     ) {
-        let given = with_client(|client| follow(client, moves, patience * MS));
-        prop_assert_eq!(given, (0..10).collect::<Vec<u64>>());
+        let offsets_read = with_client(|client| follow(client, steps, timeout * MS));
+        prop_assert_eq!(offsets_read, (0..10).collect::<Vec<u64>>());
     }
 }
 
-/// A caller that needs no word of the end saves a read for each change.
+/// Guards against an extra read for each change: a caller that skips the `CaughtUp` event has the next
+/// read wait for a record immediately.
 #[test]
-fn a_settled_follower_waits_at_once_after_the_last_record() {
+fn skipping_caught_up_waits_immediately_after_the_last_record() {
     with_client(|client| async move {
         let timer = client.timer();
-        for (settles, told) in [(false, true), (true, false)] {
+        for (skips, reported) in [(false, true), (true, false)] {
             let log = log_of(1, timer, &[]);
-            let mut follower = follower_that_waits(&log, timer, 0, Duration::from_mins(1));
+            let mut follower = follower_with_wait(&log, timer, 0, Duration::from_mins(1));
             assert_eq!(offsets(&follower.next().await.unwrap()), [0]);
-            if settles {
+            if skips {
                 follower.skip_caught_up();
             }
             let next = timer.within(20 * MS, follower.next()).await;
-            assert_eq!(next.is_ok(), told, "settles: {settles}");
-            // One that hurries asks again without a wait.
+            assert_eq!(next.is_ok(), reported, "skips: {skips}");
+            // `read_now` reads without waiting for a record.
             follower.read_now();
             let next = timer.within(20 * MS, follower.next()).await;
             assert_eq!(next.unwrap().unwrap(), FollowEvent::CaughtUp { next: 1 });
@@ -230,9 +232,9 @@
     });
 }
 
-/// Guards against a follower that does not report the end of the log after an empty answer.
+/// Guards against a follower that does not report the end of the log after an empty response.
 #[test]
-fn an_empty_answer_to_a_hurried_read_is_the_end() {
+fn an_empty_response_to_an_immediate_read_is_the_end() {
     with_client(|client| async move {
         let log = log_of(0, client.timer(), &[]);
         let mut follower = follower(&log, client.timer(), 0);
--- a/crates/infra/tests/infra/http.rs
+++ b/crates/infra/tests/infra/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP clients against the stand-ins, and against peers that answer wrongly.
+//! Tests of the HTTP clients with the stand-ins and with peers that send wrong responses.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,51 +22,51 @@
 };
 use pumicecleat_types::{VmEntry, VmRole, VmState};
 
-const SPAN: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 const MS: Duration = Duration::from_millis(1);
 
-/// Answers every request alike.
+/// Server that sends the same response to every request.
 #[derive(Clone, Copy)]
-struct Canned {
+struct FixedResponse {
     status: u16,
     body: &'static str,
-    /// Breaks off after the body.
+    /// Whether the response is cut off after the body.
     cut: bool,
 }
 
-impl Handler for Canned {
+impl Handler for FixedResponse {
     fn handle(&self, _: Incoming, _: SocketAddr) -> Pin<Box<dyn Future<Output = Reply>>> {
-        let canned = *self;
+        let response = *self;
         Box::pin(async move {
-            let body = Ok(Bytes::from_static(canned.body.as_bytes()));
+            let body = Ok(Bytes::from_static(response.body.as_bytes()));
             let detail = "cut".to_owned();
-            let end = canned.cut.then(|| Err(BodyError::Broken { detail }));
+            let end = response.cut.then(|| Err(BodyError::Broken { detail }));
             let pieces = std::iter::once(body).chain(end);
             let stream = futures_util::stream::iter(pieces);
             let mut reply = Reply::new(Body::Stream(Box::pin(stream)));
-            *reply.status_mut() = canned.status.try_into().unwrap();
+            *reply.status_mut() = response.status.try_into().unwrap();
             reply.headers_mut().insert("retry-after", 7.into());
             reply
         })
     }
 }
 
-fn serve(canned: Canned, client: &Client) -> String {
+fn serve(response: FixedResponse, client: &Client) -> String {
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let server = Server::new_ext(ServerOptions::default(), Rc::new(canned), client.timer());
+    let server = Server::new_ext(ServerOptions::default(), Rc::new(response), client.timer());
     monoio::spawn(async move { server.serve(listener).await });
     address
 }
 
-/// Address where nobody listens.
+/// Address without a listener.
 fn closed_address() -> String {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap().to_string()
 }
 
 fn log_at(client: &Client, peers: &str) -> HttpLog {
-    HttpLog::new(client, Peers::parse(peers), SPAN)
+    HttpLog::new(client, Peers::parse(peers), TIMEOUT)
 }
 
 fn start_log(client: &Client) -> (pumicecleat_standin::Running<LogFaults>, HttpLog) {
@@ -80,13 +80,13 @@
 }
 
 #[test]
-fn wrong_answers_tell_what_took_effect() {
+fn errors_state_whether_an_append_took_effect() {
     struct Case {
-        canned: Canned,
+        response: FixedResponse,
         refused: bool,
     }
     let case = |status, body, cut, refused| Case {
-        canned: Canned { status, body, cut },
+        response: FixedResponse { status, body, cut },
         refused,
     };
     let cases = [
@@ -101,18 +101,18 @@
         case(200, r#"{"first":1}"#, false, false),
         case(200, r#"{"first":1,"at":2}{}"#, false, false),
     ];
-    for Case { canned, refused } in cases {
+    for Case { response, refused } in cases {
         with_client(|client| async move {
-            let address = serve(canned, &client);
+            let address = serve(response, &client);
             let log = log_at(&client, &address);
             let error = log.append("config", vec![vec![1]]).await.unwrap_err();
-            let told = matches!(error, AppendError::Refused { .. });
-            assert_eq!(told, refused, "{error}");
+            let is_refused = matches!(error, AppendError::Refused { .. });
+            assert_eq!(is_refused, refused, "{error}");
             assert!(error.to_string().contains(&address), "{error}");
             assert!(error.to_string().contains("step "), "{error}");
-            let retry = (canned.status != 200 && !canned.cut).then_some(Duration::from_secs(7));
+            let retry = (response.status != 200 && !response.cut).then_some(Duration::from_secs(7));
             assert_eq!(error.retry_after(), retry, "{error}");
-            assert_eq!(error.is_pushback(), canned.status == 429);
+            assert_eq!(error.is_pushback(), response.status == 429);
             let read = log.read("config", 0, 1, Duration::ZERO).await.unwrap_err();
             assert_eq!(read.retry_after(), retry, "{read}");
         });
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn appends_that_never_left_are_refused() {
+fn appends_that_were_not_sent_are_refused() {
     with_client(|client| async move {
         let dead = log_at(&client, &closed_address());
         for stream in ["config", "a/b", "a?b", ""] {
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn records_stand_as_they_were_appended() {
+fn records_are_read_as_they_were_appended() {
     with_client(|client| async move {
         let (standin, log) = start_log(&client);
         let data = vec![vec![0, 255, b'"'], Vec::new()];
@@ -172,13 +172,13 @@
             client.timer().sleep(20 * MS).await;
             log.append("config", vec![vec![1]]).await.unwrap();
         };
-        let (batch, ()) = futures_util::join!(log.read("config", 0, 1, SPAN), late);
+        let (batch, ()) = futures_util::join!(log.read("config", 0, 1, TIMEOUT), late);
         assert_eq!(batch.unwrap().records.len(), 1);
     });
 }
 
 #[test]
-fn trimming_and_pushback_are_told() {
+fn trimming_and_pushback_are_reported() {
     with_client(|client| async move {
         let (standin, log) = start_log(&client);
         log.append("config", vec![vec![1]; 4]).await.unwrap();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn the_next_peer_is_tried_only_if_nothing_left() {
+fn the_next_peer_is_tried_only_if_nothing_was_sent() {
     with_client(|client| async move {
         let (standin, _) = start_log(&client);
         let peers = format!("{}, {}", closed_address(), standin.address);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_silent_log_is_lost() {
+fn an_append_without_a_response_is_lost() {
     with_client(|client| async move {
         let (standin, _) = start_log(&client);
         standin.inject(|f| f.stall = true);
@@ -252,7 +252,7 @@
         };
         let standin = VmsStandin::start(options, client.timer()).unwrap();
         let peers = Peers::parse(&standin.address.to_string());
-        let vms = HttpVms::new(&client, peers, SPAN);
+        let vms = HttpVms::new(&client, peers, TIMEOUT);
         assert_eq!(vms.list(None).await.unwrap().vms.len(), 2);
         let list = vms.list(Some("hu-central")).await.unwrap();
         assert_eq!(list.vms, [vm("a", "hu-central")]);
@@ -261,17 +261,17 @@
 }
 
 #[test]
-fn a_list_that_has_not_changed_is_not_sent_again() {
+fn an_unchanged_list_is_not_sent_again() {
     with_client(|client| async move {
         let standin = VmsStandin::start(VmListOptions::default(), client.timer()).unwrap();
         let peer = standin.address.to_string();
-        let vms = HttpVms::new(&client, Peers::parse(&peer), SPAN);
+        let vms = HttpVms::new(&client, Peers::parse(&peer), TIMEOUT);
         let put = async |vm: &VmEntry| {
             let body = serde_json::to_vec(vm).unwrap();
             let path = format!("/v1/vms/{}", vm.vm);
             let request = http::Request::post(path).body(Bytes::from(body)).unwrap();
-            let mut response = client.send(&peer, request, SPAN).await.unwrap();
-            response.read(1 << 20, SPAN).await.unwrap();
+            let mut response = client.send(&peer, request, TIMEOUT).await.unwrap();
+            response.read(1 << 20, TIMEOUT).await.unwrap();
         };
         let here = vm_in("a", "hu-central");
         put(&here).await;
@@ -293,11 +293,11 @@
 }
 
 #[test]
-fn the_store_tells_what_exists() {
+fn the_store_reports_which_weights_exist() {
     with_client(|client| async move {
         let standin = StoreStandin::start(StoreOptions::default(), client.timer()).unwrap();
         let peers = Peers::parse(&standin.address.to_string());
-        let store = HttpStore::new(&client, peers, SPAN);
+        let store = HttpStore::new(&client, peers, TIMEOUT);
         standin.inject(|f| f.missing = ["sowing/v4".to_owned()].into());
         assert!(store.exists("sowing/v3").await.unwrap());
         assert!(!store.exists("sowing/v4").await.unwrap());
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn no_address_at_all_is_an_error_and_not_a_panic() {
+fn an_empty_peer_list_is_an_error() {
     let result = run(async {
         let client = Client::new_ext(ClientOptions::default(), &Timer::start());
         let log = HttpLog::new(&client, Peers::new(&[]), Duration::from_secs(1));
--- a/crates/infra/tests/infra/main.rs
+++ b/crates/infra/tests/infra/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the platform's clients; one program, so that they share the log in memory.
+//! Tests of the platform clients, in one binary so that they share the in-memory log.
 
 mod appender;
 mod common;
