--- a/crates/infra/src/log/error.rs
+++ b/crates/infra/src/log/error.rs
@@ -1,96 +1,105 @@
-//! Errors of the log, by what they say of the change.
+//! Errors of the log client.
 
 use std::time::Duration;
 
 use pumicecleat_net::Sent;
 use snafu::Snafu;
 
-use crate::Fault;
+use crate::RequestError;
 
-/// An append without a word that it stands.
+/// Append that was not confirmed.
 #[derive(Debug, Snafu)]
 pub enum AppendError {
-    /// Did not take effect, and won't.
+    /// Did not take effect, and will not.
     #[snafu(display("append refused: {source}"))]
     Refused {
-        /// Cause, with step and peer.
-        source: Fault,
-        /// When to come back, by the log's word.
-        retry: Option<Duration>,
+        /// Cause, including the step and the peer.
+        source: RequestError,
+        /// Retry delay that the log requested.
+        retry_after: Option<Duration>,
     },
-    /// May have taken effect, or may yet.
+    /// May have taken effect, or may still do so.
     #[snafu(display("append lost: {source}"))]
     Lost {
-        /// Cause, with step and peer.
-        source: Fault,
-        /// When to come back, by the log's word.
-        retry: Option<Duration>,
+        /// Cause, including the step and the peer.
+        source: RequestError,
+        /// Retry delay that the log requested.
+        retry_after: Option<Duration>,
     },
 }
 
 impl AppendError {
-    /// When to come back, by the log's word.
+    /// Retry delay that the log requested.
     #[must_use]
-    pub fn retry(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Refused { retry, .. } | Self::Lost { retry, .. } => *retry,
+            Self::Refused { retry_after, .. } | Self::Lost { retry_after, .. } => *retry_after,
         }
     }
 
-    /// Whether the log refused for its rate alone.
+    /// Whether the log refused the append because of its rate limit.
     #[must_use]
     pub fn is_pushback(&self) -> bool {
         matches!(self, Self::Refused { source, .. } if source.is_pushback())
     }
 }
 
-impl From<Fault> for AppendError {
-    fn from(source: Fault) -> Self {
-        let retry = source.retry();
-        match source.effect() {
-            Sent::No => Self::Refused { source, retry },
-            Sent::Maybe => Self::Lost { source, retry },
+impl From<RequestError> for AppendError {
+    fn from(source: RequestError) -> Self {
+        let retry_after = source.retry_after();
+        match source.sent() {
+            Sent::No => Self::Refused {
+                source,
+                retry_after,
+            },
+            Sent::Maybe => Self::Lost {
+                source,
+                retry_after,
+            },
         }
     }
 }
 
-/// A read without records.
+/// Failed read.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// Offset asked for is older than the oldest kept.
+    /// The requested offset is older than the oldest retained one.
     #[snafu(display("step read, peer {peer}: trimmed, kept from {first}"))]
     Trimmed {
         /// Peer.
         peer: String,
-        /// Oldest offset kept.
+        /// Oldest retained offset.
         first: u64,
         /// Next free offset.
         next: u64,
     },
-    /// Exchange failed.
+    /// The request failed.
     #[snafu(display("read failed: {source}"))]
     Failed {
-        /// Cause, with step and peer.
-        source: Fault,
-        /// When to come back, by the log's word.
-        retry: Option<Duration>,
+        /// Cause, including the step and the peer.
+        source: RequestError,
+        /// Retry delay that the log requested.
+        retry_after: Option<Duration>,
     },
 }
 
 impl ReadError {
-    /// When to come back, by the log's word.
+    /// Retry delay that the log requested.
     #[must_use]
-    pub fn retry(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Failed { retry, .. } => *retry,
+            Self::Failed { retry_after, .. } => *retry_after,
             Self::Trimmed { .. } => None,
         }
     }
 }
 
-impl From<Fault> for ReadError {
-    fn from(source: Fault) -> Self {
-        let retry = source.retry();
-        Self::Failed { source, retry }
+impl From<RequestError> for ReadError {
+    fn from(source: RequestError) -> Self {
+        let retry_after = source.retry_after();
+        Self::Failed {
+            source,
+            retry_after,
+        }
     }
 }
--- a/crates/infra/src/store/mod.rs
+++ b/crates/infra/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Weight store: engines fetch from it by themselves; the side asks only what is there.
+//! Weight store. Engines download weights themselves; the side only checks which weights exist.
 
 mod http;
 
@@ -6,36 +6,39 @@
 
 use snafu::Snafu;
 
-use crate::{Fault, Local};
+use crate::{Local, RequestError};
 pub use http::HttpStore;
 
-/// The store did not say.
+/// Failed request to the weight store.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// Over its rate, or down for a while.
+    /// Rate limit exceeded, or temporarily unavailable.
     #[snafu(display("weight store busy: {source}"))]
     Busy {
-        /// Cause, with step and peer.
-        source: Fault,
-        /// When to come back, by the store's word.
-        retry: Option<Duration>,
+        /// Cause, including the step and the peer.
+        source: RequestError,
+        /// Retry delay that the store requested.
+        retry_after: Option<Duration>,
     },
-    /// Exchange failed.
+    /// The request failed.
     #[snafu(display("weight store: {source}"))]
     Failed {
-        /// Cause, with step and peer.
-        source: Fault,
+        /// Cause, including the step and the peer.
+        source: RequestError,
     },
 }
 
-impl From<Fault> for StoreError {
-    fn from(source: Fault) -> Self {
+impl From<RequestError> for StoreError {
+    fn from(source: RequestError) -> Self {
         match source {
-            Fault::Status {
+            RequestError::Status {
                 status: 429 | 503,
-                retry,
+                retry_after,
                 ..
-            } => Self::Busy { source, retry },
+            } => Self::Busy {
+                source,
+                retry_after,
+            },
             _ => Self::Failed { source },
         }
     }
@@ -43,9 +46,9 @@
 
 /// The weight store.
 pub trait Store {
-    /// Whether there are weights at `path`.
+    /// Whether weights exist at `path`.
     ///
     /// # Errors
-    /// [`StoreError`] if the store does not say.
+    /// [`StoreError`] if the store gives no usable response.
     fn exists<'a>(&'a self, path: &'a str) -> Local<'a, Result<bool, StoreError>>;
 }
