--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -21,15 +21,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum KeyError {
     /// The text is empty, or only a pair of quotes.
-    #[snafu(display("idempotency key of caller {caller} is empty"))]
+    #[snafu(display("step key, caller {caller}: empty"))]
     Empty {
         /// Caller.
         caller: CallerId,
     },
     /// The text is too long.
-    #[snafu(display(
-        "idempotency key of caller {caller} has {bytes} bytes, at most {MAX_KEY_BYTES} are allowed"
-    ))]
+    #[snafu(display("step key, caller {caller}: {bytes} bytes, at most {MAX_KEY_BYTES}"))]
     TooLong {
         /// Caller.
         caller: CallerId,
@@ -37,9 +35,7 @@
         bytes: usize,
     },
     /// The text contains a character other than visible ASCII, or a double quote.
-    #[snafu(display(
-        "idempotency key of caller {caller} contains {found:?}, which is not allowed"
-    ))]
+    #[snafu(display("step key, caller {caller}: character {found:?}"))]
     InvalidCharacter {
         /// Caller.
         caller: CallerId,
--- a/crates/ledger/src/ledger/error.rs
+++ b/crates/ledger/src/ledger/error.rs
@@ -10,7 +10,7 @@
 #[snafu(visibility(pub(super)))]
 pub enum StepError {
     /// The attempt was abandoned or finished, or never claimed by this ledger.
-    #[snafu(display("cannot {step} attempt {attempt}: it is not open in this process"))]
+    #[snafu(display("step {step}, attempt {attempt}: not open here"))]
     NotOpen {
         /// Step, as a verb.
         step: &'static str,
@@ -18,7 +18,7 @@
         attempt: Attempt,
     },
     /// The attempt was sent before, so it may have run.
-    #[snafu(display("cannot {step} attempt {attempt}: it was already sent"))]
+    #[snafu(display("step {step}, attempt {attempt}: already sent"))]
     AlreadySent {
         /// Step, as a verb.
         step: &'static str,
@@ -27,7 +27,7 @@
     },
     /// The deadline has passed. The attempt is abandoned now, and its caller may be told that it
     /// was not run.
-    #[snafu(display("cannot {step} attempt {attempt}: its deadline {} ms has passed", deadline.0))]
+    #[snafu(display("step {step}, attempt {attempt}: deadline {} ms has passed", deadline.0))]
     DeadlinePassed {
         /// Step, as a verb.
         step: &'static str,
--- a/crates/ledger/src/ledger/step.rs
+++ b/crates/ledger/src/ledger/step.rs
@@ -116,7 +116,7 @@
         ensure!(
             is_own,
             NotOpenSnafu {
-                step: "revert the send of",
+                step: "take back",
                 attempt
             }
         );
@@ -131,7 +131,7 @@
     /// # Errors
     /// [`StepError::AlreadySent`] if it was sent; [`StepError::NotOpen`] if it has ended.
     pub fn abandon(&mut self, attempt: &Attempt) -> Result<NotRunProof, StepError> {
-        self.unsent_own("abandon", attempt)?;
+        self.unsent_own("void", attempt)?;
         self.abandon_own(attempt);
         Ok(NotRunProof {
             attempt: attempt.clone(),
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -8,10 +8,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum LimitError {
     /// The window is zero.
-    #[snafu(display("the window of idempotency keys is 0 ms"))]
+    #[snafu(display("step limits: the window is zero"))]
     ZeroWindow,
     /// The log trims records that still count.
-    #[snafu(display("the log keeps records for {} ms, which is not longer than the window of idempotency keys, {} ms, plus the {} ms that a key's time may be ahead", log_retention.0, window.0, max_ahead.0))]
+    #[snafu(display("step limits: window {}+{} ms, but the log keeps {} ms", window.0, max_ahead.0, log_retention.0))]
     RetentionTooShort {
         /// Requested window.
         window: Millis,
