--- a/crates/infra/examples/shared_log.rs
+++ b/crates/infra/examples/shared_log.rs
@@ -67,9 +67,9 @@
 async fn submit(appender: Appender, timer: Timer, at: Duration, results: Rc<RefCell<Results>>) {
     timer.sleep(at).await;
     let from = Instant::now();
-    let appended = appender.append(vec![0; 200]).await.is_ok();
+    let succeeded = appender.append(vec![0; 200]).await.is_ok();
     let mut results = results.borrow_mut();
-    if appended {
+    if succeeded {
         results.appended += 1;
     } else {
         results.refused += 1;
--- a/crates/infra/src/follower/era.rs
+++ b/crates/infra/src/follower/era.rs
@@ -10,7 +10,7 @@
 }
 
 impl Era {
-    /// Records the era of a response; returns the previous era if the new one is later.
+    /// Compares the era of a response with the known one; returns the known one if the new one is later.
     pub(super) fn update(&mut self, received: Option<u64>) -> Option<u64> {
         let Some(known) = self.known else {
             self.known = received;
--- a/crates/infra/src/follower/event.rs
+++ b/crates/infra/src/follower/event.rs
@@ -21,7 +21,7 @@
         /// Next free offset.
         next: u64,
     },
-    /// A read timed out without an answer; it is retried on another connection.
+    /// A read timed out without a response; it is retried on another connection.
     Unanswered,
     /// Reads fail; reported once, and retried until a read succeeds.
     Outage {
--- a/crates/infra/src/follower/keyed.rs
+++ b/crates/infra/src/follower/keyed.rs
@@ -28,7 +28,7 @@
         /// New era.
         now: u64,
     },
-    /// A read timed out without an answer; it is retried on another connection.
+    /// A read timed out without a response; it is retried on another connection.
     Unanswered,
     /// Reads fail; reported at the start of an outage, and retried until one succeeds.
     Outage {
--- a/crates/infra/src/follower/mod.rs
+++ b/crates/infra/src/follower/mod.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LastRead {
     Answered,
-    /// It timed out without an answer; the next read is its retry.
+    /// It timed out without a response; the next read is its retry.
     Unanswered,
     /// It failed, and the outage was reported to the caller.
     Failed,
@@ -240,7 +240,7 @@
         Ok((!known).then_some(FollowEvent::CaughtUp { next }))
     }
 
-    /// Records the era of a response and fails if it rose. A missing or earlier era is no error here.
+    /// Fails if the era of a response is later than the known one. A missing or earlier one is no error.
     fn check_era(&mut self, received: Option<u64>) -> Result<(), FollowError> {
         let (Some(known), Some(found)) = (self.era.update(received), received) else {
             return Ok(());
--- a/crates/infra/tests/infra/appender.rs
+++ b/crates/infra/tests/infra/appender.rs
@@ -200,12 +200,12 @@
         let sent = timer.within(5 * MS, submit(&appender, 0)).await;
         assert!(sent.is_err());
         drop(appender);
-        let appended = async {
+        let record_logged = async {
             while log.data().is_empty() {
                 timer.sleep(MS).await;
             }
         };
-        timer.within(5_000 * MS, appended).await.unwrap();
+        timer.within(5_000 * MS, record_logged).await.unwrap();
         assert_eq!(log.data(), [vec![0]]);
     });
 }
